--- a/crates/control/tests/earlier_builds.rs
+++ b/crates/control/tests/earlier_builds.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 
 use juniper_control_state::{Answer, Command, ControlState};
-use juniper_protocol::message::{Message, encode, read_message};
+use juniper_protocol::message::{Message, decode_message, encode};
 use juniper_protocol::{PeerIdentity, Push, Reply, Request};
 use juniper_registry::{InstanceId, InstanceName, StartTime};
 use juniper_types::NodeId;
@@ -22,7 +22,7 @@
 }
 
 fn message(name: &str) -> Message {
-    read_message(&kept()[name]).expect("it is read")
+    decode_message(&kept()[name]).expect("it is read")
 }
 
 #[test]
@@ -105,18 +105,18 @@
     let kind = later(77, |encoder| {
         encoder.array(1).and_then(|encoder| encoder.str("what")).expect("memory");
     });
-    assert_eq!(read_message(&kind).expect("passed over"), Message::Unknown { call: None });
+    assert_eq!(decode_message(&kind).expect("passed over"), Message::Unknown { call: None });
     let call = later(1, |encoder| {
         encoder.array(2).and_then(|encoder| encoder.u64(5)).expect("memory");
         encoder.array(2).and_then(|encoder| encoder.u32(500)).expect("memory");
         encoder.array(0).expect("memory");
     });
-    assert_eq!(read_message(&call).expect("answered"), Message::Unknown { call: Some(5) });
+    assert_eq!(decode_message(&call).expect("answered"), Message::Unknown { call: Some(5) });
     let push = later(3, |encoder| {
         encoder.array(1).and_then(|encoder| encoder.array(2)).expect("memory");
         encoder.u32(99).and_then(|encoder| encoder.array(0)).expect("memory");
     });
-    assert_eq!(read_message(&push).expect("passed over"), Message::Unknown { call: None });
+    assert_eq!(decode_message(&push).expect("passed over"), Message::Unknown { call: None });
     // A field more in a known kind is passed over with the kind understood.
     let field = later(1, |encoder| {
         encoder.array(3).and_then(|encoder| encoder.u64(6)).expect("memory");
@@ -124,19 +124,19 @@
         encoder.array(0).and_then(|encoder| encoder.bool(true)).expect("memory");
     });
     let expected = Message::Request { call: 6, request: Request::Confirm };
-    assert_eq!(read_message(&field).expect("read"), expected);
+    assert_eq!(decode_message(&field).expect("read"), expected);
 }
 
 #[test]
 fn bytes_that_are_no_message_are_refused() {
     let whole = encode(&Message::Request { call: 1, request: Request::Confirm });
     for length in 0..whole.len() {
-        assert!(read_message(&whole[..length]).is_err(), "{length} bytes");
+        assert!(decode_message(&whole[..length]).is_err(), "{length} bytes");
     }
     let mut more = whole.clone();
     more.push(0);
     more[1] = 0x18;
-    assert!(read_message(&more).is_err());
-    assert!(read_message(&[0xff; 9]).is_err());
-    assert!(read_message(b"").is_err());
+    assert!(decode_message(&more).is_err());
+    assert!(decode_message(&[0xff; 9]).is_err());
+    assert!(decode_message(b"").is_err());
 }
--- a/crates/protocol/src/calls.rs
+++ b/crates/protocol/src/calls.rs
@@ -1,8 +1,8 @@
-//! Numbered calls over one connection after another.
+//! Tracking of calls and their replies across reconnects.
 //!
-//! Replies come in any order and are told apart by the number of the call. Each
-//! connection has a generation; what the reading task of an earlier connection
-//! still delivers is dropped, so that it can't end the calls of a later one.
+//! Replies may arrive in any order and are matched by call number. Each connection has a
+//! generation number; frames that the reader task of an earlier connection delivers late are
+//! dropped, so that they can't affect calls on a later connection.
 
 use std::collections::HashMap;
 
@@ -11,32 +11,32 @@
 use crate::connection::{Connection, FrameReader, FrameWriter};
 use crate::message::{Message, Reply, Request};
 
-/// Why a call got no reply.
+/// Reason why a call got no reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
-    /// The peer can't be reached; the call was not sent.
-    #[error("the peer can't be reached")]
+    /// The peer is unreachable; the call was not sent.
+    #[error("peer is unreachable")]
     Unreachable,
     /// The connection broke after the call was sent.
-    #[error("the connection broke before the reply")]
+    #[error("connection closed before the reply")]
     Disconnected,
-    /// No reply came in time.
-    #[error("no reply in time")]
+    /// No reply arrived before the timeout.
+    #[error("call timed out")]
     TimedOut,
 }
 
-/// Where the reply to a call goes.
+/// Sender for the result of a call.
 pub type CallAnswer = oneshot::Sender<Result<Reply, CallError>>;
 
-/// Something that the reading task saw on one connection.
+/// Event from the reader task of a connection.
 #[derive(Debug)]
 pub struct IncomingFrame {
     generation: u64,
-    /// The message; `None` when the connection has ended.
+    /// Received message; `None` at the end of the connection.
     message: Option<Message>,
 }
 
-/// Reads one connection and names its generation.
+/// Reader of one connection, tagged with the connection's generation.
 #[derive(Debug)]
 pub struct GenerationReader {
     generation: u64,
@@ -44,7 +44,8 @@
 }
 
 impl GenerationReader {
-    /// Hands every message to `deliver`, then the end, until it returns false.
+    /// Passes each message and the final end of the connection to `deliver`. Stops early if
+    /// `deliver` returns false.
     pub async fn run(mut self, deliver: impl AsyncFn(IncomingFrame) -> bool) {
         loop {
             let message = self.reader.receive().await.ok();
@@ -57,13 +58,13 @@
     }
 }
 
-/// The connection in use, and the calls that wait for replies on it.
+/// Current connection and the calls that wait for replies on it.
 #[derive(Debug, Default)]
 pub struct OpenCalls {
     writer: Option<FrameWriter>,
     generation: u64,
     next_call: u64,
-    waiting: HashMap<u64, CallAnswer>,
+    pending: HashMap<u64, CallAnswer>,
 }
 
 impl OpenCalls {
@@ -72,26 +73,26 @@
         self.writer.is_some()
     }
 
-    /// Where messages are written, while there is a connection.
+    /// Writer of the current connection.
     pub fn writer(&mut self) -> Option<&mut FrameWriter> {
         self.writer.as_mut()
     }
 
-    /// Uses `connection` from now on.
+    /// Replaces the current connection.
     pub fn connected(&mut self, connection: Connection) -> GenerationReader {
         self.generation += 1;
         self.writer = Some(connection.writer);
         GenerationReader { generation: self.generation, reader: connection.reader }
     }
 
-    /// Numbers a call, whose message is then written.
+    /// Registers a call and returns the message to send.
     pub fn begin(&mut self, request: Request, answer: CallAnswer) -> Message {
         self.next_call += 1;
-        self.waiting.insert(self.next_call, answer);
+        self.pending.insert(self.next_call, answer);
         Message::Request { call: self.next_call, request }
     }
 
-    /// Takes in what was read. Returns whether the connection in use has ended.
+    /// Handles an event of a reader task. Returns whether the current connection has ended.
     #[must_use]
     pub fn take(&mut self, incoming: IncomingFrame) -> bool {
         if !self.is_connected() || incoming.generation != self.generation {
@@ -99,8 +100,8 @@
         }
         match incoming.message {
             Some(Message::Reply { call, reply }) => {
-                if let Some(answer) = self.waiting.remove(&call) {
-                    // The caller may have stopped waiting.
+                if let Some(answer) = self.pending.remove(&call) {
+                    // The caller may have stopped waiting for the reply.
                     let _ = answer.send(Ok(reply));
                 }
                 false
@@ -110,10 +111,10 @@
         }
     }
 
-    /// Drops the connection; the calls under way on it fail.
+    /// Drops the current connection and fails its pending calls.
     pub fn disconnect(&mut self) {
         self.writer = None;
-        for (_, answer) in self.waiting.drain() {
+        for (_, answer) in self.pending.drain() {
             let _ = answer.send(Err(CallError::Disconnected));
         }
     }
--- a/crates/protocol/src/connection.rs
+++ b/crates/protocol/src/connection.rs
@@ -1,4 +1,4 @@
-//! Authenticated connections: a handshake, then typed messages both ways.
+//! Authenticated connections that carry typed messages in both directions.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,11 +15,10 @@
 use crate::handshake::{
     BuildLevel, ClusterKey, HandshakeError, PeerIdentity, ProvedPeer, as_acceptor, as_connector,
 };
-use crate::message::{Message, encode, read_message};
+use crate::message::{Message, decode_message, encode};
 
-/// Bytes that a daemon has exchanged with other daemons. Control is what flows
-/// whether or not callers ask for anything; lookups are part of serving, since
-/// each belongs to one request.
+/// Bytes exchanged with other daemons. Prefix lookups are counted apart from control traffic, since
+/// their volume depends on callers' requests.
 #[derive(Debug, Default)]
 pub struct Traffic {
     sent: AtomicU64,
@@ -28,59 +27,59 @@
 }
 
 impl Traffic {
-    /// Counts `bytes` of control sent.
+    /// Adds sent bytes of control traffic.
     pub fn add_sent(&self, bytes: usize) {
         self.sent.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    /// Counts `bytes` of control received.
+    /// Adds received bytes of control traffic.
     pub fn add_received(&self, bytes: usize) {
         self.received.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    /// Counts `bytes` of lookups, either way.
+    /// Adds bytes of lookups, sent or received.
     pub fn add_lookups(&self, bytes: usize) {
         self.lookups.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    /// Bytes of lookups sent and received since the start.
+    /// Bytes of lookups sent and received since startup.
     pub fn lookups(&self) -> u64 {
         self.lookups.load(Ordering::Relaxed)
     }
 
-    /// Control bytes sent since the start.
+    /// Bytes of control traffic sent since startup.
     pub fn sent(&self) -> u64 {
         self.sent.load(Ordering::Relaxed)
     }
 
-    /// Control bytes received since the start.
+    /// Bytes of control traffic received since startup.
     pub fn received(&self) -> u64 {
         self.received.load(Ordering::Relaxed)
     }
 }
 
-/// A connection whose peer has proved the cluster key.
+/// Connection to an authenticated peer.
 #[derive(Debug)]
 pub struct Connection {
-    /// Who the peer is.
+    /// Identity of the peer.
     pub peer: PeerIdentity,
-    /// What it understands.
+    /// Build level of the peer.
     pub level: BuildLevel,
-    /// Messages from the peer.
+    /// Receiving half.
     pub reader: FrameReader,
-    /// Messages to the peer.
+    /// Sending half.
     pub writer: FrameWriter,
 }
 
 impl Connection {
-    /// Counts every frame from here on, the five bytes of its header included.
+    /// Adds all later frames, headers included, to `traffic`.
     pub fn count_on(&mut self, traffic: &Arc<Traffic>) {
         self.reader.traffic = Some(Arc::clone(traffic));
         self.writer.traffic = Some(Arc::clone(traffic));
     }
 }
 
-/// The receiving half.
+/// Receiving half of a connection.
 #[derive(Debug)]
 pub struct FrameReader {
     stream: BufReader<OwnedReadHalf>,
@@ -88,10 +87,10 @@
 }
 
 impl FrameReader {
-    /// Waits for the next message.
+    /// Receives the next message.
     pub async fn receive(&mut self) -> Result<Message, FrameError> {
         let payload = read_frame(&mut self.stream).await?;
-        let message = read_message(&payload)?;
+        let message = decode_message(&payload)?;
         if let Some(traffic) = &self.traffic {
             let bytes = payload.len() + FRAME_HEADER_BYTES;
             match message.is_lookup() {
@@ -103,7 +102,7 @@
     }
 }
 
-/// The sending half.
+/// Sending half of a connection.
 #[derive(Debug)]
 pub struct FrameWriter {
     stream: OwnedWriteHalf,
@@ -111,7 +110,7 @@
 }
 
 impl FrameWriter {
-    /// Sends one message and returns the bytes it took on the wire.
+    /// Sends a message and returns its size on the wire, in bytes.
     pub async fn send(&mut self, message: &Message) -> Result<usize, FrameError> {
         let bytes = self.write(&encode(message)).await?;
         if let Some(traffic) = &self.traffic {
@@ -123,8 +122,8 @@
         Ok(bytes)
     }
 
-    /// Sends a message that was encoded before, so that one sent to many is
-    /// encoded once. Returns the bytes it took on the wire.
+    /// Sends an encoded message, so that a broadcast is encoded only once. Returns the size on the
+    /// wire, in bytes.
     pub async fn send_encoded(&mut self, payload: &[u8]) -> Result<usize, FrameError> {
         let bytes = self.write(payload).await?;
         if let Some(traffic) = &self.traffic {
@@ -139,46 +138,47 @@
     }
 }
 
-fn split(stream: TcpStream, ProvedPeer { identity: peer, level }: ProvedPeer) -> Connection {
+fn split_connection(
+    stream: TcpStream,
+    ProvedPeer { identity: peer, level }: ProvedPeer,
+) -> Connection {
     let (reader, writer) = stream.into_split();
     let reader = FrameReader { stream: BufReader::new(reader), traffic: None };
     let writer = FrameWriter { stream: writer, traffic: None };
     Connection { peer, level, reader, writer }
 }
 
-/// A peer that acknowledges no byte for this long is cut off. Without this bound
-/// a connection through a cut would hang for minutes.
-const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_millis(1_800);
+/// Time after which a connection with unacknowledged data is closed. With the system's default, a
+/// connection across a network partition would hang for minutes.
+const TCP_USER_TIMEOUT: Duration = Duration::from_millis(1_800);
 
-fn prepare(stream: &TcpStream) -> Result<(), FrameError> {
+fn configure_socket(stream: &TcpStream) -> Result<(), FrameError> {
     stream.set_nodelay(true)?;
-    SockRef::from(stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED_LIMIT))?;
+    SockRef::from(stream).set_tcp_user_timeout(Some(TCP_USER_TIMEOUT))?;
     Ok(())
 }
 
-/// Time within which a peer's system must answer the opening of a connection. That takes
-/// one round trip: 16 ms between regions. An opening that was lost, or sent to a machine that was not
-/// running yet, is sent again by the system after a second only; a new attempt is sooner.
-const OPENING_TIMEOUT: Duration = Duration::from_millis(150);
+/// Timeout of TCP connection setup, which takes one round trip (16 ms between regions). The system
+/// resends a lost SYN only after a second; a new attempt by the caller comes sooner.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 
-async fn open(address: SocketAddr) -> Result<TcpStream, FrameError> {
-    match timeout(OPENING_TIMEOUT, TcpStream::connect(address)).await {
-        Ok(opened) => Ok(opened?),
+async fn open_stream(address: SocketAddr) -> Result<TcpStream, FrameError> {
+    match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
+        Ok(connected) => Ok(connected?),
         Err(_) => Err(FrameError::Unanswered),
     }
 }
 
-/// Opens a connection to `address` and runs the handshake. The opening is bounded here, the
-/// handshake by the caller.
+/// Connects to `address` and runs the handshake.
 pub async fn connect(
     address: SocketAddr,
     key: &ClusterKey,
     own: &PeerIdentity,
 ) -> Result<Connection, HandshakeError> {
-    let mut stream = open(address).await?;
-    prepare(&stream)?;
+    let mut stream = open_stream(address).await?;
+    configure_socket(&stream)?;
     let peer = as_connector(&mut stream, key, own).await?;
-    Ok(split(stream, peer))
+    Ok(split_connection(stream, peer))
 }
 
 /// Runs the handshake on an accepted `stream`.
@@ -187,7 +187,7 @@
     key: &ClusterKey,
     own: &PeerIdentity,
 ) -> Result<Connection, HandshakeError> {
-    prepare(&stream)?;
+    configure_socket(&stream)?;
     let peer = as_acceptor(&mut stream, key, own).await?;
-    Ok(split(stream, peer))
+    Ok(split_connection(stream, peer))
 }
--- a/crates/protocol/src/fleet.rs
+++ b/crates/protocol/src/fleet.rs
@@ -1,4 +1,4 @@
-//! What daemons tell each other of the fleet of generic services.
+//! Updates about the fleet of generic services.
 
 use std::collections::BTreeMap;
 
@@ -9,193 +9,192 @@
 use crate::limits::ServerLimitNews;
 use crate::notices::ServerNoticeNews;
 
-/// Shared parts of a prompt that were sent to a server.
+/// Report that a router dispatched a request with these prefix segments to a server.
 ///
-/// It doesn't tell which incarnation of the server: thousands come each second, each is heard within
-/// some tens of milliseconds, and one that is taken for a later incarnation's costs a read.
+/// The server's incarnation is left out to keep the report small: there are thousands a second, and
+/// one attributed to a later incarnation costs no more than a cache miss.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Sighting {
-    /// The server.
+    /// Server that the request was dispatched to.
     #[n(0)]
     pub instance: InstanceName,
-    /// Version of its weights.
+    /// Version of the weights on the server.
     #[n(1)]
     pub version: u64,
-    /// Names each beginning of the chain of parts, the longest last.
+    /// Hash of each prefix made of whole segments, shortest first.
     #[n(2)]
     pub chains: Vec<u64>,
-    /// Tokens that the server had to read or fetch.
+    /// Prompt tokens not cached on the server: to be computed, or received by KV transfer.
     #[n(3)]
     pub tokens: u32,
-    /// Tokens among those that it had to read.
+    /// Tokens among [`tokens`](Self::tokens) that the server had to compute.
     #[n(4)]
     pub read_tokens: u32,
-    /// Tokens of each part of the chain; none from a peer of an earlier version.
+    /// Tokens of each prefix segment; empty from a peer of an earlier version.
     #[n(5)]
     #[cbor(default)]
     pub part_tokens: Vec<u32>,
-    /// Tokens that no other prompt has; zero from a peer of an earlier version.
+    /// Tokens after the last shared segment; zero from a peer of an earlier version.
     #[n(6)]
     #[cbor(default)]
     pub own_tokens: u32,
-    /// Names the request among those of its router; zero from a peer of an earlier version.
+    /// Number of the request on its router; zero from a peer of an earlier version.
     #[n(7)]
     #[cbor(default)]
     pub number: u16,
 }
 
-/// Whether a router can open connections to a server.
+/// Report whether a router can open connections to a server.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Reachability {
-    /// The server.
+    /// Server that the router tried to reach.
     #[n(0)]
     pub instance: InstanceName,
-    /// Whether the router's latest attempt succeeded.
+    /// Whether the router's latest connection attempt succeeded.
     #[n(1)]
     pub reached: bool,
-    /// When the server's incarnation started; unknown from a peer of an earlier version.
+    /// Start time of the server's incarnation; unknown from a peer of an earlier version.
     #[n(2)]
     #[cbor(default)]
     pub started: StartTime,
 }
 
 impl Reachability {
-    /// The incarnation that it is about.
+    /// Incarnation that the router tried to reach.
     pub fn id(&self) -> InstanceId {
         InstanceId::started_at(self.instance.clone(), self.started)
     }
 }
 
-/// A server ended while a request was under way on it.
+/// Report that a server crashed while a request was in flight on it.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Crash {
-    /// The request.
+    /// Request that was in flight.
     #[n(0)]
     pub request: RequestFingerprint,
-    /// The server that ended.
+    /// Server that crashed.
     #[n(1)]
     pub instance: InstanceName,
     /// Time since the request's connection broke, in milliseconds.
     #[n(2)]
     pub age_ms: u64,
-    /// Time for which the request had been under way then, in milliseconds.
+    /// Time for which the request had been in flight when its connection broke, in milliseconds.
     #[n(3)]
     pub under_way_ms: u64,
-    /// Whether the router has seen the same request end well before.
+    /// Whether the router has seen the same request complete before.
     #[n(4)]
     pub ended_well: bool,
-    /// When the incarnation started that ended; unknown from a peer of an earlier version.
+    /// Start time of the crashed incarnation; unknown from a peer of an earlier version.
     #[n(5)]
     #[cbor(default)]
     pub started: StartTime,
 }
 
 impl Crash {
-    /// The incarnation that ended.
+    /// Incarnation that crashed.
     pub fn id(&self) -> InstanceId {
         InstanceId::started_at(self.instance.clone(), self.started)
     }
 }
 
-/// A server answered a request whole, so earlier ends were not its doing.
+/// Report that a request completed, so earlier crashes under it no longer count against it.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Cleared {
-    /// The request.
+    /// Request that completed.
     #[n(0)]
     pub request: RequestFingerprint,
-    /// The servers whose ends don't count any more.
+    /// Servers whose crashes no longer count.
     #[n(1)]
     pub instances: Vec<InstanceName>,
-    /// When each of their incarnations started; empty from a peer of an earlier version.
+    /// Start time of the incarnation of each server; empty from a peer of an earlier version.
     #[n(2)]
     #[cbor(default)]
     pub starts: Vec<StartTime>,
 }
 
 impl Cleared {
-    /// Ends of these incarnations don't count against the request.
+    /// Clears `request` of the crashes of these incarnations.
     pub fn of(request: RequestFingerprint, cleared: &[InstanceId]) -> Self {
         let (instances, starts) = names_and_starts(cleared);
         Cleared { request, instances, starts }
     }
 
-    /// The incarnations whose ends don't count any more.
+    /// Incarnations whose crashes no longer count.
     pub fn ids(&self) -> Vec<InstanceId> {
         incarnations(self.instances.clone(), &self.starts)
     }
 }
 
-/// What a router tells of servers that ended under requests.
+/// Crashes under requests, as reported by one router.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct CrashNews {
-    /// Servers that ended under requests.
+    /// Servers that crashed under requests.
     #[n(0)]
     pub crashes: Vec<Crash>,
-    /// Requests whose ends of servers don't count any more.
+    /// Requests cleared of earlier crashes.
     #[n(1)]
     pub cleared: Vec<Cleared>,
 }
 
-/// A request that is to be sent to no server any more.
+/// Request to quarantine a fingerprint, so that no router dispatches it.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct QuarantineCall {
-    /// The request.
+    /// Request to quarantine.
     #[n(0)]
     pub request: RequestFingerprint,
-    /// The servers that ended under it.
+    /// Servers that crashed under the request.
     #[n(1)]
     pub servers: Vec<InstanceName>,
 }
 
-/// Requests that are sent to no server: all of them, or what has changed on this connection.
+/// Quarantined requests: all of them, or the changes since the last update on this connection.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct QuarantineNews {
-    /// Whether `added` is all of them.
+    /// Whether `added` lists all quarantined requests.
     #[n(0)]
     pub is_whole: bool,
-    /// Requests in quarantine.
+    /// Quarantined requests.
     #[n(1)]
     pub added: Vec<RequestFingerprint>,
-    /// Requests that may be sent again.
+    /// Requests released from quarantine.
     #[n(2)]
     pub released: Vec<RequestFingerprint>,
 }
 
-/// What one router tells the others. Losing it costs work, never correctness.
+/// Update from one router to the others. A lost update costs work, never correctness.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct RouterNews {
-    /// Where it has sent prompts.
+    /// Requests that the router dispatched.
     #[n(0)]
     pub sightings: Vec<Sighting>,
-    /// Servers that it can't reach, and those that it can reach again.
+    /// Servers that became unreachable from the router or reachable again.
     #[n(1)]
     pub reachability: Vec<Reachability>,
-    /// Servers on which requests have ended, as an earlier version told it; always empty. Without
-    /// names of requests, an end whose beginning was lost counted for another request.
+    /// Always empty; earlier versions list here the servers on which requests ended. Without
+    /// request numbers, the end of an unreported request was counted for another one.
     #[n(2)]
     pub ended_at: Vec<InstanceName>,
-    /// Numbers of the requests that it had told of and that have ended.
+    /// Numbers of reported requests that have ended.
     #[n(3)]
     #[cbor(default)]
     pub ended: Vec<u16>,
-    /// Servers that ended under requests; absent, and without a byte, nearly always.
+    /// Servers that crashed under requests; usually absent, which takes no bytes.
     #[n(4)]
     #[cbor(default)]
     pub crashes: Option<CrashNews>,
-    /// What servers take from all routers together; absent, and without a byte, unless some state
-    /// it.
+    /// Limits advertised by servers; usually absent, which takes no bytes.
     #[n(5)]
     #[cbor(default)]
     pub server_limits: Option<Vec<ServerLimitNews>>,
-    /// Servers that asked for a pause or said that they leave; absent, and without a byte, nearly
-    /// always.
+    /// Servers that requested a backoff or announced their departure; usually absent, which takes
+    /// no bytes.
     #[n(6)]
     #[cbor(default)]
     pub notices: Option<Vec<ServerNoticeNews>>,
 }
 
 impl RouterNews {
-    /// Whether there is nothing to tell.
+    /// Whether the update has no content.
     pub fn is_empty(&self) -> bool {
         self.sightings.is_empty()
             && self.reachability.is_empty()
@@ -206,16 +205,16 @@
     }
 }
 
-/// What one router tells, on its way to the others.
+/// Update from one router, relayed to the others.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct RelayedNews {
-    /// The router.
+    /// Router that sent the update.
     #[n(0)]
     pub from: NodeId,
-    /// Its zone.
+    /// Zone of the router.
     #[n(1)]
     pub zone: ZoneName,
-    /// What it tells.
+    /// Relayed update.
     #[n(2)]
     pub news: RouterNews,
 }
@@ -223,86 +222,87 @@
 /// An encoded [`juniper_catalog::Catalog`].
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct CatalogBody {
-    /// Its version.
+    /// Version of the configuration.
     #[n(0)]
     pub version: u64,
-    /// The encoded configuration.
+    /// Encoded configuration.
     #[cbor(n(1), with = "minicbor::bytes")]
     pub body: Vec<u8>,
 }
 
-/// What the fleet of generic services agrees on, in short.
+/// Replicated fleet state of generic services, in short form.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct FleetNews {
     /// Log position of the latest change.
     #[n(0)]
     pub revision: u64,
-    /// Version of the configuration in force; zero for none. Who hasn't got it asks for it.
+    /// Version of the configuration in force; zero for none. Subscribers that lack this version
+    /// fetch it.
     #[n(1)]
     pub catalog_version: u64,
-    /// Version of the weights that each model should have.
+    /// Target version of the weights of each model.
     #[n(2)]
     pub weights: BTreeMap<String, u64>,
-    /// Servers that left and weren't named on this connection yet, oldest first.
+    /// Departed servers that were not listed on this connection before, oldest first.
     #[n(4)]
     pub departures: Vec<InstanceName>,
-    /// The control replicas, standbys included.
+    /// Control replicas, standbys included.
     #[n(5)]
     pub members: Vec<NodeId>,
-    /// Requests in quarantine, if they weren't told on this connection yet.
+    /// Changes of quarantined requests that were not sent on this connection before.
     #[n(6)]
     #[cbor(default)]
     pub quarantine: Option<QuarantineNews>,
-    /// For each departure the start time up to which incarnations have left; empty from a peer of an
-    /// earlier version.
+    /// For each departure, start time of the latest incarnation that has departed; empty from a
+    /// peer of an earlier version.
     #[n(7)]
     #[cbor(default)]
     pub departed_through: Vec<StartTime>,
-    /// The zones of the members, in their order; empty from a peer of an earlier version.
+    /// Zones of `members`, in the same order; empty from a peer of an earlier version.
     #[n(8)]
     #[cbor(default)]
     pub member_zones: Vec<ZoneName>,
 }
 
 impl FleetNews {
-    /// The departures, each with the incarnations that it covers.
+    /// Latest departed incarnation of each departed server.
     pub fn departed(&self) -> Vec<InstanceId> {
         incarnations(self.departures.clone(), &self.departed_through)
     }
 }
 
-/// What the one who gives orders knows before the servers say so themselves.
+/// Rollout state as known to the order dispatcher, ahead of the servers' own reports.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct RenewalNews {
-    /// Servers that take no new requests until they have new weights.
+    /// Servers that take no new requests until their weights are replaced.
     #[n(0)]
     pub under_way: Vec<InstanceName>,
-    /// Versions of weights that servers are known to have.
+    /// Known versions of the weights on servers.
     #[n(1)]
     pub versions: Vec<KnownVersion>,
     /// Servers that take new requests again.
     #[n(2)]
     pub ended: Vec<InstanceName>,
-    /// Whether this is everything, and not what has changed.
+    /// Whether this is the complete state rather than a change.
     #[n(3)]
     pub is_whole: bool,
-    /// When the incarnations of `under_way` started; empty from a peer of an earlier version.
+    /// Start times of the incarnations in `under_way`; empty from a peer of an earlier version.
     #[n(4)]
     #[cbor(default)]
     pub under_way_starts: Vec<StartTime>,
-    /// When the incarnations of `ended` started; empty from a peer of an earlier version.
+    /// Start times of the incarnations in `ended`; empty from a peer of an earlier version.
     #[n(5)]
     #[cbor(default)]
     pub ended_starts: Vec<StartTime>,
 }
 
 impl RenewalNews {
-    /// Whether nothing has changed.
+    /// Whether the update lists no servers.
     pub fn is_empty(&self) -> bool {
         self.under_way.is_empty() && self.ended.is_empty() && self.versions.is_empty()
     }
 
-    /// The same news with these servers under way and these not any more.
+    /// Replaces the servers being renewed and those whose renewal has ended.
     pub fn with_servers<'a>(
         self,
         under_way: impl IntoIterator<Item = &'a InstanceId>,
@@ -313,37 +313,37 @@
         RenewalNews { under_way, under_way_starts, ended, ended_starts, ..self }
     }
 
-    /// Incarnations that take no new requests.
+    /// Incarnations in `under_way`.
     pub fn ids_under_way(&self) -> Vec<InstanceId> {
         incarnations(self.under_way.clone(), &self.under_way_starts)
     }
 
-    /// Incarnations that take new requests again.
+    /// Incarnations in `ended`.
     pub fn ids_ended(&self) -> Vec<InstanceId> {
         incarnations(self.ended.clone(), &self.ended_starts)
     }
 }
 
-/// The version of a model's weights that a server has.
+/// Version of a model's weights on a server.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct KnownVersion {
-    /// The server.
+    /// Server with the weights.
     #[n(0)]
     pub instance: InstanceName,
-    /// The model.
+    /// Name of the model.
     #[n(1)]
     pub model: String,
-    /// The version.
+    /// Version of the weights.
     #[n(2)]
     pub version: u64,
-    /// When the server's incarnation started; unknown from a peer of an earlier version.
+    /// Start time of the server's incarnation; unknown from a peer of an earlier version.
     #[n(3)]
     #[cbor(default)]
     pub started: StartTime,
 }
 
 impl KnownVersion {
-    /// The incarnation that has the weights.
+    /// Incarnation with the weights.
     pub fn id(&self) -> InstanceId {
         InstanceId::started_at(self.instance.clone(), self.started)
     }
--- a/crates/protocol/src/handshake.rs
+++ b/crates/protocol/src/handshake.rs
@@ -1,8 +1,8 @@
-//! Mutual proof of the cluster key before any message is taken.
+//! Mutual authentication by the cluster key, before any message is accepted.
 //!
-//! Both sides send a random nonce and their identity, then a keyed hash over
-//! both greetings with their own direction in front, so that a proof can be
-//! neither replayed on another connection nor reflected to its sender.
+//! Each side sends a greeting (random nonce, identity), then a keyed hash over its direction and
+//! both greetings. A proof can be neither replayed on another connection nor reflected to its
+//! sender.
 
 use std::time::Duration;
 
@@ -14,10 +14,10 @@
 
 use crate::frame::{FrameError, read_frame, write_frame};
 
-/// Time within which a peer must finish the handshake.
+/// Timeout of the handshake.
 pub const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Shortest accepted cluster key text, in bytes.
+/// Minimum length of the cluster key's text, in bytes.
 pub const MIN_KEY_BYTES: usize = 16;
 
 const KEY_CONTEXT: &str = "juniperhollow cluster key v1";
@@ -26,12 +26,12 @@
 const ACCEPTOR: u8 = 1;
 const DATAGRAM: u8 = 2;
 
-/// The text is too short to be a cluster key.
+/// Error for a cluster key whose text is too short.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a cluster key has at least {MIN_KEY_BYTES} bytes")]
+#[error("cluster key is shorter than {MIN_KEY_BYTES} bytes")]
 pub struct ClusterKeyError;
 
-/// The secret that the daemons of one deployment share.
+/// Secret shared by the daemons of one deployment.
 #[derive(Clone)]
 pub struct ClusterKey([u8; 32]);
 
@@ -44,13 +44,13 @@
         Ok(ClusterKey(blake3::derive_key(KEY_CONTEXT, text.as_bytes())))
     }
 
-    /// The key of the fingerprints of requests: the same on all daemons, and unknown to callers.
+    /// Derives the key for request fingerprints, the same on all daemons and unknown to callers.
     pub fn fingerprint_key(&self) -> FingerprintKey {
         FingerprintKey::new(blake3::derive_key(FINGERPRINT_CONTEXT, &self.0))
     }
 
-    /// Keyed hash of a datagram's payload. The prefix keeps it apart from the
-    /// proofs of handshakes.
+    /// Computes the keyed hash of a datagram's payload. The prefix separates it from handshake
+    /// proofs.
     pub(crate) fn keyed_hash(&self, payload: &[u8]) -> [u8; 32] {
         let mut hasher = blake3::Hasher::new_keyed(&self.0);
         hasher.update(&[DATAGRAM]);
@@ -68,53 +68,53 @@
     }
 }
 
-/// What a daemon is.
+/// Role of a daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum PeerRole {
-    /// A replica of the durable state.
+    /// Replica of the durable state.
     #[n(0)]
     Control,
-    /// A router.
+    /// Router of callers' requests.
     #[n(1)]
     Router,
 }
 
-/// Who a daemon says it is; believed only after its proof.
+/// Identity that a daemon claims; trusted only after the daemon has proved the cluster key.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 #[cbor(map)]
 pub struct PeerIdentity {
-    /// Its node number.
+    /// Node identifier.
     #[n(0)]
     pub node: NodeId,
-    /// Its role.
+    /// Role of the daemon.
     #[n(1)]
     pub role: PeerRole,
-    /// Its zone.
+    /// Zone of the daemon.
     #[n(2)]
     pub zone: ZoneName,
 }
 
-/// A peer that has proved the cluster key.
+/// Peer that has proved the cluster key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ProvedPeer {
-    /// Who it is.
+    /// Identity of the peer.
     pub identity: PeerIdentity,
-    /// What it understands.
+    /// Build level of the peer.
     pub level: BuildLevel,
 }
 
-/// What a daemon understands, told in the handshake: whoever sends a message of a later level to it
-/// would be cut off, or not be understood. Builds that don't tell it are of level zero.
+/// Level of the messages that a daemon understands, exchanged in the handshake. Messages of a later
+/// level must not be sent to the daemon. Builds that don't send a level are of level zero.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
 #[cbor(transparent)]
 pub struct BuildLevel(#[n(0)] pub u16);
 
 impl BuildLevel {
-    /// Passes over messages of kinds that it doesn't know, and answers calls of such kinds.
-    /// Understands `Request::FollowFleet`.
+    /// Ignores messages of unknown kinds, refuses calls of unknown kinds, and understands
+    /// `Request::FollowFleet`.
     pub const FOLLOWS_FLEET: BuildLevel = BuildLevel(1);
 
-    /// The level of this build.
+    /// Level of this build.
     pub const OWN: BuildLevel = BuildLevel::FOLLOWS_FLEET;
 }
 
@@ -125,27 +125,27 @@
     identity: PeerIdentity,
     #[cbor(n(1), with = "minicbor::bytes")]
     nonce: [u8; 32],
-    /// Absent from builds of level zero.
+    /// Level of the sender; absent from builds of level zero.
     #[n(2)]
     #[cbor(default)]
     level: BuildLevel,
 }
 
-/// Why a handshake failed.
+/// Error in a handshake.
 #[derive(Debug, thiserror::Error)]
 pub enum HandshakeError {
     /// The connection failed, or a greeting was malformed.
     #[error(transparent)]
     Frame(#[from] FrameError),
     /// The peer does not hold the cluster key.
-    #[error("the peer does not hold the cluster key")]
+    #[error("peer does not hold the cluster key")]
     WrongKey,
-    /// The peer took longer than [`HANDSHAKE_TIMEOUT`].
+    /// The handshake took longer than [`HANDSHAKE_TIMEOUT`].
     #[error("handshake timed out")]
     TimedOut,
 }
 
-/// Runs the handshake as the side that opened the connection.
+/// Runs the handshake on the connecting side.
 pub async fn as_connector<S>(
     stream: &mut S,
     key: &ClusterKey,
@@ -158,7 +158,7 @@
     tokio::time::timeout(HANDSHAKE_TIMEOUT, exchange).await.map_err(|_| HandshakeError::TimedOut)?
 }
 
-/// Runs the handshake as the side that accepted the connection.
+/// Runs the handshake on the accepting side.
 pub async fn as_acceptor<S>(
     stream: &mut S,
     key: &ClusterKey,
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,8 +1,8 @@
 //! Framed, versioned, authenticated messages between the daemons.
 //!
-//! A connection starts with a mutual proof of the cluster key ([`handshake`]).
-//! After that both sides exchange frames ([`frame`]), each holding one
-//! CBOR-encoded [`Message`].
+//! Both sides of a connection first prove that they hold the cluster key ([`handshake`]).
+//! After that they exchange frames ([`frame`]), each of which carries one CBOR-encoded
+//! [`Message`].
 
 pub mod calls;
 pub mod connection;
--- a/crates/protocol/src/limits.rs
+++ b/crates/protocol/src/limits.rs
@@ -1,80 +1,79 @@
-//! What daemons tell each other of limits that hold over all routers.
+//! Messages for rate limits that apply to all routers together.
 
 use juniper_registry::{InstanceId, InstanceName, StartTime};
 use minicbor::{Decode, Encode};
 
-/// A request that is to be counted against a limit.
+/// Charge of one request against a limit.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct LimitCharge {
-    /// Whose limit it is: a tenant's name, or [`server_account`].
+    /// Account of the limit: the tenant's name, or the server's [`server_account`].
     #[n(0)]
     pub account: String,
-    /// Version of the limit; of a tenant's, that of the configuration that states it.
+    /// Version of the limit; for a tenant, the version of the configuration.
     #[n(1)]
     pub version: u64,
-    /// The limit, in units a second.
+    /// Limit, in units per second.
     #[n(2)]
     pub per_second: f64,
-    /// Units that may come at once beyond it.
+    /// Burst size, in units.
     #[n(3)]
     pub burst: f64,
-    /// Units that the request costs.
+    /// Units to charge.
     #[n(4)]
     pub units: f64,
-    /// The request runs whatever the answer is.
+    /// Whether the request is executed whatever the answer is.
     #[n(5)]
     pub is_certain: bool,
-    /// Units that are left to more urgent requests, if any are; a replica of an earlier version
-    /// leaves none.
+    /// Units reserved for more urgent requests, if any; ignored by replicas of earlier versions.
     #[n(6)]
     #[cbor(default)]
     pub reserve: Option<f64>,
 }
 
-/// Begins the account of a server, as no tenant's name does.
-const SERVER_ACCOUNT: &str = "\0server\0";
+/// Prefix of servers' account names; never part of a tenant's name.
+const SERVER_ACCOUNT_PREFIX: &str = "\0server\0";
 
-/// The account of the limit that an incarnation of a server states. Replicas of earlier builds keep
-/// it like that of a tenant.
+/// Account name for the limit advertised by an incarnation of a server. Replicas of earlier builds
+/// treat the account like a tenant's.
 pub fn server_account(instance: &InstanceId) -> String {
-    format!("{SERVER_ACCOUNT}{}@{}", instance.name(), instance.started().unix_ms())
+    format!("{SERVER_ACCOUNT_PREFIX}{}@{}", instance.name(), instance.started().unix_ms())
 }
 
-/// What a server is known to take from all routers together.
+/// Advertised limit of a server, which applies to all routers together.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct ServerLimitNews {
-    /// The server.
+    /// Server that advertised the limit.
     #[n(0)]
     pub instance: InstanceName,
-    /// When its incarnation started.
+    /// Start time of the server's incarnation.
     #[n(1)]
     pub started: StartTime,
-    /// Orders what is told of one server; the highest holds.
+    /// Sequence number among the updates about one server; the highest takes precedence.
     #[n(2)]
     pub sequence: u64,
-    /// Requests a second; the latest ones stated if it states none any more.
+    /// Limit, in requests per second; the last advertised value if `is_over`.
     #[n(3)]
     pub per_second: f64,
-    /// Whether it states a limit no longer.
+    /// Whether the server no longer advertises a limit.
     #[n(4)]
     pub is_over: bool,
 }
 
 impl ServerLimitNews {
-    /// The incarnation that it is about.
+    /// Incarnation that advertised the limit.
     pub fn id(&self) -> InstanceId {
         InstanceId::started_at(self.instance.clone(), self.started)
     }
 }
 
-/// What a charge came to.
+/// Result of a charge.
 #[derive(Clone, Copy, Debug, PartialEq, Encode, Decode)]
 pub struct ChargeAnswer {
-    /// Time after which a request that is over its limit has a chance, in milliseconds; `None`
-    /// for one that is within it.
+    /// Time after which a refused request may be retried, in milliseconds; `None` if the request is
+    /// within the limit.
     #[n(0)]
     pub refused_for_ms: Option<u64>,
-    /// Units a second that were admitted of late over all routers.
+    /// Recently admitted units per second, over all routers.
     #[n(1)]
     pub fleet_per_second: f64,
 }
--- a/crates/protocol/src/message.rs
+++ b/crates/protocol/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages that daemons exchange after the handshake.
+//! Messages exchanged by daemons after the handshake.
 
 use std::net::SocketAddr;
 
@@ -19,98 +19,98 @@
 pub use crate::notices::ServerNoticeNews;
 pub use crate::push::{Push, SettingsDelta};
 
-/// Encodes a message; encoding into memory can't fail.
+/// Encodes `value` as CBOR.
 pub fn encode<T: Encode<()>>(value: &T) -> Vec<u8> {
     let mut bytes = Vec::new();
     if let Err(error) = minicbor::encode(value, &mut bytes) {
-        unreachable!("a vector takes every byte: {error}");
+        unreachable!("encoding into a vector failed: {error}");
     }
     bytes
 }
 
-/// Everything that travels in one frame.
+/// Payload of one frame.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum Message {
-    /// A message of the agreement protocol, between control replicas only.
+    /// Consensus message between control replicas.
     #[n(0)]
     Consensus {
-        /// Encoded by the consensus crate.
+        /// Message as encoded by the consensus crate.
         #[cbor(n(0), with = "minicbor::bytes")]
         payload: Vec<u8>,
     },
-    /// A call that expects one [`Message::Reply`] with the same number.
+    /// Call, answered by one [`Message::Reply`] with the same call number.
     #[n(1)]
     Request {
-        /// Chosen by the caller, unique on its connection.
+        /// Call number, assigned by the caller and unique on the connection.
         #[n(0)]
         call: u64,
-        /// What is asked.
+        /// Operation and its arguments.
         #[n(1)]
         request: Request,
     },
-    /// The answer to a request.
+    /// Answer to a [`Message::Request`].
     #[n(2)]
     Reply {
-        /// Number of the request.
+        /// Call number of the request.
         #[n(0)]
         call: u64,
-        /// The answer.
+        /// Result of the call.
         #[n(1)]
         reply: Reply,
     },
-    /// Sent without being asked, on a connection that subscribed.
+    /// Message from a control replica to a subscriber.
     #[n(3)]
     Push(#[n(0)] Push),
-    /// Router to control: what the other routers should know.
+    /// Router to control: update for the other routers.
     #[n(5)]
     RouterNews(#[n(0)] RouterNews),
-    /// Control to control, and to the routers that asked for it: what several routers told.
+    /// Control to control, and control to subscribed routers: updates from several routers.
     #[n(6)]
     RelayedNews(#[n(0)] Vec<RelayedNews>),
-    /// A message of a kind that this build doesn't know, from a later one. It is passed over; a
-    /// call is refused. It is never sent, and its number never used.
+    /// Message of a kind that only later builds know; decoded, but never sent. Receivers ignore
+    /// the message, or refuse the call if it is one. Index 255 stays reserved for this variant.
     #[n(255)]
     Unknown {
-        /// The number of the call, if it is one.
+        /// Call number, if the message is a call.
         #[n(0)]
         call: Option<u64>,
     },
 }
 
-/// Number of [`Message::Request`] on the wire.
-const REQUEST_NUMBER: u32 = 1;
+/// Variant index of [`Message::Request`] on the wire.
+const REQUEST_INDEX: u32 = 1;
 
-/// Reads a message. One that is whole but of a kind that this build doesn't know is
-/// [`Message::Unknown`]: while daemons are replaced one after the other, earlier and later builds
-/// talk to each other.
+/// Decodes a message. A well-formed message of an unknown kind becomes [`Message::Unknown`],
+/// because earlier and later builds talk to each other during a rolling upgrade.
 ///
 /// # Errors
-/// Fails when the bytes are no whole message of any kind.
-pub fn read_message(payload: &[u8]) -> Result<Message, DecodeError> {
+/// Fails if the payload isn't a well-formed message.
+pub fn decode_message(payload: &[u8]) -> Result<Message, DecodeError> {
     match minicbor::decode(payload) {
         Ok(message) => Ok(message),
-        Err(error) => read_unknown(payload).map_err(|_| error),
+        Err(error) => decode_unknown(payload).map_err(|_| error),
     }
 }
 
-/// Reads what every message has: its number and its fields, all of them well formed.
-fn read_unknown(payload: &[u8]) -> Result<Message, DecodeError> {
-    let mut whole = Decoder::new(payload);
-    whole.skip()?;
+/// Decodes the parts common to all messages: the variant index and, for a call, its number.
+/// Fields must be well formed.
+fn decode_unknown(payload: &[u8]) -> Result<Message, DecodeError> {
+    let mut skipping = Decoder::new(payload);
+    skipping.skip()?;
     let mut decoder = Decoder::new(payload);
-    let is_message = decoder.array()? == Some(2) && whole.position() == payload.len();
-    let number = decoder.u32()?;
+    let is_message = decoder.array()? == Some(2) && skipping.position() == payload.len();
+    let index = decoder.u32()?;
     let fields = decoder.array()?;
     if !is_message {
-        return Err(DecodeError::message("no message"));
+        return Err(DecodeError::message("payload is not a message"));
     }
-    let is_call = number == REQUEST_NUMBER && fields.is_some_and(|fields| fields > 0);
+    let is_call = index == REQUEST_INDEX && fields.is_some_and(|fields| fields > 0);
     let call = if is_call { Some(decoder.u64()?) } else { None };
     Ok(Message::Unknown { call })
 }
 
 impl Message {
-    /// Whether the message is part of looking up one caller's prompt.
+    /// Whether the message is a prefix lookup for a caller's prompt, or the reply to one.
     pub fn is_lookup(&self) -> bool {
         matches!(
             self,
@@ -123,134 +123,132 @@
 /// Calls between daemons.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum Request {
-    /// Router to control: push every settings change after `from` on this connection.
-    /// The reply is [`Reply::Subscribed`], then pushes follow.
+    /// Router to control: subscribe this connection to settings changes after `from`.
+    /// The reply is [`Reply::Subscribed`]; pushes follow.
     #[n(0)]
     Subscribe {
-        /// The revision the router has in force, or zero.
+        /// Revision in force on the router; zero if none.
         #[n(0)]
         from: Revision,
     },
-    /// Router to control: the latest revision, confirmed by a quorum at the time of the call.
+    /// Router to control: get the latest revision, confirmed by a quorum during the call.
     #[n(1)]
     ConfirmedRevision,
-    /// Router to control: `revision` is in force on the sender now.
+    /// Router to control: report the revision that the sender has applied.
     #[n(2)]
     InForce {
-        /// The revision.
+        /// Applied revision.
         #[n(0)]
         revision: Revision,
     },
-    /// Router to control: claim the right to run a request once.
+    /// Router to control: claim the right to execute an at-most-once request.
     #[n(3)]
     Claim {
-        /// Whose request it is.
+        /// Tenant that sent the request.
         #[n(0)]
         tenant: TenantName,
-        /// The caller's idempotency key.
+        /// Idempotency key from the caller.
         #[n(1)]
         key: ClaimKey,
-        /// Hash of the request, so that a key reused for another request is noticed.
+        /// Hash of the request, to detect a key reused for another request.
         #[n(2)]
         fingerprint: BlockHash,
-        /// Drawn by the router for this attempt; a claim resent after a lost answer keeps it.
+        /// Random identifier of the attempt; the same when a claim is resent after a lost reply.
         #[n(3)]
         attempt: u64,
     },
-    /// Router to control: keep the outcome of a claimed request.
+    /// Router to control: record the outcome of a claimed request.
     #[n(4)]
     Settle {
-        /// Whose request it is.
+        /// Tenant that sent the request.
         #[n(0)]
         tenant: TenantName,
-        /// The key it was claimed under.
+        /// Idempotency key of the claim.
         #[n(1)]
         key: ClaimKey,
-        /// The attempt that ran it.
+        /// Attempt that executed the request.
         #[n(2)]
         attempt: u64,
-        /// What came of it.
+        /// Outcome of the attempt.
         #[n(3)]
         outcome: ClaimOutcome,
     },
-    /// Router to router: which engines hold these checkpoints of a prompt.
+    /// Router to router: look up the engines that have these prompt checkpoints cached.
     #[n(6)]
     Lookup {
-        /// Keys that the receiver owns.
+        /// Checkpoint keys owned by the receiver.
         #[n(0)]
         keys: KeyList,
     },
-    /// Router to router: news of the engines that the sender follows.
+    /// Router to router: cache updates of the engines that the sender follows.
     #[n(7)]
     Share {
-        /// The sender's life, which its streams of updates belong to.
+        /// Incarnation of the sending router; update sequences restart with each.
         #[n(0)]
         life: Incarnation,
-        /// The news.
+        /// Updates by engine.
         #[n(1)]
         news: ShareMessage,
     },
-    /// Router to control: which nodes exist, and who leads.
+    /// Router to control: list the nodes and the leader.
     #[n(8)]
     Members,
-    /// Control to control: propose a command in the sender's name.
+    /// Control to control: propose a command on behalf of the sender.
     #[n(9)]
     Propose {
-        /// Encoded by the control-state crate.
+        /// Command as encoded by the control-state crate.
         #[cbor(n(0), with = "minicbor::bytes")]
         command: Vec<u8>,
     },
-    /// To control: push what the fleet of generic services agrees on, and the
-    /// servers that the replica hears of. The reply is [`Reply::Done`], then
-    /// pushes follow.
+    /// To control: subscribe to the replicated fleet state of generic services and to the servers
+    /// that this replica observes. The reply is [`Reply::Done`]; pushes follow.
     #[n(10)]
     Follow,
-    /// To control: the configuration of generic services, if its version is above `above`.
+    /// To control: get the configuration of generic services if its version is above `above`.
     #[n(11)]
     Catalog {
-        /// The version that the sender has.
+        /// Version that the sender has.
         #[n(0)]
         above: u64,
     },
-    /// To control: how current the replica is. The sender counts from when it
-    /// asked, so an answer that was held up on its way vouches for no more than
-    /// it should.
+    /// To control: get the age of the replica's last quorum confirmation. The sender measures the
+    /// age from when it sent the request, so a delayed reply can't make the state look fresher.
     #[n(12)]
     Confirm,
-    /// Router to control: pass on to this connection what other routers tell, or no
-    /// longer. A router asks one replica for it, so that nothing comes twice.
+    /// Router to control: start or stop relaying updates of other routers on this connection. A
+    /// router subscribes to one replica only, to avoid duplicates.
     #[n(13)]
     ListenToRouters {
-        /// Whether it is wanted from now on.
+        /// Whether to relay updates from now on.
         #[n(0)]
         wanted: bool,
     },
-    /// Router to control: count a request against a limit. The reply is
-    /// [`Reply::Charged`], or a refusal of a replica that no quorum has lately confirmed.
+    /// Router to control: charge a request against a limit. The reply is [`Reply::Charged`]; a
+    /// replica without a recent quorum confirmation refuses.
     #[n(14)]
     Charge(#[n(0)] LimitCharge),
-    /// Router to control: no server has run a request that was counted.
+    /// Router to control: refund the units of a charged request that no server executed.
     #[n(15)]
     GiveBack {
-        /// Whose limit it is, as in the charge.
+        /// Account of the charge.
         #[n(0)]
         account: String,
-        /// Units that were counted.
+        /// Units to refund.
         #[n(1)]
         units: f64,
     },
-    /// Router to control: record that a request is sent to no server any more.
+    /// Router to control: quarantine a request, so that no router dispatches it.
     #[n(16)]
     Quarantine(#[n(0)] QuarantineCall),
-    /// Router to control: a request in quarantine has ended well and may be sent again.
+    /// Router to control: release a quarantined request that has completed normally.
     #[n(17)]
     Release(#[n(0)] RequestFingerprint),
-    /// To control: push what the fleet of generic services agrees on, and what all replicas
-    /// together know of servers, as far as this one has heard. It takes the place of
-    /// [`Request::Follow`] on its connection. The reply is [`Reply::Done`], then pushes follow.
+    /// To control: subscribe to the replicated fleet state of generic services and to the servers
+    /// observed by any replica, as far as known to this one. Replaces [`Request::Follow`] on the
+    /// connection. The reply is [`Reply::Done`]; pushes follow.
     #[n(18)]
     FollowFleet {
-        /// Whether servers are wanted: who follows several replicas hears of servers from one.
+        /// Whether to push servers; a subscriber of several replicas asks only one of them.
         #[n(0)]
         servers: bool,
     },
@@ -259,131 +257,130 @@
 /// Answers to [`Request`]s.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum Reply {
-    /// Done; nothing to tell.
+    /// The call succeeded and has no result.
     #[n(0)]
     Done,
-    /// The call was not carried out.
+    /// The call was refused.
     #[n(1)]
     Refused(#[n(0)] Refusal),
-    /// The subscription stands.
+    /// The subscription is active.
     #[n(2)]
     Subscribed {
-        /// Latest revision the replica has committed.
+        /// Latest revision committed on the replica.
         #[n(0)]
         committed: Revision,
     },
-    /// A revision confirmed by a quorum.
+    /// Latest revision, confirmed by a quorum.
     #[n(3)]
     ConfirmedRevision {
-        /// The revision.
+        /// Confirmed revision.
         #[n(0)]
         revision: Revision,
     },
-    /// What a claim came to.
+    /// Result of a claim.
     #[n(4)]
     Claim(#[n(0)] ClaimAnswer),
-    /// The holders of each checkpoint asked for, in the order of the keys.
+    /// Engines that have each checkpoint cached, in the order of the keys.
     #[n(5)]
     Holders {
-        /// Holders by checkpoint.
+        /// Engines by checkpoint.
         #[n(0)]
         checkpoints: Vec<CheckpointHolders>,
     },
-    /// The nodes that the replica knows.
+    /// Nodes known to the replica.
     #[n(6)]
     Members {
-        /// The leader, if the replica knows one.
+        /// Current leader, if known.
         #[n(0)]
         leader: Option<NodeId>,
-        /// Every node heard from lately.
+        /// Nodes that contacted the replica recently.
         #[n(1)]
         members: Vec<Member>,
     },
-    /// What a proposed command came to.
+    /// Result of a proposed command.
     #[n(7)]
     Applied {
-        /// Encoded by the control-state crate.
+        /// Result as encoded by the control-state crate.
         #[cbor(n(0), with = "minicbor::bytes")]
         answer: Vec<u8>,
     },
-    /// The configuration of generic services; `None` if there is none above the
-    /// version asked for.
+    /// Configuration of generic services; `None` if no version is above the requested one.
     #[n(9)]
     Catalog(#[n(0)] Option<CatalogBody>),
-    /// How current the replica is.
+    /// Freshness of the replica's state.
     #[n(10)]
     Confirmed {
-        /// Milliseconds since a quorum last confirmed that the replica was current.
+        /// Time since a quorum last confirmed that the replica was current, in milliseconds.
         #[n(0)]
         age_ms: u64,
-        /// Log position of the latest change of the fleet that it has applied.
+        /// Log position of the latest fleet change that the replica has applied.
         #[n(1)]
         revision: u64,
-        /// Routers that follow it.
+        /// Number of routers subscribed to the replica.
         #[n(2)]
         routers: u32,
     },
-    /// What a charge came to.
+    /// Result of a charge.
     #[n(11)]
     Charged(#[n(0)] ChargeAnswer),
-    /// News were taken in.
+    /// Cache updates were applied.
     #[n(8)]
     Shared {
-        /// Engines whose updates have a gap; the sender has to send everything.
+        /// Engines with a gap in their updates, for which the sender must send a full state.
         #[n(0)]
         in_doubt: Vec<EngineId>,
     },
 }
 
-/// A node as the control replicas see it.
+/// Node as known to a control replica.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 #[cbor(map)]
 pub struct Member {
-    /// The node.
+    /// Node identifier.
     #[n(0)]
     pub node: NodeId,
-    /// Its zone.
+    /// Zone of the node.
     #[n(1)]
     pub zone: ZoneName,
-    /// Where other daemons reach it.
+    /// Address of the node's internal API.
     #[cbor(n(2), with = "juniper_settings::address")]
     pub internal: SocketAddr,
-    /// The revision it said it has in force.
+    /// Revision that the node last reported as applied.
     #[n(3)]
     pub in_force: Revision,
-    /// Milliseconds since the replica last heard from it.
+    /// Time since the node last contacted the replica, in milliseconds.
     #[n(4)]
     pub silent_ms: u64,
 }
 
-/// Why a call was not carried out. Unless it says otherwise, nothing was changed.
+/// Reason for refusing a call. The call had no effect unless the variant says otherwise.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, thiserror::Error)]
 pub enum Refusal {
-    /// The replica doesn't lead; the caller should ask `leader`.
+    /// The replica isn't the leader; the caller should retry with `leader`.
     #[n(0)]
     #[error("this replica does not lead")]
     NotLeader {
-        /// The leader, if known.
+        /// Current leader, if known.
         #[n(0)]
         leader: Option<NodeId>,
     },
-    /// No quorum answered in time; nothing is known to have been recorded.
+    /// No quorum answered in time; the call isn't known to have taken effect.
     #[n(1)]
     #[error("no quorum")]
     NoQuorum,
-    /// Whether the call took effect is unknown; asking again with the same ids is safe.
+    /// The call may have taken effect; a retry with the same identifiers is safe.
     #[n(2)]
     #[error("the outcome is unknown")]
     Unknown,
-    /// Too many calls at once; come back after the given time.
+    /// Too many concurrent calls; the caller should retry after the given time.
     #[n(3)]
     #[error("overloaded, retry after {retry_after_ms} ms")]
     Overloaded {
-        /// When to come back, in milliseconds.
+        /// Time before a retry, in milliseconds.
         #[n(0)]
         retry_after_ms: u64,
     },
-    /// The peer's role may not make this call.
+    /// The call is not allowed for the peer's role.
     #[n(4)]
     #[error("not allowed for this role")]
     NotAllowed,
--- a/crates/protocol/src/notices.rs
+++ b/crates/protocol/src/notices.rs
@@ -1,34 +1,34 @@
-//! What routers tell each other of servers that asked them for something.
+//! Reports of servers that requested a backoff or announced their departure.
 
 use std::time::Duration;
 
 use juniper_registry::{InstanceId, InstanceName, StartTime};
 use minicbor::{Decode, Encode};
 
-/// What an answer of a server asked of the router that tells it.
+/// Backoff or departure that a server requested in an answer to the reporting router.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ServerNoticeNews {
-    /// The server.
+    /// Server that sent the answer.
     #[n(0)]
     pub instance: InstanceName,
-    /// When its incarnation started.
+    /// Start time of the server's incarnation.
     #[n(1)]
     pub started: StartTime,
-    /// Time for which it wants nothing from that router, in milliseconds; zero for no such wish.
+    /// Requested backoff of the reporting router, in milliseconds; zero for none.
     #[n(2)]
     pub pause_ms: u64,
-    /// Whether it leaves, which holds for every router.
+    /// Whether the server is departing, which concerns all routers.
     #[n(3)]
     pub is_leaving: bool,
 }
 
 impl ServerNoticeNews {
-    /// The incarnation that it is about.
+    /// Incarnation that sent the answer.
     pub fn id(&self) -> InstanceId {
         InstanceId::started_at(self.instance.clone(), self.started)
     }
 
-    /// Time for which the server wants nothing from the router that tells it.
+    /// Requested backoff of the reporting router; zero for none.
     pub fn pause(&self) -> Duration {
         Duration::from_millis(self.pause_ms)
     }
--- a/crates/protocol/src/push.rs
+++ b/crates/protocol/src/push.rs
@@ -1,4 +1,4 @@
-//! What a replica tells without being asked.
+//! Messages pushed by control replicas to subscribers.
 
 use juniper_registry::{HeardInstance, InstanceName};
 use juniper_settings::{ChangeSet, SettingsTree};
@@ -7,62 +7,64 @@
 
 use crate::fleet::{FleetNews, RenewalNews};
 
-/// Messages that nobody asked for.
+/// Message pushed to a subscriber.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum Push {
-    /// The next accepted change.
+    /// Next accepted change of the settings.
     #[n(0)]
     Delta(#[n(0)] SettingsDelta),
-    /// The whole tree, for a node that has fallen too far behind.
+    /// Complete settings tree, for a subscriber that has fallen too far behind.
     #[n(1)]
     Snapshot {
         /// Revision of the tree.
         #[n(0)]
         revision: Revision,
-        /// The tree.
+        /// Settings at that revision.
         #[n(1)]
         tree: SettingsTree,
     },
-    /// Sent at a steady pace so that silence can be told from a quiet tree.
+    /// Heartbeat, sent at a fixed interval, which distinguishes a lost replica from unchanged
+    /// settings.
     #[n(2)]
     Alive {
         /// Latest revision committed on the replica.
         #[n(0)]
         committed: Revision,
-        /// Milliseconds since a quorum last confirmed that the replica is current.
+        /// Time since a quorum last confirmed that the replica is current, in milliseconds.
         #[n(1)]
         confirmed_ms: u64,
     },
-    /// What the fleet of generic services agrees on has changed.
+    /// Change of the replicated fleet state of generic services.
     #[n(3)]
     Fleet(#[n(0)] FleetNews),
-    /// Servers that the replica has heard of.
+    /// Servers observed by the control replicas.
     #[n(4)]
     Instances {
-        /// The servers.
+        /// Observed servers.
         #[n(0)]
         heard: Vec<HeardInstance>,
-        /// Whether these are all that the replica knows.
+        /// Whether `heard` lists all servers that the replica knows.
         #[n(1)]
         whole: bool,
-        /// Servers that aren't there any more; told only to who asked for [`FollowFleet`](crate::message::Request::FollowFleet).
+        /// Servers that no longer exist; sent only to subscribers of
+        /// [`FollowFleet`](crate::message::Request::FollowFleet).
         #[n(2)]
         #[cbor(default)]
         gone: Vec<InstanceName>,
     },
-    /// Servers that the one who gives orders is renewing: all of them, then what changes.
+    /// Servers that the order dispatcher is renewing: first all of them, then changes.
     #[n(5)]
     Renewals(#[n(0)] RenewalNews),
 }
 
-/// One accepted change of the tree.
+/// Accepted change of the settings tree.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 #[cbor(map)]
 pub struct SettingsDelta {
-    /// The revision that the change makes; its predecessor must be in force already.
+    /// Revision produced by the change, which applies to the revision before it.
     #[n(0)]
     pub revision: Revision,
-    /// The edits.
+    /// Edits of the settings tree.
     #[n(1)]
     pub change: ChangeSet,
 }
--- a/crates/protocol/tests/calls.rs
+++ b/crates/protocol/tests/calls.rs
@@ -1,4 +1,4 @@
-//! Calls and replies over connections that are replaced.
+//! Calls and replies across reconnects.
 
 use std::sync::{Arc, Mutex};
 
@@ -19,8 +19,8 @@
     PeerIdentity { node: NodeId(number), role: PeerRole::Control, zone }
 }
 
-/// Both ends of a connection.
-async fn pair() -> (Connection, Connection) {
+/// Opens a connection and returns both ends.
+async fn connected_pair() -> (Connection, Connection) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("bound");
     let far = async {
@@ -32,24 +32,24 @@
     tokio::join!(near, far)
 }
 
-/// Uses a new connection; everything read from it, to its end, is returned once the far
-/// end has written `messages` and closed.
-async fn read_all(calls: &mut OpenCalls, messages: &[Message]) -> Vec<IncomingFrame> {
-    let (near, far) = pair().await;
+/// Switches `calls` to a new connection whose far end sends `messages` and closes. Returns all
+/// events of the connection.
+async fn events_of_connection(calls: &mut OpenCalls, messages: &[Message]) -> Vec<IncomingFrame> {
+    let (near, far) = connected_pair().await;
     let reader = calls.connected(near);
-    write_all(far.writer, messages).await;
-    let seen = Arc::new(Mutex::new(Vec::new()));
+    send_all(far.writer, messages).await;
+    let events = Arc::new(Mutex::new(Vec::new()));
     let deliver = async |incoming| {
-        seen.lock().expect("not poisoned").push(incoming);
+        events.lock().expect("not poisoned").push(incoming);
         true
     };
     reader.run(deliver).await;
-    Arc::into_inner(seen).expect("one owner").into_inner().expect("not poisoned")
+    Arc::into_inner(events).expect("one owner").into_inner().expect("not poisoned")
 }
 
-async fn write_all(mut writer: FrameWriter, messages: &[Message]) {
+async fn send_all(mut writer: FrameWriter, messages: &[Message]) {
     for message in messages {
-        writer.send(message).await.expect("written");
+        writer.send(message).await.expect("send the message");
     }
 }
 
@@ -58,14 +58,14 @@
 }
 
 #[tokio::test]
-async fn replies_reach_their_calls_in_any_order() {
+async fn replies_in_any_order_reach_their_calls() {
     let mut calls = OpenCalls::default();
     let (first, mut first_reply) = oneshot::channel();
     let (second, mut second_reply) = oneshot::channel();
     let _ = calls.begin(Request::ConfirmedRevision, first);
     let _ = calls.begin(Request::ConfirmedRevision, second);
-    let read = read_all(&mut calls, &[reply(2), reply(9)]).await;
-    let ended: Vec<bool> = read.into_iter().map(|incoming| calls.take(incoming)).collect();
+    let events = events_of_connection(&mut calls, &[reply(2), reply(9)]).await;
+    let ended: Vec<bool> = events.into_iter().map(|incoming| calls.take(incoming)).collect();
     assert_eq!(ended, [false, false, true]);
     assert_eq!(second_reply.try_recv().expect("a reply"), Ok(Reply::Done));
     calls.disconnect();
@@ -74,16 +74,19 @@
 }
 
 #[tokio::test]
-async fn what_an_earlier_connection_delivers_late_is_dropped() {
+async fn late_events_of_an_earlier_connection_are_dropped() {
     let mut calls = OpenCalls::default();
-    let late = read_all(&mut calls, &[reply(1)]).await;
+    let late = events_of_connection(&mut calls, &[reply(1)]).await;
     calls.disconnect();
     let (answer, mut outcome) = oneshot::channel();
     let _ = calls.begin(Request::ConfirmedRevision, answer);
-    let current = read_all(&mut calls, &[]).await;
+    let current = events_of_connection(&mut calls, &[]).await;
     for incoming in late {
-        assert!(!calls.take(incoming), "the end of another connection");
+        assert!(
+            !calls.take(incoming),
+            "end of an earlier connection was taken for the current one"
+        );
     }
-    assert!(outcome.try_recv().is_err(), "a reply to another call");
+    assert!(outcome.try_recv().is_err(), "reply on an earlier connection reached a later call");
     assert!(current.into_iter().any(|incoming| calls.take(incoming)));
 }
--- a/crates/protocol/tests/hostile.rs
+++ b/crates/protocol/tests/hostile.rs
@@ -1,4 +1,4 @@
-//! Bytes from outside: frames, messages, datagrams and greetings that nobody should send.
+//! Malformed and forged input: frames, messages, datagrams and greetings.
 
 use juniper_protocol::datagram::{open, seal};
 use juniper_protocol::frame::{FrameError, MAX_FRAME_BYTES, read_frame, write_frame};
@@ -21,13 +21,13 @@
     QuickCheck::new().rng(generator).tests(CASES).quickcheck(property);
 }
 
-fn run<F: Future>(future: F) -> F::Output {
+fn block_on<F: Future>(future: F) -> F::Output {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     runtime.expect("a runtime").block_on(future)
 }
 
-/// One message of each shape that carries names, numbers, bytes and trees.
-fn messages() -> Vec<Message> {
+/// Messages that between them carry names, numbers, bytes and trees.
+fn sample_messages() -> Vec<Message> {
     let tenant = TenantName::new("acme").expect("a name");
     let key = ClaimKey::new(100, "key").expect("a key");
     let outcome = ClaimOutcome {
@@ -46,30 +46,31 @@
     ]
 }
 
-fn damage(mut bytes: Vec<u8>, changes: &[(u16, u8)], cut: u16) -> Vec<u8> {
-    for (place, byte) in changes {
-        let place = usize::from(*place) % bytes.len();
-        bytes[place] = *byte;
+/// Overwrites single bytes and removes up to `truncated` bytes at the end.
+fn corrupt(mut bytes: Vec<u8>, changes: &[(u16, u8)], truncated: u16) -> Vec<u8> {
+    for (position, byte) in changes {
+        let position = usize::from(*position) % bytes.len();
+        bytes[position] = *byte;
     }
-    bytes.truncate(bytes.len() - usize::from(cut) % bytes.len());
+    bytes.truncate(bytes.len() - usize::from(truncated) % bytes.len());
     bytes
 }
 
 #[test]
-fn whole_messages_read_back() {
-    for message in messages() {
+fn messages_survive_encoding_and_decoding() {
+    for message in sample_messages() {
         let decoded: Message = minicbor::decode(&encode(&message)).expect("a message");
         assert_eq!(decoded, message);
     }
 }
 
 #[test]
-fn damaged_messages_are_read_or_refused_but_never_panic() {
-    fn property(kind: usize, changes: Vec<(u16, u8)>, cut: u16) -> bool {
-        let all = messages();
-        let bytes = damage(encode(&all[kind % all.len()]), &changes, cut);
+fn decoding_corrupt_messages_never_panics() {
+    fn property(kind: usize, changes: Vec<(u16, u8)>, truncated: u16) -> bool {
+        let all = sample_messages();
+        let bytes = corrupt(encode(&all[kind % all.len()]), &changes, truncated);
         match minicbor::decode::<Message>(&bytes) {
-            // What was read can be sent on, and is no larger than what came.
+            // A decoded message can be encoded again without growing much.
             Ok(message) => encode(&message).len() <= bytes.len().max(1) * 2,
             Err(_) => true,
         }
@@ -78,9 +79,9 @@
 }
 
 #[test]
-fn random_bytes_are_no_frames_and_cost_no_memory() {
+fn random_bytes_cause_no_large_allocations() {
     fn property(bytes: Vec<u8>) -> bool {
-        run(async {
+        block_on(async {
             let mut source = bytes.as_slice();
             while let Ok(payload) = read_frame(&mut source).await {
                 if payload.capacity() > bytes.len().max(64 << 10) {
@@ -94,24 +95,24 @@
 }
 
 #[test]
-fn a_frame_that_promises_more_than_it_brings_is_refused() {
-    let promised = u32::try_from(MAX_FRAME_BYTES).expect("fits").to_be_bytes();
-    let mut bytes = promised.to_vec();
+fn truncated_and_oversized_frames_are_rejected() {
+    let length = u32::try_from(MAX_FRAME_BYTES).expect("fits").to_be_bytes();
+    let mut bytes = length.to_vec();
     bytes.extend_from_slice(&[1, 0, 0]);
-    let refused = run(read_frame(&mut bytes.as_slice()));
-    assert!(matches!(refused, Err(FrameError::Io(_))), "{refused:?}");
+    let result = block_on(read_frame(&mut bytes.as_slice()));
+    assert!(matches!(result, Err(FrameError::Io(_))), "{result:?}");
     let too_long = (u32::MAX).to_be_bytes();
-    let refused = run(read_frame(&mut [too_long.as_slice(), &[1]].concat().as_slice()));
-    assert!(matches!(refused, Err(FrameError::TooLong(_))), "{refused:?}");
+    let result = block_on(read_frame(&mut [too_long.as_slice(), &[1]].concat().as_slice()));
+    assert!(matches!(result, Err(FrameError::TooLong(_))), "{result:?}");
 }
 
 #[test]
-fn frames_read_back_however_many_follow_each_other() {
+fn consecutive_frames_survive_writing_and_reading() {
     fn property(payloads: Vec<Vec<u8>>) -> bool {
-        run(async {
+        block_on(async {
             let mut bytes = Vec::new();
             for payload in &payloads {
-                write_frame(&mut bytes, payload).await.expect("writing to memory");
+                write_frame(&mut bytes, payload).await.expect("write to memory");
             }
             let mut source = bytes.as_slice();
             for payload in &payloads {
@@ -130,13 +131,13 @@
 }
 
 #[test]
-fn no_changed_datagram_is_taken() {
-    fn property(payload: Vec<u8>, place: usize, flip: u8) -> bool {
+fn modified_datagrams_are_rejected() {
+    fn property(payload: Vec<u8>, position: usize, flip: u8) -> bool {
         let key = key("a key that daemons share");
         let sealed = seal(&key, &payload).expect("short enough");
         let mut changed = sealed.clone();
-        let place = place % changed.len();
-        changed[place] ^= flip.max(1);
+        let position = position % changed.len();
+        changed[position] ^= flip.max(1);
         open(&key, &sealed) == Ok(payload.as_slice()) && open(&key, &changed).is_err()
     }
     check(property as fn(Vec<u8>, usize, u8) -> bool);
@@ -148,22 +149,25 @@
 }
 
 #[test]
-fn nobody_gets_in_without_the_key() {
+fn peers_without_the_cluster_key_are_rejected() {
     fn property(noise: Vec<u8>) -> bool {
-        run(async {
+        block_on(async {
             let (mut near, mut far) = tokio::io::duplex(64 << 10);
-            far.write_all(&noise).await.expect("room");
+            far.write_all(&noise).await.expect("write to memory");
             drop(far);
             as_acceptor(&mut near, &key("a key that daemons share"), &identity(1)).await.is_err()
         })
     }
     check(property as fn(Vec<u8>) -> bool);
-    run(async {
+    block_on(async {
         let (mut near, mut far) = tokio::io::duplex(64 << 10);
-        let (own, other) = (key("a key that daemons share"), key("another key, equally long"));
+        let (own_key, other_key) =
+            (key("a key that daemons share"), key("another key, equally long"));
         let (one, two) = (identity(1), identity(2));
-        let (accepted, connected) =
-            tokio::join!(as_acceptor(&mut near, &own, &one), as_connector(&mut far, &other, &two),);
+        let (accepted, connected) = tokio::join!(
+            as_acceptor(&mut near, &own_key, &one),
+            as_connector(&mut far, &other_key, &two),
+        );
         assert!(accepted.is_err() && connected.is_err());
     });
 }
