--- a/crates/gateway/src/news.rs
+++ b/crates/gateway/src/news.rs
@@ -7,7 +7,7 @@
 use juniper_feed::RelayedBatch;
 use juniper_placement::{ChainSighting, Choice, Placement, Reporter, SightingBudget, ToldRequest};
 use juniper_protocol::message::{
-    Reachability, RelayedNews, RouterNews, ServerLimitNews, ServerNoticeNews, Sighting,
+    DispatchReport, Reachability, RelayedNews, RouterNews, ServerLimitNews, ServerNoticeNews,
 };
 use juniper_registry::{InstanceId, StartTime};
 use juniper_types::{NodeId, Timestamp};
@@ -192,10 +192,10 @@
     }
 }
 
-fn message(sighting: ChainSighting, number: u16) -> Sighting {
+fn message(sighting: ChainSighting, number: u16) -> DispatchReport {
     let ChainSighting { instance, version, keys, part_tokens, own_tokens, tokens, read_tokens } =
         sighting;
-    Sighting {
+    DispatchReport {
         instance: instance.name().clone(),
         version,
         chains: keys,
@@ -207,7 +207,7 @@
     }
 }
 
-fn read(sighting: &Sighting) -> ChainSighting {
+fn read(sighting: &DispatchReport) -> ChainSighting {
     ChainSighting {
         instance: InstanceId::started_at(sighting.instance.clone(), StartTime::UNKNOWN),
         version: sighting.version,
--- a/crates/protocol/src/fleet.rs
+++ b/crates/protocol/src/fleet.rs
@@ -14,7 +14,7 @@
 /// The server's incarnation is left out to keep the report small: there are thousands a second, and
 /// one attributed to a later incarnation costs no more than a cache miss.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct Sighting {
+pub struct DispatchReport {
     /// Server that the request was dispatched to.
     #[n(0)]
     pub instance: InstanceName,
@@ -166,7 +166,7 @@
 pub struct RouterNews {
     /// Requests that the router dispatched.
     #[n(0)]
-    pub sightings: Vec<Sighting>,
+    pub sightings: Vec<DispatchReport>,
     /// Servers that became unreachable from the router or reachable again.
     #[n(1)]
     pub reachability: Vec<Reachability>,
--- a/crates/protocol/src/message.rs
+++ b/crates/protocol/src/message.rs
@@ -12,8 +12,8 @@
 use minicbor::{Decode, Decoder, Encode};
 
 pub use crate::fleet::{
-    CatalogBody, Cleared, Crash, CrashNews, FleetNews, KnownVersion, QuarantineCall,
-    QuarantineNews, Reachability, RelayedNews, RenewalNews, RouterNews, Sighting,
+    CatalogBody, Cleared, Crash, CrashNews, DispatchReport, FleetNews, KnownVersion,
+    QuarantineCall, QuarantineNews, Reachability, RelayedNews, RenewalNews, RouterNews,
 };
 pub use crate::limits::{ChargeAnswer, LimitCharge, ServerLimitNews, server_account};
 pub use crate::notices::ServerNoticeNews;
--- a/crates/protocol/tests/sizes.rs
+++ b/crates/protocol/tests/sizes.rs
@@ -1,7 +1,7 @@
 //! Size limits of frequent messages, on which docs/CAPACITY.md relies.
 
 use juniper_protocol::message::{
-    Crash, CrashNews, RelayedNews, RouterNews, ServerNoticeNews, Sighting, encode,
+    Crash, CrashNews, DispatchReport, RelayedNews, RouterNews, ServerNoticeNews, encode,
 };
 use juniper_protocol::{Message, Reply, Request};
 use juniper_registry::{InstanceName, StartTime};
@@ -25,7 +25,7 @@
 
 #[test]
 fn dispatch_report_size() {
-    let report = |number: u64| Sighting {
+    let report = |number: u64| DispatchReport {
         instance: InstanceName::new("i-0123456789"),
         version: 12,
         chains: vec![u64::MAX - number; 2],
@@ -70,7 +70,7 @@
     encoder.array(5).expect("memory").str(instance).expect("memory");
     encoder.u64(version).expect("memory").encode(chains).expect("memory");
     encoder.u32(tokens).expect("memory").u32(read_tokens).expect("memory");
-    let decoded: Sighting = minicbor::decode(&bytes).expect("decode");
+    let decoded: DispatchReport = minicbor::decode(&bytes).expect("decode");
     assert_eq!((decoded.chains.len(), decoded.tokens, decoded.part_tokens.len()), (2, 20_000, 0));
 }
 
@@ -125,7 +125,7 @@
     #[derive(minicbor::Decode)]
     struct EarlierUpdate {
         #[n(0)]
-        sightings: Vec<Sighting>,
+        sightings: Vec<DispatchReport>,
         #[n(3)]
         #[cbor(default)]
         ended: Vec<u16>,
