--- a/crates/control/src/internal/session.rs
+++ b/crates/control/src/internal/session.rs
@@ -169,7 +169,7 @@
                 hand_to_replica(&face, &peer, &payload).await?;
                 continue;
             }
-            Ok(Message::RouterNews(news)) if peer.identity.role == PeerRole::Router => {
+            Ok(Message::RouterUpdate(news)) if peer.identity.role == PeerRole::Router => {
                 face.relay.hear_router(&peer.identity, news);
                 continue;
             }
--- a/crates/control/src/relay.rs
+++ b/crates/control/src/relay.rs
@@ -12,7 +12,7 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-use juniper_protocol::message::{RelayedNews, RouterNews, encode};
+use juniper_protocol::message::{RelayedNews, RouterUpdate, encode};
 use juniper_protocol::{Message, PeerIdentity};
 use juniper_types::NodeId;
 use tokio::sync::{Notify, broadcast};
@@ -74,7 +74,7 @@
     }
 
     /// A router that listens here tells something.
-    pub(crate) fn hear_router(&self, from: &PeerIdentity, news: RouterNews) {
+    pub(crate) fn hear_router(&self, from: &PeerIdentity, news: RouterUpdate) {
         let told = RelayedNews { from: from.node, zone: from.zone.clone(), news };
         self.gather(vec![told], |gathered| &mut gathered.from_routers);
     }
--- a/crates/control/tests/daemons/relay.rs
+++ b/crates/control/tests/daemons/relay.rs
@@ -1,6 +1,6 @@
 //! What routers tell each other goes through one replica for each of them.
 
-use juniper_protocol::message::{Reachability, RelayedNews, RouterNews};
+use juniper_protocol::message::{Reachability, RelayedNews, RouterUpdate};
 use juniper_protocol::{Connection, Message, Push, Reply, Request, connect};
 use juniper_registry::{InstanceName, StartTime};
 use juniper_types::NodeId;
@@ -41,8 +41,8 @@
         router
     }
 
-    async fn tell(&mut self, news: RouterNews) {
-        self.0.writer.send(&Message::RouterNews(news)).await.expect("it is sent");
+    async fn tell(&mut self, news: RouterUpdate) {
+        self.0.writer.send(&Message::RouterUpdate(news)).await.expect("it is sent");
     }
 
     /// What comes within `time` and was told by a router.
@@ -62,10 +62,10 @@
     }
 }
 
-fn down(instance: &str) -> RouterNews {
+fn down(instance: &str) -> RouterUpdate {
     let instance = InstanceName::new(instance);
     let reachability = vec![Reachability { instance, reached: false, started: StartTime::UNKNOWN }];
-    RouterNews { reachability, ..RouterNews::default() }
+    RouterUpdate { reachability, ..RouterUpdate::default() }
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/crates/crash-watch/src/watch.rs
+++ b/crates/crash-watch/src/watch.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use juniper_feed::{Feed, FleetView, RelayedBatch};
-use juniper_protocol::message::{CrashNews, QuarantineCall, RelayedNews, RouterNews};
+use juniper_protocol::message::{CrashNews, QuarantineCall, RelayedNews, RouterUpdate};
 use juniper_quarantine::{
     Clearance, Counted, CrashCounts, CrashProof, CrashReport, CutRequest, CutRequests, EndedWell,
     Report, Retelling, ServerCrash,
@@ -247,7 +247,7 @@
                     Err(RecvError::Closed) => return,
                 },
                 crashes = self.outbox.next() => {
-                    let news = RouterNews { crashes: Some(crashes), ..RouterNews::default() };
+                    let news = RouterUpdate { crashes: Some(crashes), ..RouterUpdate::default() };
                     self.feed.tell(news).await;
                 }
                 // Nearly always there is nothing to keep, and no reason to wake up.
--- a/crates/feed/src/actor.rs
+++ b/crates/feed/src/actor.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use juniper_clock::BootInstant;
-use juniper_protocol::message::{CatalogBody, FleetNews, RelayedNews, RenewalNews, RouterNews};
+use juniper_protocol::message::{CatalogBody, FleetNews, RelayedNews, RenewalNews, RouterUpdate};
 use juniper_protocol::{ClusterKey, PeerIdentity};
 use juniper_registry::{HeardInstance, InstanceName};
 use juniper_types::{NodeId, Timestamp, ZoneName};
@@ -226,7 +226,7 @@
 }
 
 /// Tell the other routers.
-pub(crate) struct TellRouters(pub(crate) RouterNews);
+pub(crate) struct TellRouters(pub(crate) RouterUpdate);
 
 impl Message<TellRouters> for FeedActor {
     type Reply = ();
--- a/crates/feed/src/feed.rs
+++ b/crates/feed/src/feed.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use juniper_clock::BootInstant;
-use juniper_protocol::message::{ChargeAnswer, LimitCharge, QuarantineCall, RouterNews};
+use juniper_protocol::message::{ChargeAnswer, LimitCharge, QuarantineCall, RouterUpdate};
 use juniper_types::{NodeId, RequestFingerprint};
 use kameo::actor::{ActorRef, Spawn};
 use kameo::mailbox;
@@ -94,7 +94,7 @@
     }
 
     /// Tells the other routers.
-    pub async fn tell(&self, news: RouterNews) {
+    pub async fn tell(&self, news: RouterUpdate) {
         // A feed that has ended reaches nobody.
         let _ = self.actor.tell(TellRouters(news)).await;
     }
--- a/crates/feed/src/link.rs
+++ b/crates/feed/src/link.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use juniper_clock::BootInstant;
-use juniper_protocol::message::{QuarantineCall, RouterNews};
+use juniper_protocol::message::{QuarantineCall, RouterUpdate};
 use juniper_protocol::{
     BuildLevel, ClusterKey, Connection, FrameError, FrameReader, FrameWriter, HandshakeError,
     Message, PeerIdentity, Push, Reply, Request, connect,
@@ -88,7 +88,7 @@
     /// Ask for the configuration above this version.
     Fetch(u64),
     /// Tell the other routers.
-    Tell(RouterNews),
+    Tell(RouterUpdate),
     /// Listen to what other routers tell through this replica, or no longer.
     Listen(bool),
     /// Count a request against a limit.
@@ -222,7 +222,7 @@
 
     async fn carry_out(&mut self, command: LinkCommand) -> Result<(), LinkEnd> {
         match command {
-            LinkCommand::Tell(news) => self.write(&Message::RouterNews(news)).await,
+            LinkCommand::Tell(news) => self.write(&Message::RouterUpdate(news)).await,
             LinkCommand::Listen(wanted) => {
                 self.call(Request::ListenToRouters { wanted }).await.map(|_| ())
             }
--- a/crates/gateway/src/news.rs
+++ b/crates/gateway/src/news.rs
@@ -7,7 +7,7 @@
 use juniper_feed::RelayedBatch;
 use juniper_placement::{ChainSighting, Choice, Placement, Reporter, SightingBudget, ToldRequest};
 use juniper_protocol::message::{
-    DispatchReport, Reachability, RelayedNews, RouterNews, ServerLimitNews, ServerNoticeNews,
+    DispatchReport, Reachability, RelayedNews, RouterUpdate, ServerLimitNews, ServerNoticeNews,
 };
 use juniper_registry::{InstanceId, StartTime};
 use juniper_types::{NodeId, Timestamp};
@@ -29,7 +29,7 @@
 
 /// What the other routers haven't been told yet.
 pub(crate) struct NewsQueue {
-    news: Mutex<RouterNews>,
+    news: Mutex<RouterUpdate>,
     /// Number of the latest request that the others are told of.
     last_number: AtomicU16,
     wake: Notify,
@@ -105,7 +105,7 @@
 
     /// What waits, with the sightings that tell most, and how many of them are left out. Their ends
     /// are told all the same: who hasn't heard of a request passes over its end.
-    fn take(&self, allowed: usize) -> (RouterNews, usize) {
+    fn take(&self, allowed: usize) -> (RouterUpdate, usize) {
         let mut news = std::mem::take(&mut *lock(&self.news));
         if news.sightings.len() <= allowed {
             return (news, 0);
--- a/crates/gateway/tests/paths/pauses.rs
+++ b/crates/gateway/tests/paths/pauses.rs
@@ -14,7 +14,7 @@
 
 use std::time::{Duration, Instant};
 
-use juniper_protocol::message::{RouterNews, ServerLimitNews, ServerNoticeNews};
+use juniper_protocol::message::{RouterUpdate, ServerLimitNews, ServerNoticeNews};
 use juniper_registry::StartTime;
 use tokio::time::sleep;
 
@@ -106,7 +106,7 @@
         per_second: 50.0,
         is_over: false,
     };
-    let news = RouterNews { server_limits: Some(vec![limit]), ..RouterNews::default() };
+    let news = RouterUpdate { server_limits: Some(vec![limit]), ..RouterUpdate::default() };
     gateway.control.relay(2, "south", news);
     gateway.control.set_charging(Charging::AdmitsLate);
     sleep(Duration::from_millis(100)).await;
@@ -150,10 +150,10 @@
 }
 
 /// What another router tells that was asked for a pause.
-fn told_of_pause(server: &FakeServer, pause_ms: u64) -> RouterNews {
+fn told_of_pause(server: &FakeServer, pause_ms: u64) -> RouterUpdate {
     let (instance, started) = (server.report().name, StartTime::UNKNOWN);
     let notice = ServerNoticeNews { instance, started, pause_ms, is_leaving: false };
-    RouterNews { notices: Some(vec![notice]), ..RouterNews::default() }
+    RouterUpdate { notices: Some(vec![notice]), ..RouterUpdate::default() }
 }
 
 #[tokio::test]
--- a/crates/gateway/tests/paths/quarantine.rs
+++ b/crates/gateway/tests/paths/quarantine.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-use juniper_protocol::message::{Cleared, Crash, CrashNews, RouterNews};
+use juniper_protocol::message::{Cleared, Crash, CrashNews, RouterUpdate};
 use juniper_registry::{InstanceId, InstanceName, StartTime};
 use juniper_types::RequestFingerprint;
 use tokio::time::sleep;
@@ -138,7 +138,7 @@
     assert!(told(&gateway).is_empty(), "{:?}", told(&gateway));
 }
 
-fn crash(request: RequestFingerprint, server: &str) -> RouterNews {
+fn crash(request: RequestFingerprint, server: &str) -> RouterUpdate {
     let crash = Crash {
         request,
         instance: InstanceName::new(server),
@@ -148,7 +148,7 @@
         started: StartTime::UNKNOWN,
     };
     let crashes = Some(CrashNews { crashes: vec![crash], cleared: Vec::new() });
-    RouterNews { crashes, ..RouterNews::default() }
+    RouterUpdate { crashes, ..RouterUpdate::default() }
 }
 
 /// One server ended here, two at other routers. What those tell again counts once.
@@ -186,7 +186,7 @@
     let instances = ["e1", "e2"].map(InstanceId::new).to_vec();
     let cleared = vec![Cleared::of(name, &instances)];
     let crashes = Some(CrashNews { crashes: Vec::new(), cleared });
-    elsewhere.control.relay(2, "south", RouterNews { crashes, ..RouterNews::default() });
+    elsewhere.control.relay(2, "south", RouterUpdate { crashes, ..RouterUpdate::default() });
     sleep(Duration::from_millis(200)).await;
     let answer = get(elsewhere.callers, "/once/bad", "r2").await;
     assert!(!answer.body.contains("quarantined"), "only the end here counts: {}", answer.body);
--- a/crates/gateway/tests/paths/reachability.rs
+++ b/crates/gateway/tests/paths/reachability.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use juniper_protocol::message::{Reachability, RouterNews};
+use juniper_protocol::message::{Reachability, RouterUpdate};
 use juniper_registry::{InstanceName, InstanceReport, StartTime};
 
 use crate::support::caller::get;
@@ -20,10 +20,10 @@
     }
 }
 
-fn down(server: &FakeServer) -> RouterNews {
+fn down(server: &FakeServer) -> RouterUpdate {
     let instance = server.report().name;
     let reachability = vec![Reachability { instance, reached: false, started: StartTime::UNKNOWN }];
-    RouterNews { reachability, ..RouterNews::default() }
+    RouterUpdate { reachability, ..RouterUpdate::default() }
 }
 
 async fn wait_for(what: &str, condition: impl Fn() -> bool) {
--- a/crates/gateway/tests/paths/support/control.rs
+++ b/crates/gateway/tests/paths/support/control.rs
@@ -7,7 +7,7 @@
 use juniper_catalog::Catalog;
 use juniper_protocol::message::{
     CatalogBody, ChargeAnswer, Cleared, Crash, CrashNews, FleetNews, LimitCharge, QuarantineCall,
-    Reachability, RelayedNews, RouterNews, ServerLimitNews, ServerNoticeNews,
+    Reachability, RelayedNews, RouterUpdate, ServerLimitNews, ServerNoticeNews,
 };
 use juniper_protocol::{
     ClusterKey, Connection, Message, PeerRole, Push, Refusal, Reply, Request, accept,
@@ -39,7 +39,7 @@
     /// Units that were given back.
     given_back: Mutex<Vec<f64>>,
     /// What the gateway has told the other routers.
-    told: Mutex<Vec<RouterNews>>,
+    told: Mutex<Vec<RouterUpdate>>,
     /// Requests that the gateway asked to have recorded as in quarantine.
     quarantined: Mutex<Vec<QuarantineCall>>,
     /// What other routers tell the gateway.
@@ -133,7 +133,7 @@
     }
 
     /// Another router tells the gateway something.
-    pub fn relay(&self, from: u64, zone: &str, news: RouterNews) {
+    pub fn relay(&self, from: u64, zone: &str, news: RouterUpdate) {
         let zone = ZoneName::new(zone).expect("a name");
         // Nobody is told before somebody follows.
         let _ = self.said.relayed.send(RelayedNews { from: NodeId(from), zone, news });
@@ -233,7 +233,7 @@
                     said.dawdle(&request).await;
                     held_back.order(&said, &request, answers(&said, call, &request))
                 }
-                Some(Message::RouterNews(news)) => {
+                Some(Message::RouterUpdate(news)) => {
                     said.told.lock().expect("no panic").push(news);
                     continue;
                 }
--- a/crates/protocol/src/fleet.rs
+++ b/crates/protocol/src/fleet.rs
@@ -163,7 +163,7 @@
 
 /// Update from one router to the others. A lost update costs work, never correctness.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
-pub struct RouterNews {
+pub struct RouterUpdate {
     /// Requests that the router dispatched.
     #[n(0)]
     pub sightings: Vec<DispatchReport>,
@@ -193,7 +193,7 @@
     pub notices: Option<Vec<ServerNoticeNews>>,
 }
 
-impl RouterNews {
+impl RouterUpdate {
     /// Whether the update has no content.
     pub fn is_empty(&self) -> bool {
         self.sightings.is_empty()
@@ -216,7 +216,7 @@
     pub zone: ZoneName,
     /// Relayed update.
     #[n(2)]
-    pub news: RouterNews,
+    pub news: RouterUpdate,
 }
 
 /// An encoded [`juniper_catalog::Catalog`].
--- a/crates/protocol/src/message.rs
+++ b/crates/protocol/src/message.rs
@@ -13,7 +13,7 @@
 
 pub use crate::fleet::{
     CatalogBody, Cleared, Crash, CrashNews, DispatchReport, FleetNews, KnownVersion,
-    QuarantineCall, QuarantineNews, Reachability, RelayedNews, RenewalNews, RouterNews,
+    QuarantineCall, QuarantineNews, Reachability, RelayedNews, RenewalNews, RouterUpdate,
 };
 pub use crate::limits::{ChargeAnswer, LimitCharge, ServerLimitNews, server_account};
 pub use crate::notices::ServerNoticeNews;
@@ -63,7 +63,7 @@
     Push(#[n(0)] Push),
     /// Router to control: update for the other routers.
     #[n(5)]
-    RouterNews(#[n(0)] RouterNews),
+    RouterUpdate(#[n(0)] RouterUpdate),
     /// Control to control, and control to subscribed routers: updates from several routers.
     #[n(6)]
     RelayedNews(#[n(0)] Vec<RelayedNews>),
--- a/crates/protocol/tests/sizes.rs
+++ b/crates/protocol/tests/sizes.rs
@@ -1,7 +1,7 @@
 //! Size limits of frequent messages, on which docs/CAPACITY.md relies.
 
 use juniper_protocol::message::{
-    Crash, CrashNews, DispatchReport, RelayedNews, RouterNews, ServerNoticeNews, encode,
+    Crash, CrashNews, DispatchReport, RelayedNews, RouterUpdate, ServerNoticeNews, encode,
 };
 use juniper_protocol::{Message, Reply, Request};
 use juniper_registry::{InstanceName, StartTime};
@@ -36,14 +36,15 @@
         number: u16::MAX,
     };
     let with_reports = |sightings| {
-        wire_bytes(&Message::RouterNews(RouterNews { sightings, ..RouterNews::default() }))
+        wire_bytes(&Message::RouterUpdate(RouterUpdate { sightings, ..RouterUpdate::default() }))
     };
     let one = with_reports(vec![report(0)]);
     let more = with_reports((0..11).map(report).collect());
     let each = (more - one) / 10;
     println!("dispatch report with two prefixes: {each} bytes, message with one: {one}");
-    let with_ended =
-        |ended| wire_bytes(&Message::RouterNews(RouterNews { ended, ..RouterNews::default() }));
+    let with_ended = |ended| {
+        wire_bytes(&Message::RouterUpdate(RouterUpdate { ended, ..RouterUpdate::default() }))
+    };
     let end = (with_ended(vec![u16::MAX; 11]) - with_ended(vec![u16::MAX])) / 10;
     println!("end of a request: {end} bytes");
     // Every request costs one report of its dispatch and one of its end.
@@ -53,7 +54,7 @@
 #[test]
 fn relay_overhead_per_router() {
     let zone = ZoneName::new("new-england-1").expect("a name");
-    let relayed = RelayedNews { from: NodeId(u64::MAX), zone, news: RouterNews::default() };
+    let relayed = RelayedNews { from: NodeId(u64::MAX), zone, news: RouterUpdate::default() };
     let each = wire_bytes(&Message::RelayedNews(vec![relayed.clone(); 2]))
         - wire_bytes(&Message::RelayedNews(vec![relayed]));
     println!("overhead per relayed router: {each} bytes");
@@ -85,7 +86,7 @@
         ended_well: true,
     };
     let with_crashes = |crashes: Option<CrashNews>| {
-        wire_bytes(&Message::RouterNews(RouterNews { crashes, ..RouterNews::default() }))
+        wire_bytes(&Message::RouterUpdate(RouterUpdate { crashes, ..RouterUpdate::default() }))
     };
     let with_count = |count: u8| {
         with_crashes(Some(CrashNews {
@@ -110,8 +111,9 @@
         pause_ms: 30_000,
         is_leaving: false,
     };
-    let with_notices =
-        |notices| wire_bytes(&Message::RouterNews(RouterNews { notices, ..RouterNews::default() }));
+    let with_notices = |notices| {
+        wire_bytes(&Message::RouterUpdate(RouterUpdate { notices, ..RouterUpdate::default() }))
+    };
     let with_count = |count| with_notices(Some((0..count).map(|_| notice()).collect()));
     let each = (with_count(11) - with_count(1)) / 10;
     println!("server notice: {each} bytes");
@@ -137,9 +139,9 @@
         is_leaving: true,
     };
     let update =
-        RouterNews { ended: vec![7], notices: Some(vec![notice]), ..RouterNews::default() };
+        RouterUpdate { ended: vec![7], notices: Some(vec![notice]), ..RouterUpdate::default() };
     let bytes = minicbor::to_vec(&update).expect("encode");
     let decoded: EarlierUpdate = minicbor::decode(&bytes).expect("decode");
     assert_eq!((decoded.sightings.len(), decoded.ended), (0, vec![7]));
-    assert_eq!(minicbor::decode::<RouterNews>(&bytes).expect("decode"), update);
+    assert_eq!(minicbor::decode::<RouterUpdate>(&bytes).expect("decode"), update);
 }
