--- a/crates/control/src/internal/session.rs
+++ b/crates/control/src/internal/session.rs
@@ -173,7 +173,7 @@
                 face.relay.hear_router(&peer.identity, news);
                 continue;
             }
-            Ok(Message::RelayedNews(told)) if peer.identity.role == PeerRole::Control => {
+            Ok(Message::RelayedUpdate(told)) if peer.identity.role == PeerRole::Control => {
                 face.relay.hear_replica(told);
                 continue;
             }
--- a/crates/control/src/relay.rs
+++ b/crates/control/src/relay.rs
@@ -12,7 +12,7 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-use juniper_protocol::message::{RelayedNews, RouterUpdate, encode};
+use juniper_protocol::message::{RelayedUpdate, RouterUpdate, encode};
 use juniper_protocol::{Message, PeerIdentity};
 use juniper_types::NodeId;
 use tokio::sync::{Notify, broadcast};
@@ -39,9 +39,9 @@
 #[derive(Debug, Default)]
 struct Gathered {
     /// From routers that listen here. The other replicas have to be told.
-    from_routers: Vec<RelayedNews>,
+    from_routers: Vec<RelayedUpdate>,
     /// From the other replicas.
-    from_replicas: Vec<RelayedNews>,
+    from_replicas: Vec<RelayedUpdate>,
 }
 
 impl Gathered {
@@ -75,19 +75,19 @@
 
     /// A router that listens here tells something.
     pub(crate) fn hear_router(&self, from: &PeerIdentity, news: RouterUpdate) {
-        let told = RelayedNews { from: from.node, zone: from.zone.clone(), news };
+        let told = RelayedUpdate { from: from.node, zone: from.zone.clone(), news };
         self.gather(vec![told], |gathered| &mut gathered.from_routers);
     }
 
     /// Another replica passes on what its routers told.
-    pub(crate) fn hear_replica(&self, told: Vec<RelayedNews>) {
+    pub(crate) fn hear_replica(&self, told: Vec<RelayedUpdate>) {
         self.gather(told, |gathered| &mut gathered.from_replicas);
     }
 
     fn gather(
         &self,
-        told: Vec<RelayedNews>,
-        place: impl Fn(&mut Gathered) -> &mut Vec<RelayedNews>,
+        told: Vec<RelayedUpdate>,
+        place: impl Fn(&mut Gathered) -> &mut Vec<RelayedUpdate>,
     ) {
         let mut gathered = self.lock();
         if gathered.len() + told.len() > MAX_GATHERED {
@@ -113,14 +113,14 @@
             sleep(GATHER_TIME).await;
             let Gathered { from_routers, from_replicas } = std::mem::take(&mut *self.lock());
             if !from_routers.is_empty() {
-                let payload = encode(&Message::RelayedNews(from_routers.clone()));
+                let payload = encode(&Message::RelayedUpdate(from_routers.clone()));
                 other_replicas(view).for_each(|node| peers.send_encoded(node, payload.clone()));
             }
             let mut all = from_routers;
             all.extend(from_replicas);
             self.metrics.relayed.inc_by(all.len() as u64);
             // Nobody may listen at the moment.
-            let _ = self.frames.send(Arc::new(encode(&Message::RelayedNews(all))));
+            let _ = self.frames.send(Arc::new(encode(&Message::RelayedUpdate(all))));
         }
     }
 
--- a/crates/control/tests/daemons/relay.rs
+++ b/crates/control/tests/daemons/relay.rs
@@ -1,6 +1,6 @@
 //! What routers tell each other goes through one replica for each of them.
 
-use juniper_protocol::message::{Reachability, RelayedNews, RouterUpdate};
+use juniper_protocol::message::{Reachability, RelayedUpdate, RouterUpdate};
 use juniper_protocol::{Connection, Message, Push, Reply, Request, connect};
 use juniper_registry::{InstanceName, StartTime};
 use juniper_types::NodeId;
@@ -46,12 +46,12 @@
     }
 
     /// What comes within `time` and was told by a router.
-    async fn heard(&mut self, time: Duration) -> Vec<RelayedNews> {
+    async fn heard(&mut self, time: Duration) -> Vec<RelayedUpdate> {
         let mut heard = Vec::new();
         let receive = async {
             loop {
                 match self.0.reader.receive().await.expect("a message") {
-                    Message::RelayedNews(told) => heard.extend(told),
+                    Message::RelayedUpdate(told) => heard.extend(told),
                     Message::Push(Push::Fleet(_) | Push::Instances { .. }) => {}
                     other => panic!("{other:?}"),
                 }
--- a/crates/crash-watch/src/watch.rs
+++ b/crates/crash-watch/src/watch.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use juniper_feed::{Feed, FleetView, RelayedBatch};
-use juniper_protocol::message::{CrashNews, QuarantineCall, RelayedNews, RouterUpdate};
+use juniper_protocol::message::{CrashNews, QuarantineCall, RelayedUpdate, RouterUpdate};
 use juniper_quarantine::{
     Clearance, Counted, CrashCounts, CrashProof, CrashReport, CutRequest, CutRequests, EndedWell,
     Report, Retelling, ServerCrash,
@@ -224,7 +224,7 @@
     }
 
     fn hear_batch(&self, batch: &RelayedBatch) {
-        for RelayedNews { from, news, .. } in batch.iter() {
+        for RelayedUpdate { from, news, .. } in batch.iter() {
             if let Some(crashes) = &news.crashes {
                 self.hear(*from, crashes);
             }
--- a/crates/feed/src/actor.rs
+++ b/crates/feed/src/actor.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use juniper_clock::BootInstant;
-use juniper_protocol::message::{CatalogBody, FleetNews, RelayedNews, RenewalNews, RouterUpdate};
+use juniper_protocol::message::{CatalogBody, FleetNews, RelayedUpdate, RenewalNews, RouterUpdate};
 use juniper_protocol::{ClusterKey, PeerIdentity};
 use juniper_registry::{HeardInstance, InstanceName};
 use juniper_types::{NodeId, Timestamp, ZoneName};
@@ -25,7 +25,7 @@
 const RETRY_INTERVAL: Duration = Duration::from_millis(400);
 
 /// What several routers told.
-pub type RelayedBatch = Arc<Vec<RelayedNews>>;
+pub type RelayedBatch = Arc<Vec<RelayedUpdate>>;
 
 /// What a feed needs.
 pub struct FeedSettings {
@@ -53,7 +53,7 @@
         zone: ZoneName,
     },
     Disconnected,
-    Told(Vec<RelayedNews>),
+    Told(Vec<RelayedUpdate>),
     News(FleetNews),
     Instances {
         heard: Vec<HeardInstance>,
@@ -257,7 +257,7 @@
 
     /// Hands on what other routers tell. One message goes to all listeners, so what this
     /// router told comes back to it.
-    fn hear(&self, mut told: Vec<RelayedNews>) {
+    fn hear(&self, mut told: Vec<RelayedUpdate>) {
         let own = self.settings.own.node;
         told.retain(|told| told.from != own);
         if !told.is_empty() {
--- a/crates/feed/src/link.rs
+++ b/crates/feed/src/link.rs
@@ -262,7 +262,7 @@
                 None
             }
             Message::Push(Push::Renewals(news)) => Some(LinkEvent::Renewals(news)),
-            Message::RelayedNews(told) => Some(LinkEvent::Told(told)),
+            Message::RelayedUpdate(told) => Some(LinkEvent::Told(told)),
             Message::Reply { reply: Reply::Catalog(body), .. } => Some(LinkEvent::Catalog(body)),
             Message::Reply { call, reply } => {
                 if let Some(answer) = self.charges.remove(&call) {
--- a/crates/gateway/src/news.rs
+++ b/crates/gateway/src/news.rs
@@ -7,7 +7,7 @@
 use juniper_feed::RelayedBatch;
 use juniper_placement::{ChainSighting, Choice, Placement, Reporter, SightingBudget, ToldRequest};
 use juniper_protocol::message::{
-    DispatchReport, Reachability, RelayedNews, RouterUpdate, ServerLimitNews, ServerNoticeNews,
+    DispatchReport, Reachability, RelayedUpdate, RouterUpdate, ServerLimitNews, ServerNoticeNews,
 };
 use juniper_registry::{InstanceId, StartTime};
 use juniper_types::{NodeId, Timestamp};
@@ -152,7 +152,7 @@
     limits.for_each(|news| gateway.learn_limit(news));
     let now = gateway.now();
     let mut placement = gateway.placement();
-    for RelayedNews { from, zone, news } in batch.iter() {
+    for RelayedUpdate { from, zone, news } in batch.iter() {
         let request = |number: u16| ToldRequest { router: *from, number };
         for notice in news.notices.iter().flatten() {
             learn_notice(&mut placement, notice, *from, now);
--- a/crates/gateway/tests/paths/support/control.rs
+++ b/crates/gateway/tests/paths/support/control.rs
@@ -7,7 +7,7 @@
 use juniper_catalog::Catalog;
 use juniper_protocol::message::{
     CatalogBody, ChargeAnswer, Cleared, Crash, CrashNews, FleetNews, LimitCharge, QuarantineCall,
-    Reachability, RelayedNews, RouterUpdate, ServerLimitNews, ServerNoticeNews,
+    Reachability, RelayedUpdate, RouterUpdate, ServerLimitNews, ServerNoticeNews,
 };
 use juniper_protocol::{
     ClusterKey, Connection, Message, PeerRole, Push, Refusal, Reply, Request, accept,
@@ -43,7 +43,7 @@
     /// Requests that the gateway asked to have recorded as in quarantine.
     quarantined: Mutex<Vec<QuarantineCall>>,
     /// What other routers tell the gateway.
-    relayed: broadcast::Sender<RelayedNews>,
+    relayed: broadcast::Sender<RelayedUpdate>,
 }
 
 /// What a replica does with charges.
@@ -136,7 +136,7 @@
     pub fn relay(&self, from: u64, zone: &str, news: RouterUpdate) {
         let zone = ZoneName::new(zone).expect("a name");
         // Nobody is told before somebody follows.
-        let _ = self.said.relayed.send(RelayedNews { from: NodeId(from), zone, news });
+        let _ = self.said.relayed.send(RelayedUpdate { from: NodeId(from), zone, news });
     }
 
     /// Servers that the gateway has told of sending requests to.
@@ -241,7 +241,7 @@
                 None => return,
             },
             _ = heard.recv() => vec![instances(&said)],
-            told = relayed.recv() => vec![Message::RelayedNews(told.into_iter().collect())],
+            told = relayed.recv() => vec![Message::RelayedUpdate(told.into_iter().collect())],
         };
         for message in to_send {
             if writer.send(&message).await.is_err() {
--- a/crates/protocol/src/fleet.rs
+++ b/crates/protocol/src/fleet.rs
@@ -207,7 +207,7 @@
 
 /// Update from one router, relayed to the others.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct RelayedNews {
+pub struct RelayedUpdate {
     /// Router that sent the update.
     #[n(0)]
     pub from: NodeId,
--- a/crates/protocol/src/message.rs
+++ b/crates/protocol/src/message.rs
@@ -13,7 +13,7 @@
 
 pub use crate::fleet::{
     CatalogBody, Cleared, Crash, CrashNews, DispatchReport, FleetNews, KnownVersion,
-    QuarantineCall, QuarantineNews, Reachability, RelayedNews, RenewalNews, RouterUpdate,
+    QuarantineCall, QuarantineNews, Reachability, RelayedUpdate, RenewalNews, RouterUpdate,
 };
 pub use crate::limits::{ChargeAnswer, LimitCharge, ServerLimitNews, server_account};
 pub use crate::notices::ServerNoticeNews;
@@ -66,7 +66,7 @@
     RouterUpdate(#[n(0)] RouterUpdate),
     /// Control to control, and control to subscribed routers: updates from several routers.
     #[n(6)]
-    RelayedNews(#[n(0)] Vec<RelayedNews>),
+    RelayedUpdate(#[n(0)] Vec<RelayedUpdate>),
     /// Message of a kind that only later builds know; decoded, but never sent. Receivers ignore
     /// the message, or refuse the call if it is one. Index 255 stays reserved for this variant.
     #[n(255)]
--- a/crates/protocol/tests/sizes.rs
+++ b/crates/protocol/tests/sizes.rs
@@ -1,7 +1,7 @@
 //! Size limits of frequent messages, on which docs/CAPACITY.md relies.
 
 use juniper_protocol::message::{
-    Crash, CrashNews, DispatchReport, RelayedNews, RouterUpdate, ServerNoticeNews, encode,
+    Crash, CrashNews, DispatchReport, RelayedUpdate, RouterUpdate, ServerNoticeNews, encode,
 };
 use juniper_protocol::{Message, Reply, Request};
 use juniper_registry::{InstanceName, StartTime};
@@ -54,9 +54,9 @@
 #[test]
 fn relay_overhead_per_router() {
     let zone = ZoneName::new("new-england-1").expect("a name");
-    let relayed = RelayedNews { from: NodeId(u64::MAX), zone, news: RouterUpdate::default() };
-    let each = wire_bytes(&Message::RelayedNews(vec![relayed.clone(); 2]))
-        - wire_bytes(&Message::RelayedNews(vec![relayed]));
+    let relayed = RelayedUpdate { from: NodeId(u64::MAX), zone, news: RouterUpdate::default() };
+    let each = wire_bytes(&Message::RelayedUpdate(vec![relayed.clone(); 2]))
+        - wire_bytes(&Message::RelayedUpdate(vec![relayed]));
     println!("overhead per relayed router: {each} bytes");
     assert!(each <= 30, "{each}");
 }
