--- a/crates/crash-watch/src/outbox.rs
+++ b/crates/crash-watch/src/outbox.rs
@@ -3,7 +3,7 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
-use juniper_protocol::message::{Cleared, Crash, CrashNews};
+use juniper_protocol::message::{Cleared, Crash, CrashUpdate};
 use juniper_quarantine::{Clearance, CrashReport, Report};
 use tokio::sync::Notify;
 
@@ -16,7 +16,7 @@
 /// Reports that the other routers haven't been told yet.
 #[derive(Default)]
 pub(crate) struct Outbox {
-    news: Mutex<CrashNews>,
+    news: Mutex<CrashUpdate>,
     wake: Notify,
 }
 
@@ -37,10 +37,10 @@
     }
 
     /// Waits until there is something to tell, and takes it.
-    pub(crate) async fn next(&self) -> CrashNews {
+    pub(crate) async fn next(&self) -> CrashUpdate {
         loop {
             let news = std::mem::take(&mut *lock(&self.news));
-            if news != CrashNews::default() {
+            if news != CrashUpdate::default() {
                 return news;
             }
             self.wake.notified().await;
--- a/crates/crash-watch/src/watch.rs
+++ b/crates/crash-watch/src/watch.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use juniper_feed::{Feed, FleetView, RelayedBatch};
-use juniper_protocol::message::{CrashNews, QuarantineCall, RelayedUpdate, RouterUpdate};
+use juniper_protocol::message::{CrashUpdate, QuarantineCall, RelayedUpdate, RouterUpdate};
 use juniper_quarantine::{
     Clearance, Counted, CrashCounts, CrashProof, CrashReport, CutRequest, CutRequests, EndedWell,
     Report, Retelling, ServerCrash,
@@ -211,7 +211,7 @@
     }
 
     /// Takes in what another router reports.
-    fn hear(&self, from: NodeId, news: &CrashNews) {
+    fn hear(&self, from: NodeId, news: &CrashUpdate) {
         let from = from.to_string();
         for crash in &news.crashes {
             let after_ms = rand::rng().random_range(OTHERS_RECORD_AFTER_MS);
--- a/crates/gateway/tests/paths/quarantine.rs
+++ b/crates/gateway/tests/paths/quarantine.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-use juniper_protocol::message::{Cleared, Crash, CrashNews, RouterUpdate};
+use juniper_protocol::message::{Cleared, Crash, CrashUpdate, RouterUpdate};
 use juniper_registry::{InstanceId, InstanceName, StartTime};
 use juniper_types::RequestFingerprint;
 use tokio::time::sleep;
@@ -147,7 +147,7 @@
         ended_well: false,
         started: StartTime::UNKNOWN,
     };
-    let crashes = Some(CrashNews { crashes: vec![crash], cleared: Vec::new() });
+    let crashes = Some(CrashUpdate { crashes: vec![crash], cleared: Vec::new() });
     RouterUpdate { crashes, ..RouterUpdate::default() }
 }
 
@@ -185,7 +185,7 @@
     }
     let instances = ["e1", "e2"].map(InstanceId::new).to_vec();
     let cleared = vec![Cleared::of(name, &instances)];
-    let crashes = Some(CrashNews { crashes: Vec::new(), cleared });
+    let crashes = Some(CrashUpdate { crashes: Vec::new(), cleared });
     elsewhere.control.relay(2, "south", RouterUpdate { crashes, ..RouterUpdate::default() });
     sleep(Duration::from_millis(200)).await;
     let answer = get(elsewhere.callers, "/once/bad", "r2").await;
--- a/crates/gateway/tests/paths/support/control.rs
+++ b/crates/gateway/tests/paths/support/control.rs
@@ -6,7 +6,7 @@
 
 use juniper_catalog::Catalog;
 use juniper_protocol::message::{
-    CatalogBody, ChargeAnswer, Cleared, Crash, CrashNews, FleetNews, LimitCharge, QuarantineCall,
+    CatalogBody, ChargeAnswer, Cleared, Crash, CrashUpdate, FleetNews, LimitCharge, QuarantineCall,
     Reachability, RelayedUpdate, RouterUpdate, ServerLimitNews, ServerNoticeNews,
 };
 use juniper_protocol::{
@@ -166,7 +166,7 @@
     pub fn told_crashes(&self) -> (Vec<Crash>, Vec<Cleared>) {
         let told = self.said.told.lock().expect("no panic");
         let crashes = told.iter().filter_map(|news| news.crashes.clone());
-        let mut all = CrashNews::default();
+        let mut all = CrashUpdate::default();
         for news in crashes {
             all.crashes.extend(news.crashes);
             all.cleared.extend(news.cleared);
--- a/crates/protocol/src/fleet.rs
+++ b/crates/protocol/src/fleet.rs
@@ -127,7 +127,7 @@
 
 /// Crashes under requests, as reported by one router.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
-pub struct CrashNews {
+pub struct CrashUpdate {
     /// Servers that crashed under requests.
     #[n(0)]
     pub crashes: Vec<Crash>,
@@ -181,7 +181,7 @@
     /// Servers that crashed under requests; usually absent, which takes no bytes.
     #[n(4)]
     #[cbor(default)]
-    pub crashes: Option<CrashNews>,
+    pub crashes: Option<CrashUpdate>,
     /// Limits advertised by servers; usually absent, which takes no bytes.
     #[n(5)]
     #[cbor(default)]
--- a/crates/protocol/src/message.rs
+++ b/crates/protocol/src/message.rs
@@ -12,7 +12,7 @@
 use minicbor::{Decode, Decoder, Encode};
 
 pub use crate::fleet::{
-    CatalogBody, Cleared, Crash, CrashNews, DispatchReport, FleetNews, KnownVersion,
+    CatalogBody, Cleared, Crash, CrashUpdate, DispatchReport, FleetNews, KnownVersion,
     QuarantineCall, QuarantineNews, Reachability, RelayedUpdate, RenewalNews, RouterUpdate,
 };
 pub use crate::limits::{ChargeAnswer, LimitCharge, ServerLimitNews, server_account};
--- a/crates/protocol/tests/sizes.rs
+++ b/crates/protocol/tests/sizes.rs
@@ -1,7 +1,7 @@
 //! Size limits of frequent messages, on which docs/CAPACITY.md relies.
 
 use juniper_protocol::message::{
-    Crash, CrashNews, DispatchReport, RelayedUpdate, RouterUpdate, ServerNoticeNews, encode,
+    Crash, CrashUpdate, DispatchReport, RelayedUpdate, RouterUpdate, ServerNoticeNews, encode,
 };
 use juniper_protocol::{Message, Reply, Request};
 use juniper_registry::{InstanceName, StartTime};
@@ -85,11 +85,11 @@
         under_way_ms: 30_000,
         ended_well: true,
     };
-    let with_crashes = |crashes: Option<CrashNews>| {
+    let with_crashes = |crashes: Option<CrashUpdate>| {
         wire_bytes(&Message::RouterUpdate(RouterUpdate { crashes, ..RouterUpdate::default() }))
     };
     let with_count = |count: u8| {
-        with_crashes(Some(CrashNews {
+        with_crashes(Some(CrashUpdate {
             crashes: (0..count).map(crash).collect(),
             cleared: Vec::new(),
         }))
