--- a/crates/control/src/internal/follower.rs
+++ b/crates/control/src/internal/follower.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 
 use juniper_control_state::{FleetState, QuarantineChange};
-use juniper_protocol::message::{CatalogBody, FleetNews, QuarantineNews};
+use juniper_protocol::message::{CatalogBody, FleetNews, QuarantineUpdate};
 use juniper_protocol::{Message, PeerRole, Push, Reply, Request};
 use juniper_types::{NodeId, ZoneName};
 use tokio::sync::watch;
@@ -246,13 +246,13 @@
 }
 
 /// What has changed of the quarantine since `sent`; everything for a follower that was sent nothing.
-fn quarantine_after(state: &FleetState, sent: Option<u64>) -> Option<QuarantineNews> {
+fn quarantine_after(state: &FleetState, sent: Option<u64>) -> Option<QuarantineUpdate> {
     let quarantine = state.quarantine();
     if sent == Some(quarantine.changes()) {
         return None;
     }
     let QuarantineChange { is_whole, added, released } = quarantine.change_after(sent);
-    Some(QuarantineNews { is_whole, added, released })
+    Some(QuarantineUpdate { is_whole, added, released })
 }
 
 /// The configuration in force, for who has an older one.
--- a/crates/feed/src/fold.rs
+++ b/crates/feed/src/fold.rs
@@ -6,7 +6,7 @@
 
 use juniper_catalog::{Catalog, CatalogIndex};
 use juniper_protocol::message::{
-    CatalogBody, FleetNews, KnownVersion, QuarantineNews, RenewalNews,
+    CatalogBody, FleetNews, KnownVersion, QuarantineUpdate, RenewalNews,
 };
 use juniper_registry::{Departure, Directory, HeardInstance, InstanceId, InstanceName};
 use juniper_types::{NodeId, RequestFingerprint, Timestamp, ZoneName};
@@ -36,7 +36,7 @@
 }
 
 impl Source {
-    fn take_quarantine(&mut self, news: QuarantineNews) {
+    fn take_quarantine(&mut self, news: QuarantineUpdate) {
         let quarantined = Arc::make_mut(&mut self.quarantined);
         if news.is_whole {
             quarantined.clear();
--- a/crates/feed/tests/fold.rs
+++ b/crates/feed/tests/fold.rs
@@ -8,7 +8,7 @@
 use juniper_catalog::{Catalog, RequestLimits};
 use juniper_feed::FleetFold;
 use juniper_protocol::message::{
-    CatalogBody, FleetNews, KnownVersion, QuarantineNews, RenewalNews,
+    CatalogBody, FleetNews, KnownVersion, QuarantineUpdate, RenewalNews,
 };
 use juniper_registry::{
     HeardInstance, InstanceId, InstanceName, InstanceReport, InstanceState, ModelHolding, StartTime,
@@ -205,9 +205,9 @@
     assert_eq!(fold.routers(), 3);
 }
 
-fn quarantine(is_whole: bool, added: &[u8], released: &[u8]) -> Option<QuarantineNews> {
+fn quarantine(is_whole: bool, added: &[u8], released: &[u8]) -> Option<QuarantineUpdate> {
     let named = |numbers: &[u8]| numbers.iter().map(|it| RequestFingerprint([*it; 16])).collect();
-    Some(QuarantineNews { is_whole, added: named(added), released: named(released) })
+    Some(QuarantineUpdate { is_whole, added: named(added), released: named(released) })
 }
 
 fn quarantined(fold: &FleetFold) -> Vec<u8> {
--- a/crates/protocol/src/fleet.rs
+++ b/crates/protocol/src/fleet.rs
@@ -149,7 +149,7 @@
 
 /// Quarantined requests: all of them, or the changes since the last update on this connection.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct QuarantineNews {
+pub struct QuarantineUpdate {
     /// Whether `added` lists all quarantined requests.
     #[n(0)]
     pub is_whole: bool,
@@ -252,7 +252,7 @@
     /// Changes of quarantined requests that were not sent on this connection before.
     #[n(6)]
     #[cbor(default)]
-    pub quarantine: Option<QuarantineNews>,
+    pub quarantine: Option<QuarantineUpdate>,
     /// For each departure, start time of the latest incarnation that has departed; empty from a
     /// peer of an earlier version.
     #[n(7)]
