--- a/crates/control/src/renewals.rs
+++ b/crates/control/src/renewals.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-use juniper_protocol::message::{KnownVersion, RenewalNews, encode};
+use juniper_protocol::message::{KnownVersion, RenewalUpdate, encode};
 use juniper_protocol::{Message, Push};
 use juniper_registry::InstanceId;
 
@@ -29,21 +29,21 @@
 
 impl Renewals {
     /// Everything.
-    fn whole(&self) -> RenewalNews {
+    fn whole(&self) -> RenewalUpdate {
         let versions = self.versions.iter().map(known_version).collect();
-        let news = RenewalNews { is_whole: true, versions, ..RenewalNews::default() };
+        let news = RenewalUpdate { is_whole: true, versions, ..RenewalUpdate::default() };
         news.with_servers(&self.under_way, [])
     }
 
     /// What differs from `earlier`. A version that is missing here is in the server's own report
     /// by now.
-    fn change_from(&self, earlier: &Renewals) -> RenewalNews {
+    fn change_from(&self, earlier: &Renewals) -> RenewalUpdate {
         let is_new =
             |known: &(&(InstanceId, String), &u64)| earlier.versions.get(known.0) != Some(known.1);
         let versions = self.versions.iter().filter(is_new).map(known_version).collect();
         let begun = self.under_way.difference(&earlier.under_way);
         let ended = earlier.under_way.difference(&self.under_way);
-        RenewalNews { versions, ..RenewalNews::default() }.with_servers(begun, ended)
+        RenewalUpdate { versions, ..RenewalUpdate::default() }.with_servers(begun, ended)
     }
 }
 
@@ -57,7 +57,7 @@
     }
 }
 
-fn frame(news: RenewalNews) -> SharedFrame {
+fn frame(news: RenewalUpdate) -> SharedFrame {
     Arc::new(encode(&Message::Push(Push::Renewals(news))))
 }
 
--- a/crates/control/tests/renewals.rs
+++ b/crates/control/tests/renewals.rs
@@ -4,7 +4,7 @@
 
 use juniper_control::Renewals;
 use juniper_control::renewals::{RenewalLog, SharedFrame};
-use juniper_protocol::message::RenewalNews;
+use juniper_protocol::message::RenewalUpdate;
 use juniper_protocol::{Message, Push};
 use juniper_registry::{InstanceId, InstanceName};
 
@@ -16,7 +16,7 @@
     }
 }
 
-fn read(frame: &SharedFrame) -> RenewalNews {
+fn read(frame: &SharedFrame) -> RenewalUpdate {
     match minicbor::decode(frame).expect("a message") {
         Message::Push(Push::Renewals(news)) => news,
         other => panic!("{other:?}"),
--- a/crates/feed/src/actor.rs
+++ b/crates/feed/src/actor.rs
@@ -6,7 +6,9 @@
 use std::time::Duration;
 
 use juniper_clock::BootInstant;
-use juniper_protocol::message::{CatalogBody, FleetNews, RelayedUpdate, RenewalNews, RouterUpdate};
+use juniper_protocol::message::{
+    CatalogBody, FleetNews, RelayedUpdate, RenewalUpdate, RouterUpdate,
+};
 use juniper_protocol::{ClusterKey, PeerIdentity};
 use juniper_registry::{HeardInstance, InstanceName};
 use juniper_types::{NodeId, Timestamp, ZoneName};
@@ -62,7 +64,7 @@
         /// Whether it is what all replicas know, and not what this one has heard itself.
         of_fleet: bool,
     },
-    Renewals(RenewalNews),
+    Renewals(RenewalUpdate),
     Catalog(Option<CatalogBody>),
     Confirmed {
         at: BootInstant,
--- a/crates/feed/src/fold.rs
+++ b/crates/feed/src/fold.rs
@@ -6,7 +6,7 @@
 
 use juniper_catalog::{Catalog, CatalogIndex};
 use juniper_protocol::message::{
-    CatalogBody, FleetNews, KnownVersion, QuarantineUpdate, RenewalNews,
+    CatalogBody, FleetNews, KnownVersion, QuarantineUpdate, RenewalUpdate,
 };
 use juniper_registry::{Departure, Directory, HeardInstance, InstanceId, InstanceName};
 use juniper_types::{NodeId, RequestFingerprint, Timestamp, ZoneName};
@@ -125,7 +125,7 @@
     }
 
     /// Servers that a replica is renewing, and versions of weights that it knows of.
-    pub fn renewals(&mut self, node: NodeId, news: RenewalNews) -> FoldOutcome {
+    pub fn renewals(&mut self, node: NodeId, news: RenewalUpdate) -> FoldOutcome {
         let source = self.sources.entry(node).or_default();
         if news.is_whole {
             source.renewing.clear();
--- a/crates/feed/tests/fold.rs
+++ b/crates/feed/tests/fold.rs
@@ -8,7 +8,7 @@
 use juniper_catalog::{Catalog, RequestLimits};
 use juniper_feed::FleetFold;
 use juniper_protocol::message::{
-    CatalogBody, FleetNews, KnownVersion, QuarantineUpdate, RenewalNews,
+    CatalogBody, FleetNews, KnownVersion, QuarantineUpdate, RenewalUpdate,
 };
 use juniper_registry::{
     HeardInstance, InstanceId, InstanceName, InstanceReport, InstanceState, ModelHolding, StartTime,
@@ -127,7 +127,7 @@
     assert_eq!(ids(&fold), ["a"]);
 }
 
-fn renewing(under_way: &[&str], ended: &[&str], versions: &[(&str, u64)]) -> RenewalNews {
+fn renewing(under_way: &[&str], ended: &[&str], versions: &[(&str, u64)]) -> RenewalUpdate {
     let ids = |ids: &[&str]| ids.iter().map(InstanceId::new).collect::<Vec<_>>();
     let version = |(id, version): &(&str, u64)| KnownVersion {
         instance: InstanceName::new(id),
@@ -136,7 +136,7 @@
         version: *version,
     };
     let versions = versions.iter().map(version).collect();
-    let news = RenewalNews { versions, ..RenewalNews::default() };
+    let news = RenewalUpdate { versions, ..RenewalUpdate::default() };
     news.with_servers(&ids(under_way), &ids(ended))
 }
 
@@ -158,7 +158,7 @@
     fold.renewals(FIRST, renewing(&["a", "b"], &[], &[]));
     fold.renewals(FIRST, renewing(&["c"], &["a"], &[]));
     assert_eq!(ids(&fold), ["b", "c"].map(InstanceId::new));
-    fold.renewals(FIRST, RenewalNews { is_whole: true, ..renewing(&["d"], &[], &[]) });
+    fold.renewals(FIRST, RenewalUpdate { is_whole: true, ..renewing(&["d"], &[], &[]) });
     assert_eq!(ids(&fold), ["d"].map(InstanceId::new));
 }
 
@@ -244,7 +244,7 @@
     let mut fold = connected();
     fold.instances(FIRST, vec![started(100)], true, at(0));
     let first = started(100).report.id();
-    fold.renewals(FIRST, RenewalNews::default().with_servers([&first], []));
+    fold.renewals(FIRST, RenewalUpdate::default().with_servers([&first], []));
     assert!(fold.view().renewing.contains(&first));
     fold.instances(SECOND, vec![started(200)], true, at(1));
     let known = fold.view().instances.iter().next().expect("a server").id.clone();
@@ -255,6 +255,6 @@
         model: "m".to_owned(),
         version: 9,
     };
-    fold.renewals(FIRST, RenewalNews { versions: vec![version], ..RenewalNews::default() });
+    fold.renewals(FIRST, RenewalUpdate { versions: vec![version], ..RenewalUpdate::default() });
     assert!(fold.view().versions.is_empty());
 }
--- a/crates/protocol/src/fleet.rs
+++ b/crates/protocol/src/fleet.rs
@@ -273,7 +273,7 @@
 
 /// Rollout state as known to the order dispatcher, ahead of the servers' own reports.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
-pub struct RenewalNews {
+pub struct RenewalUpdate {
     /// Servers that take no new requests until their weights are replaced.
     #[n(0)]
     pub under_way: Vec<InstanceName>,
@@ -296,7 +296,7 @@
     pub ended_starts: Vec<StartTime>,
 }
 
-impl RenewalNews {
+impl RenewalUpdate {
     /// Whether the update lists no servers.
     pub fn is_empty(&self) -> bool {
         self.under_way.is_empty() && self.ended.is_empty() && self.versions.is_empty()
@@ -310,7 +310,7 @@
     ) -> Self {
         let (under_way, under_way_starts) = names_and_starts(under_way);
         let (ended, ended_starts) = names_and_starts(ended);
-        RenewalNews { under_way, under_way_starts, ended, ended_starts, ..self }
+        RenewalUpdate { under_way, under_way_starts, ended, ended_starts, ..self }
     }
 
     /// Incarnations in `under_way`.
--- a/crates/protocol/src/message.rs
+++ b/crates/protocol/src/message.rs
@@ -13,7 +13,7 @@
 
 pub use crate::fleet::{
     CatalogBody, Cleared, Crash, CrashUpdate, DispatchReport, FleetNews, KnownVersion,
-    QuarantineCall, QuarantineUpdate, Reachability, RelayedUpdate, RenewalNews, RouterUpdate,
+    QuarantineCall, QuarantineUpdate, Reachability, RelayedUpdate, RenewalUpdate, RouterUpdate,
 };
 pub use crate::limits::{ChargeAnswer, LimitCharge, ServerLimitNews, server_account};
 pub use crate::notices::ServerNoticeNews;
--- a/crates/protocol/src/push.rs
+++ b/crates/protocol/src/push.rs
@@ -5,7 +5,7 @@
 use juniper_types::Revision;
 use minicbor::{Decode, Encode};
 
-use crate::fleet::{FleetNews, RenewalNews};
+use crate::fleet::{FleetNews, RenewalUpdate};
 
 /// Message pushed to a subscriber.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
@@ -54,7 +54,7 @@
     },
     /// Servers that the order dispatcher is renewing: first all of them, then changes.
     #[n(5)]
-    Renewals(#[n(0)] RenewalNews),
+    Renewals(#[n(0)] RenewalUpdate),
 }
 
 /// Accepted change of the settings tree.
