--- a/crates/control/src/internal/follower.rs
+++ b/crates/control/src/internal/follower.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 
 use juniper_control_state::{FleetState, QuarantineChange};
-use juniper_protocol::message::{CatalogBody, FleetNews, QuarantineUpdate};
+use juniper_protocol::message::{CatalogBody, FleetUpdate, QuarantineUpdate};
 use juniper_protocol::{Message, PeerRole, Push, Reply, Request};
 use juniper_types::{NodeId, ZoneName};
 use tokio::sync::watch;
@@ -227,13 +227,13 @@
     state: &FleetState,
     sent: Option<&SentFleet>,
     members: Vec<(NodeId, ZoneName)>,
-) -> FleetNews {
+) -> FleetUpdate {
     let (members, member_zones) = members.into_iter().unzip();
     let departures_sent = sent.map_or(0, |sent| sent.departures);
     let departed = state.departures().after(departures_sent);
     let departed = departed.map(|departure| (departure.name.clone(), departure.through));
     let (departures, departed_through) = departed.unzip();
-    FleetNews {
+    FleetUpdate {
         revision: state.revision(),
         catalog_version: state.catalog().map_or(0, |catalog| catalog.version),
         weights: state.weights().clone(),
--- a/crates/feed/src/actor.rs
+++ b/crates/feed/src/actor.rs
@@ -7,7 +7,7 @@
 
 use juniper_clock::BootInstant;
 use juniper_protocol::message::{
-    CatalogBody, FleetNews, RelayedUpdate, RenewalUpdate, RouterUpdate,
+    CatalogBody, FleetUpdate, RelayedUpdate, RenewalUpdate, RouterUpdate,
 };
 use juniper_protocol::{ClusterKey, PeerIdentity};
 use juniper_registry::{HeardInstance, InstanceName};
@@ -56,7 +56,7 @@
     },
     Disconnected,
     Told(Vec<RelayedUpdate>),
-    News(FleetNews),
+    News(FleetUpdate),
     Instances {
         heard: Vec<HeardInstance>,
         whole: bool,
--- a/crates/feed/src/fold.rs
+++ b/crates/feed/src/fold.rs
@@ -6,7 +6,7 @@
 
 use juniper_catalog::{Catalog, CatalogIndex};
 use juniper_protocol::message::{
-    CatalogBody, FleetNews, KnownVersion, QuarantineUpdate, RenewalUpdate,
+    CatalogBody, FleetUpdate, KnownVersion, QuarantineUpdate, RenewalUpdate,
 };
 use juniper_registry::{Departure, Directory, HeardInstance, InstanceId, InstanceName};
 use juniper_types::{NodeId, RequestFingerprint, Timestamp, ZoneName};
@@ -184,7 +184,7 @@
     }
 
     /// News of what the fleet agrees on.
-    pub fn news(&mut self, node: NodeId, news: FleetNews, now: Timestamp) -> FoldOutcome {
+    pub fn news(&mut self, node: NodeId, news: FleetUpdate, now: Timestamp) -> FoldOutcome {
         let departed = news.departed();
         let members = members_of(&news);
         let source = self.sources.entry(node).or_default();
@@ -329,7 +329,7 @@
 }
 
 /// The members that news name. A zone that replicas don't know counts as none.
-fn members_of(news: &FleetNews) -> BTreeMap<NodeId, Option<ZoneName>> {
+fn members_of(news: &FleetUpdate) -> BTreeMap<NodeId, Option<ZoneName>> {
     let zones = news.member_zones.iter().cloned().map(Some).chain(std::iter::repeat(None));
     let known = |zone: Option<ZoneName>| zone.filter(|zone| *zone != ZoneName::unknown());
     news.members.iter().copied().zip(zones.map(known)).collect()
--- a/crates/feed/tests/fold.rs
+++ b/crates/feed/tests/fold.rs
@@ -8,7 +8,7 @@
 use juniper_catalog::{Catalog, RequestLimits};
 use juniper_feed::FleetFold;
 use juniper_protocol::message::{
-    CatalogBody, FleetNews, KnownVersion, QuarantineUpdate, RenewalUpdate,
+    CatalogBody, FleetUpdate, KnownVersion, QuarantineUpdate, RenewalUpdate,
 };
 use juniper_registry::{
     HeardInstance, InstanceId, InstanceName, InstanceReport, InstanceState, ModelHolding, StartTime,
@@ -22,8 +22,8 @@
     Timestamp::from_millis(millis)
 }
 
-fn news(revision: u64, catalog_version: u64) -> FleetNews {
-    FleetNews {
+fn news(revision: u64, catalog_version: u64) -> FleetUpdate {
+    FleetUpdate {
         revision,
         catalog_version,
         weights: BTreeMap::new(),
@@ -112,7 +112,7 @@
 fn a_server_that_left_stays_away_whatever_heartbeats_say() {
     let mut fold = connected();
     fold.instances(FIRST, vec![heard("a", 1), heard("b", 1)], true, Timestamp::ZERO);
-    let left = FleetNews { departures: vec![InstanceName::new("a")], ..news(7, 0) };
+    let left = FleetUpdate { departures: vec![InstanceName::new("a")], ..news(7, 0) };
     assert!(fold.news(FIRST, left, at(0)).changed);
     fold.instances(SECOND, vec![heard("a", 9)], true, Timestamp::ZERO);
     assert_eq!(ids(&fold), ["b"]);
@@ -181,8 +181,8 @@
 fn each_version_of_weights_has_a_time_of_its_own() {
     let mut fold = connected();
     let named = |version| BTreeMap::from([("m".to_owned(), version)]);
-    fold.news(FIRST, FleetNews { weights: named(2), ..news(1, 0) }, at(1_000));
-    fold.news(FIRST, FleetNews { weights: named(3), ..news(2, 0) }, at(4_000));
+    fold.news(FIRST, FleetUpdate { weights: named(2), ..news(1, 0) }, at(1_000));
+    fold.news(FIRST, FleetUpdate { weights: named(3), ..news(2, 0) }, at(4_000));
     let wanted = &fold.view().weights["m"];
     let after = Duration::from_secs(5);
     assert_eq!(wanted.version(), 3);
@@ -217,7 +217,7 @@
 #[test]
 fn the_replica_that_has_applied_most_says_which_requests_are_in_quarantine() {
     let mut fold = FleetFold::default();
-    let told = |revision, quarantine| FleetNews { quarantine, ..news(revision, 0) };
+    let told = |revision, quarantine| FleetUpdate { quarantine, ..news(revision, 0) };
     fold.news(FIRST, told(1, quarantine(true, &[1, 2], &[])), at(0));
     fold.news(SECOND, told(1, quarantine(true, &[1, 2], &[])), at(0));
     assert_eq!(quarantined(&fold), [1, 2]);
--- a/crates/gateway/tests/paths/support/control.rs
+++ b/crates/gateway/tests/paths/support/control.rs
@@ -6,8 +6,8 @@
 
 use juniper_catalog::Catalog;
 use juniper_protocol::message::{
-    CatalogBody, ChargeAnswer, Cleared, Crash, CrashUpdate, FleetNews, LimitCharge, QuarantineCall,
-    Reachability, RelayedUpdate, RouterUpdate, ServerLimitNews, ServerNoticeNews,
+    CatalogBody, ChargeAnswer, Cleared, Crash, CrashUpdate, FleetUpdate, LimitCharge,
+    QuarantineCall, Reachability, RelayedUpdate, RouterUpdate, ServerLimitNews, ServerNoticeNews,
 };
 use juniper_protocol::{
     ClusterKey, Connection, Message, PeerRole, Push, Refusal, Reply, Request, accept,
@@ -293,7 +293,7 @@
 }
 
 fn news(said: &Said) -> Message {
-    Message::Push(Push::Fleet(FleetNews {
+    Message::Push(Push::Fleet(FleetUpdate {
         revision: REVISION,
         catalog_version: said.catalog.version,
         weights: BTreeMap::new(),
--- a/crates/protocol/src/fleet.rs
+++ b/crates/protocol/src/fleet.rs
@@ -232,7 +232,7 @@
 
 /// Replicated fleet state of generic services, in short form.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct FleetNews {
+pub struct FleetUpdate {
     /// Log position of the latest change.
     #[n(0)]
     pub revision: u64,
@@ -264,7 +264,7 @@
     pub member_zones: Vec<ZoneName>,
 }
 
-impl FleetNews {
+impl FleetUpdate {
     /// Latest departed incarnation of each departed server.
     pub fn departed(&self) -> Vec<InstanceId> {
         incarnations(self.departures.clone(), &self.departed_through)
--- a/crates/protocol/src/push.rs
+++ b/crates/protocol/src/push.rs
@@ -5,7 +5,7 @@
 use juniper_types::Revision;
 use minicbor::{Decode, Encode};
 
-use crate::fleet::{FleetNews, RenewalUpdate};
+use crate::fleet::{FleetUpdate, RenewalUpdate};
 
 /// Message pushed to a subscriber.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
@@ -36,7 +36,7 @@
     },
     /// Change of the replicated fleet state of generic services.
     #[n(3)]
-    Fleet(#[n(0)] FleetNews),
+    Fleet(#[n(0)] FleetUpdate),
     /// Servers observed by the control replicas.
     #[n(4)]
     Instances {
