--- a/crates/gateway/src/news.rs
+++ b/crates/gateway/src/news.rs
@@ -7,7 +7,7 @@
 use juniper_feed::RelayedBatch;
 use juniper_placement::{ChainSighting, Choice, Placement, Reporter, SightingBudget, ToldRequest};
 use juniper_protocol::message::{
-    DispatchReport, Reachability, RelayedUpdate, RouterUpdate, ServerLimitNews, ServerNoticeNews,
+    DispatchReport, Reachability, RelayedUpdate, RouterUpdate, ServerLimitUpdate, ServerNoticeNews,
 };
 use juniper_registry::{InstanceId, StartTime};
 use juniper_types::{NodeId, Timestamp};
@@ -83,7 +83,7 @@
 
     /// Notes what a server takes from all routers together. If too much waits, it is told with a
     /// later answer of the server.
-    pub(crate) fn push_limit(&self, limit: ServerLimitNews) {
+    pub(crate) fn push_limit(&self, limit: ServerLimitUpdate) {
         let mut news = lock(&self.news);
         let queued = news.server_limits.get_or_insert_default();
         queued.retain(|told| told.id() != limit.id());
--- a/crates/gateway/src/server_limits.rs
+++ b/crates/gateway/src/server_limits.rs
@@ -5,7 +5,7 @@
 
 use juniper_limits::{Allowance, Decider, RequestRate, StatedLimit, ToldLimit, Verdict};
 use juniper_placement::{Choice, HeardAt, LimitChange};
-use juniper_protocol::message::{LimitCharge, ServerLimitNews, server_account};
+use juniper_protocol::message::{LimitCharge, ServerLimitUpdate, server_account};
 use juniper_registry::InstanceId;
 use juniper_types::Timestamp;
 
@@ -78,7 +78,7 @@
     }
 
     /// Notes what another router tells.
-    pub(crate) fn learn_limit(&self, news: &ServerLimitNews) {
+    pub(crate) fn learn_limit(&self, news: &ServerLimitUpdate) {
         let instance = news.id();
         let Ok(rate) = RequestRate::of(news.per_second) else {
             log::warn!("event=server_limit_unreadable request=- instance={instance} reason=news");
@@ -93,7 +93,7 @@
 
     fn tell_limit(&self, instance: &InstanceId, now: Timestamp) {
         let Some(told) = self.placement().limit_news(instance, now) else { return };
-        self.news.push_limit(ServerLimitNews {
+        self.news.push_limit(ServerLimitUpdate {
             instance: instance.name().clone(),
             started: instance.started(),
             sequence: told.sequence,
--- a/crates/gateway/tests/paths/pauses.rs
+++ b/crates/gateway/tests/paths/pauses.rs
@@ -14,7 +14,7 @@
 
 use std::time::{Duration, Instant};
 
-use juniper_protocol::message::{RouterUpdate, ServerLimitNews, ServerNoticeNews};
+use juniper_protocol::message::{RouterUpdate, ServerLimitUpdate, ServerNoticeNews};
 use juniper_registry::StartTime;
 use tokio::time::sleep;
 
@@ -99,7 +99,7 @@
     let server = pausing_once("a", "3").await;
     let gateway = TestGateway::start(&[&server]).await;
     // The owner of the server's limit answers after 200 ms, and one question after the other.
-    let limit = ServerLimitNews {
+    let limit = ServerLimitUpdate {
         instance: server.report().name,
         started: StartTime::UNKNOWN,
         sequence: 9,
--- a/crates/gateway/tests/paths/server_limits.rs
+++ b/crates/gateway/tests/paths/server_limits.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-use juniper_protocol::message::{RouterUpdate, ServerLimitNews};
+use juniper_protocol::message::{RouterUpdate, ServerLimitUpdate};
 use juniper_registry::{InstanceName, StartTime};
 
 use crate::support::caller::{Answer, get};
@@ -41,7 +41,7 @@
 
 fn limit_of(server: &FakeServer, sequence: u64, is_over: bool) -> RouterUpdate {
     let (instance, started) = (server.report().name, StartTime::UNKNOWN);
-    let limit = ServerLimitNews { instance, started, sequence, per_second: 2.5, is_over };
+    let limit = ServerLimitUpdate { instance, started, sequence, per_second: 2.5, is_over };
     RouterUpdate { server_limits: Some(vec![limit]), ..RouterUpdate::default() }
 }
 
--- a/crates/gateway/tests/paths/support/control.rs
+++ b/crates/gateway/tests/paths/support/control.rs
@@ -7,7 +7,7 @@
 use juniper_catalog::Catalog;
 use juniper_protocol::message::{
     CatalogBody, ChargeAnswer, Cleared, Crash, CrashUpdate, FleetUpdate, LimitCharge,
-    QuarantineCall, Reachability, RelayedUpdate, RouterUpdate, ServerLimitNews, ServerNoticeNews,
+    QuarantineCall, Reachability, RelayedUpdate, RouterUpdate, ServerLimitUpdate, ServerNoticeNews,
 };
 use juniper_protocol::{
     ClusterKey, Connection, Message, PeerRole, Push, Refusal, Reply, Request, accept,
@@ -181,7 +181,7 @@
     }
 
     /// What the gateway has told of servers that state what they take.
-    pub fn told_limits(&self) -> Vec<ServerLimitNews> {
+    pub fn told_limits(&self) -> Vec<ServerLimitUpdate> {
         let told = self.said.told.lock().expect("no panic");
         told.iter().flat_map(|news| news.server_limits.clone().unwrap_or_default()).collect()
     }
--- a/crates/protocol/src/fleet.rs
+++ b/crates/protocol/src/fleet.rs
@@ -6,7 +6,7 @@
 use juniper_types::{NodeId, RequestFingerprint, ZoneName};
 use minicbor::{Decode, Encode};
 
-use crate::limits::ServerLimitNews;
+use crate::limits::ServerLimitUpdate;
 use crate::notices::ServerNoticeNews;
 
 /// Report that a router dispatched a request with these prefix segments to a server.
@@ -185,7 +185,7 @@
     /// Limits advertised by servers; usually absent, which takes no bytes.
     #[n(5)]
     #[cbor(default)]
-    pub server_limits: Option<Vec<ServerLimitNews>>,
+    pub server_limits: Option<Vec<ServerLimitUpdate>>,
     /// Servers that requested a backoff or announced their departure; usually absent, which takes
     /// no bytes.
     #[n(6)]
--- a/crates/protocol/src/limits.rs
+++ b/crates/protocol/src/limits.rs
@@ -41,7 +41,7 @@
 
 /// Advertised limit of a server, which applies to all routers together.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct ServerLimitNews {
+pub struct ServerLimitUpdate {
     /// Server that advertised the limit.
     #[n(0)]
     pub instance: InstanceName,
@@ -59,7 +59,7 @@
     pub is_over: bool,
 }
 
-impl ServerLimitNews {
+impl ServerLimitUpdate {
     /// Incarnation that advertised the limit.
     pub fn id(&self) -> InstanceId {
         InstanceId::started_at(self.instance.clone(), self.started)
--- a/crates/protocol/src/message.rs
+++ b/crates/protocol/src/message.rs
@@ -15,7 +15,7 @@
     CatalogBody, Cleared, Crash, CrashUpdate, DispatchReport, FleetUpdate, KnownVersion,
     QuarantineCall, QuarantineUpdate, Reachability, RelayedUpdate, RenewalUpdate, RouterUpdate,
 };
-pub use crate::limits::{ChargeAnswer, LimitCharge, ServerLimitNews, server_account};
+pub use crate::limits::{ChargeAnswer, LimitCharge, ServerLimitUpdate, server_account};
 pub use crate::notices::ServerNoticeNews;
 pub use crate::push::{Push, SettingsDelta};
 
