--- a/crates/gateway/src/news.rs
+++ b/crates/gateway/src/news.rs
@@ -7,7 +7,8 @@
 use juniper_feed::RelayedBatch;
 use juniper_placement::{ChainSighting, Choice, Placement, Reporter, SightingBudget, ToldRequest};
 use juniper_protocol::message::{
-    DispatchReport, Reachability, RelayedUpdate, RouterUpdate, ServerLimitUpdate, ServerNoticeNews,
+    DispatchReport, Reachability, RelayedUpdate, RouterUpdate, ServerLimitUpdate,
+    ServerNoticeUpdate,
 };
 use juniper_registry::{InstanceId, StartTime};
 use juniper_types::{NodeId, Timestamp};
@@ -94,7 +95,7 @@
     }
 
     /// Notes what a server asked of this router.
-    pub(crate) fn push_notice(&self, notice: ServerNoticeNews) {
+    pub(crate) fn push_notice(&self, notice: ServerNoticeUpdate) {
         let mut news = lock(&self.news);
         let queued = news.notices.get_or_insert_default();
         if queued.len() < MAX_QUEUED_SERVERS {
@@ -179,7 +180,7 @@
 /// Takes in what a server asked of another router.
 fn learn_notice(
     placement: &mut Placement,
-    notice: &ServerNoticeNews,
+    notice: &ServerNoticeUpdate,
     from: NodeId,
     now: Timestamp,
 ) {
--- a/crates/gateway/src/notices.rs
+++ b/crates/gateway/src/notices.rs
@@ -1,7 +1,7 @@
 //! What servers ask of this router in their answers: a pause, or nothing new since they leave.
 
 use juniper_limits::{ServerNotice, StatedDeparture, StatedPause};
-use juniper_protocol::message::ServerNoticeNews;
+use juniper_protocol::message::ServerNoticeUpdate;
 use juniper_registry::InstanceId;
 
 use crate::call::Call;
@@ -23,7 +23,7 @@
         let is_leaving = self.note_departure(instance, departure, request);
         if pause_ms > 0 || is_leaving {
             let (instance, started) = (instance.name().clone(), instance.started());
-            self.news.push_notice(ServerNoticeNews { instance, started, pause_ms, is_leaving });
+            self.news.push_notice(ServerNoticeUpdate { instance, started, pause_ms, is_leaving });
         }
     }
 
--- a/crates/gateway/tests/paths/leaving.rs
+++ b/crates/gateway/tests/paths/leaving.rs
@@ -10,7 +10,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-use juniper_protocol::message::{RouterUpdate, ServerNoticeNews};
+use juniper_protocol::message::{RouterUpdate, ServerNoticeUpdate};
 use juniper_registry::StartTime;
 use tokio::time::sleep;
 
@@ -91,7 +91,7 @@
     let (elsewhere, other) = (good("c").await, good("d").await);
     let gateway = TestGateway::start(&[&elsewhere, &other]).await;
     let (instance, started) = (elsewhere.report().name, StartTime::UNKNOWN);
-    let notice = ServerNoticeNews { instance, started, pause_ms: 0, is_leaving: true };
+    let notice = ServerNoticeUpdate { instance, started, pause_ms: 0, is_leaving: true };
     let news = RouterUpdate { notices: Some(vec![notice]), ..RouterUpdate::default() };
     gateway.control.relay(2, "north", news);
     sleep(Duration::from_millis(100)).await;
--- a/crates/gateway/tests/paths/pauses.rs
+++ b/crates/gateway/tests/paths/pauses.rs
@@ -14,7 +14,7 @@
 
 use std::time::{Duration, Instant};
 
-use juniper_protocol::message::{RouterUpdate, ServerLimitUpdate, ServerNoticeNews};
+use juniper_protocol::message::{RouterUpdate, ServerLimitUpdate, ServerNoticeUpdate};
 use juniper_registry::StartTime;
 use tokio::time::sleep;
 
@@ -152,7 +152,7 @@
 /// What another router tells that was asked for a pause.
 fn told_of_pause(server: &FakeServer, pause_ms: u64) -> RouterUpdate {
     let (instance, started) = (server.report().name, StartTime::UNKNOWN);
-    let notice = ServerNoticeNews { instance, started, pause_ms, is_leaving: false };
+    let notice = ServerNoticeUpdate { instance, started, pause_ms, is_leaving: false };
     RouterUpdate { notices: Some(vec![notice]), ..RouterUpdate::default() }
 }
 
--- a/crates/gateway/tests/paths/support/control.rs
+++ b/crates/gateway/tests/paths/support/control.rs
@@ -7,7 +7,8 @@
 use juniper_catalog::Catalog;
 use juniper_protocol::message::{
     CatalogBody, ChargeAnswer, Cleared, Crash, CrashUpdate, FleetUpdate, LimitCharge,
-    QuarantineCall, Reachability, RelayedUpdate, RouterUpdate, ServerLimitUpdate, ServerNoticeNews,
+    QuarantineCall, Reachability, RelayedUpdate, RouterUpdate, ServerLimitUpdate,
+    ServerNoticeUpdate,
 };
 use juniper_protocol::{
     ClusterKey, Connection, Message, PeerRole, Push, Refusal, Reply, Request, accept,
@@ -187,7 +188,7 @@
     }
 
     /// What the gateway has told of what servers asked of it.
-    pub fn told_notices(&self) -> Vec<ServerNoticeNews> {
+    pub fn told_notices(&self) -> Vec<ServerNoticeUpdate> {
         let told = self.said.told.lock().expect("no panic");
         told.iter().flat_map(|news| news.notices.clone().unwrap_or_default()).collect()
     }
--- a/crates/protocol/src/fleet.rs
+++ b/crates/protocol/src/fleet.rs
@@ -7,7 +7,7 @@
 use minicbor::{Decode, Encode};
 
 use crate::limits::ServerLimitUpdate;
-use crate::notices::ServerNoticeNews;
+use crate::notices::ServerNoticeUpdate;
 
 /// Report that a router dispatched a request with these prefix segments to a server.
 ///
@@ -190,7 +190,7 @@
     /// no bytes.
     #[n(6)]
     #[cbor(default)]
-    pub notices: Option<Vec<ServerNoticeNews>>,
+    pub notices: Option<Vec<ServerNoticeUpdate>>,
 }
 
 impl RouterUpdate {
--- a/crates/protocol/src/message.rs
+++ b/crates/protocol/src/message.rs
@@ -16,7 +16,7 @@
     QuarantineCall, QuarantineUpdate, Reachability, RelayedUpdate, RenewalUpdate, RouterUpdate,
 };
 pub use crate::limits::{ChargeAnswer, LimitCharge, ServerLimitUpdate, server_account};
-pub use crate::notices::ServerNoticeNews;
+pub use crate::notices::ServerNoticeUpdate;
 pub use crate::push::{Push, SettingsDelta};
 
 /// Encodes `value` as CBOR.
--- a/crates/protocol/src/notices.rs
+++ b/crates/protocol/src/notices.rs
@@ -7,7 +7,7 @@
 
 /// Backoff or departure that a server requested in an answer to the reporting router.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct ServerNoticeNews {
+pub struct ServerNoticeUpdate {
     /// Server that sent the answer.
     #[n(0)]
     pub instance: InstanceName,
@@ -22,7 +22,7 @@
     pub is_leaving: bool,
 }
 
-impl ServerNoticeNews {
+impl ServerNoticeUpdate {
     /// Incarnation that sent the answer.
     pub fn id(&self) -> InstanceId {
         InstanceId::started_at(self.instance.clone(), self.started)
--- a/crates/protocol/tests/sizes.rs
+++ b/crates/protocol/tests/sizes.rs
@@ -1,7 +1,7 @@
 //! Size limits of frequent messages, on which docs/CAPACITY.md relies.
 
 use juniper_protocol::message::{
-    Crash, CrashUpdate, DispatchReport, RelayedUpdate, RouterUpdate, ServerNoticeNews, encode,
+    Crash, CrashUpdate, DispatchReport, RelayedUpdate, RouterUpdate, ServerNoticeUpdate, encode,
 };
 use juniper_protocol::{Message, Reply, Request};
 use juniper_registry::{InstanceName, StartTime};
@@ -105,7 +105,7 @@
 
 #[test]
 fn server_notice_size_and_no_overhead_without_notices() {
-    let notice = || ServerNoticeNews {
+    let notice = || ServerNoticeUpdate {
         instance: InstanceName::new("i-0123456789"),
         started: StartTime::from_unix_ms(1_784_840_000_000),
         pause_ms: 30_000,
@@ -132,7 +132,7 @@
         #[cbor(default)]
         ended: Vec<u16>,
     }
-    let notice = ServerNoticeNews {
+    let notice = ServerNoticeUpdate {
         instance: InstanceName::new("i-1"),
         started: StartTime::UNKNOWN,
         pause_ms: 3_000,
