--- a/crates/control/src/internal/quarantine.rs
+++ b/crates/control/src/internal/quarantine.rs
@@ -1,7 +1,7 @@
 //! Records which requests are sent to no server any more.
 
 use juniper_control_state::{Command, QuarantinedRequest};
-use juniper_protocol::message::QuarantineCall;
+use juniper_protocol::message::QuarantineRequest;
 use juniper_protocol::{Refusal, Reply};
 use juniper_types::RequestFingerprint;
 
@@ -16,8 +16,8 @@
 const MAX_NAME_BYTES: usize = 256;
 
 /// Records a request whose servers ended, unless it is recorded already.
-pub(super) async fn record(face: &InternalFace, peer: &Peer, call: QuarantineCall) -> Reply {
-    let QuarantineCall { request, servers } = call;
+pub(super) async fn record(face: &InternalFace, peer: &Peer, call: QuarantineRequest) -> Reply {
+    let QuarantineRequest { request, servers } = call;
     let is_bounded = servers.len() <= MAX_SERVERS
         && servers.iter().all(|server| server.as_str().len() <= MAX_NAME_BYTES);
     if !is_bounded {
--- a/crates/control/tests/daemons/group_operator.rs
+++ b/crates/control/tests/daemons/group_operator.rs
@@ -2,7 +2,7 @@
 
 use crate::support::group::Group;
 use crate::support::{Daemon, PATIENCE, key, put_zone, router_identity};
-use juniper_protocol::message::QuarantineCall;
+use juniper_protocol::message::QuarantineRequest;
 use juniper_protocol::{Message, Push, Reply, Request, connect};
 use juniper_registry::InstanceName;
 use juniper_types::{RequestFingerprint, Revision};
@@ -151,7 +151,7 @@
     let group = Group::start().await;
     let request = RequestFingerprint([0xab; 16]);
     let servers = ["i-1", "i-2", "i-3"].map(InstanceName::new).to_vec();
-    let record = Request::Quarantine(QuarantineCall { request, servers });
+    let record = Request::Quarantine(QuarantineRequest { request, servers });
     for node in [1, 2] {
         assert_eq!(group.call(node, &record).await, Reply::Done);
     }
--- a/crates/crash-watch/src/watch.rs
+++ b/crates/crash-watch/src/watch.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use juniper_feed::{Feed, FleetView, RelayedBatch};
-use juniper_protocol::message::{CrashUpdate, QuarantineCall, RelayedUpdate, RouterUpdate};
+use juniper_protocol::message::{CrashUpdate, QuarantineRequest, RelayedUpdate, RouterUpdate};
 use juniper_quarantine::{
     Clearance, Counted, CrashCounts, CrashProof, CrashReport, CutRequest, CutRequests, EndedWell,
     Report, Retelling, ServerCrash,
@@ -279,7 +279,7 @@
         };
         for unrecorded in due {
             let servers = unrecorded.servers.iter().map(|server| server.name().clone()).collect();
-            let call = QuarantineCall { request: unrecorded.request, servers };
+            let call = QuarantineRequest { request: unrecorded.request, servers };
             self.feed.record_quarantine(call, turn).await;
         }
     }
--- a/crates/feed/src/feed.rs
+++ b/crates/feed/src/feed.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use juniper_clock::BootInstant;
-use juniper_protocol::message::{ChargeAnswer, LimitCharge, QuarantineCall, RouterUpdate};
+use juniper_protocol::message::{ChargeAnswer, LimitCharge, QuarantineRequest, RouterUpdate};
 use juniper_types::{NodeId, RequestFingerprint};
 use kameo::actor::{ActorRef, Spawn};
 use kameo::mailbox;
@@ -101,7 +101,7 @@
 
     /// Has a request recorded as one that is sent to no server any more. `rank` says which replica
     /// is asked; whoever asks again takes the next one. The view tells when it is recorded.
-    pub async fn record_quarantine(&self, call: QuarantineCall, rank: usize) {
+    pub async fn record_quarantine(&self, call: QuarantineRequest, rank: usize) {
         // A feed that has ended reaches nobody.
         let _ = self.actor.tell(RecordQuarantine { call, rank }).await;
     }
--- a/crates/feed/src/link.rs
+++ b/crates/feed/src/link.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use juniper_clock::BootInstant;
-use juniper_protocol::message::{QuarantineCall, RouterUpdate};
+use juniper_protocol::message::{QuarantineRequest, RouterUpdate};
 use juniper_protocol::{
     BuildLevel, ClusterKey, Connection, FrameError, FrameReader, FrameWriter, HandshakeError,
     Message, PeerIdentity, Push, Reply, Request, connect,
@@ -96,7 +96,7 @@
     /// No server has run what was counted.
     GiveBack { account: String, units: f64 },
     /// Record that a request is sent to no server any more.
-    Quarantine(QuarantineCall),
+    Quarantine(QuarantineRequest),
     /// Record that a request may be sent again.
     Release(RequestFingerprint),
 }
--- a/crates/feed/src/replica_calls.rs
+++ b/crates/feed/src/replica_calls.rs
@@ -1,6 +1,6 @@
 //! Calls of this node to one of the replicas, which the actor hands to the link of that replica.
 
-use juniper_protocol::message::QuarantineCall;
+use juniper_protocol::message::QuarantineRequest;
 use juniper_types::RequestFingerprint;
 use kameo::message::{Context, Message};
 
@@ -49,7 +49,7 @@
 /// Have a request recorded as one that is sent to no server any more, by the connected replica
 /// that comes at `rank` in the request's order.
 pub(crate) struct RecordQuarantine {
-    pub(crate) call: QuarantineCall,
+    pub(crate) call: QuarantineRequest,
     pub(crate) rank: usize,
 }
 
--- a/crates/gateway/tests/paths/support/control.rs
+++ b/crates/gateway/tests/paths/support/control.rs
@@ -7,7 +7,7 @@
 use juniper_catalog::Catalog;
 use juniper_protocol::message::{
     CatalogBody, ChargeAnswer, Cleared, Crash, CrashUpdate, FleetUpdate, LimitCharge,
-    QuarantineCall, Reachability, RelayedUpdate, RouterUpdate, ServerLimitUpdate,
+    QuarantineRequest, Reachability, RelayedUpdate, RouterUpdate, ServerLimitUpdate,
     ServerNoticeUpdate,
 };
 use juniper_protocol::{
@@ -42,7 +42,7 @@
     /// What the gateway has told the other routers.
     told: Mutex<Vec<RouterUpdate>>,
     /// Requests that the gateway asked to have recorded as in quarantine.
-    quarantined: Mutex<Vec<QuarantineCall>>,
+    quarantined: Mutex<Vec<QuarantineRequest>>,
     /// What other routers tell the gateway.
     relayed: broadcast::Sender<RelayedUpdate>,
 }
@@ -159,7 +159,7 @@
     }
 
     /// Requests that the gateway asked to have recorded as in quarantine.
-    pub fn quarantined(&self) -> Vec<QuarantineCall> {
+    pub fn quarantined(&self) -> Vec<QuarantineRequest> {
         self.said.quarantined.lock().expect("no panic").clone()
     }
 
--- a/crates/protocol/src/fleet.rs
+++ b/crates/protocol/src/fleet.rs
@@ -138,7 +138,7 @@
 
 /// Request to quarantine a fingerprint, so that no router dispatches it.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct QuarantineCall {
+pub struct QuarantineRequest {
     /// Request to quarantine.
     #[n(0)]
     pub request: RequestFingerprint,
--- a/crates/protocol/src/message.rs
+++ b/crates/protocol/src/message.rs
@@ -13,7 +13,7 @@
 
 pub use crate::fleet::{
     CatalogBody, Cleared, Crash, CrashUpdate, DispatchReport, FleetUpdate, KnownVersion,
-    QuarantineCall, QuarantineUpdate, Reachability, RelayedUpdate, RenewalUpdate, RouterUpdate,
+    QuarantineRequest, QuarantineUpdate, Reachability, RelayedUpdate, RenewalUpdate, RouterUpdate,
 };
 pub use crate::limits::{ChargeAnswer, LimitCharge, ServerLimitUpdate, server_account};
 pub use crate::notices::ServerNoticeUpdate;
@@ -239,7 +239,7 @@
     },
     /// Router to control: quarantine a request, so that no router dispatches it.
     #[n(16)]
-    Quarantine(#[n(0)] QuarantineCall),
+    Quarantine(#[n(0)] QuarantineRequest),
     /// Router to control: release a quarantined request that has completed normally.
     #[n(17)]
     Release(#[n(0)] RequestFingerprint),
