--- a/crates/crash-watch/src/outbox.rs
+++ b/crates/crash-watch/src/outbox.rs
@@ -3,7 +3,7 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
-use juniper_protocol::message::{Cleared, Crash, CrashUpdate};
+use juniper_protocol::message::{Crash, CrashClearance, CrashUpdate};
 use juniper_quarantine::{Clearance, CrashReport, Report};
 use tokio::sync::Notify;
 
@@ -29,7 +29,7 @@
         match report {
             Report::Crash(report) => news.crashes.push(message(report)),
             Report::Clear(Clearance { request, instances }) => {
-                news.cleared.push(Cleared::of(*request, instances));
+                news.cleared.push(CrashClearance::of(*request, instances));
             }
         }
         drop(news);
--- a/crates/gateway/tests/paths/support/control.rs
+++ b/crates/gateway/tests/paths/support/control.rs
@@ -6,7 +6,7 @@
 
 use juniper_catalog::Catalog;
 use juniper_protocol::message::{
-    CatalogBody, ChargeAnswer, Cleared, Crash, CrashUpdate, FleetUpdate, LimitCharge,
+    CatalogBody, ChargeAnswer, Crash, CrashClearance, CrashUpdate, FleetUpdate, LimitCharge,
     QuarantineRequest, Reachability, RelayedUpdate, RouterUpdate, ServerLimitUpdate,
     ServerNoticeUpdate,
 };
@@ -164,7 +164,7 @@
     }
 
     /// Ends of servers under requests that the gateway has told of, and those that it took back.
-    pub fn told_crashes(&self) -> (Vec<Crash>, Vec<Cleared>) {
+    pub fn told_crashes(&self) -> (Vec<Crash>, Vec<CrashClearance>) {
         let told = self.said.told.lock().expect("no panic");
         let crashes = told.iter().filter_map(|news| news.crashes.clone());
         let mut all = CrashUpdate::default();
--- a/crates/protocol/src/fleet.rs
+++ b/crates/protocol/src/fleet.rs
@@ -99,7 +99,7 @@
 
 /// Report that a request completed, so earlier crashes under it no longer count against it.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct Cleared {
+pub struct CrashClearance {
     /// Request that completed.
     #[n(0)]
     pub request: RequestFingerprint,
@@ -112,11 +112,11 @@
     pub starts: Vec<StartTime>,
 }
 
-impl Cleared {
+impl CrashClearance {
     /// Clears `request` of the crashes of these incarnations.
     pub fn of(request: RequestFingerprint, cleared: &[InstanceId]) -> Self {
         let (instances, starts) = names_and_starts(cleared);
-        Cleared { request, instances, starts }
+        CrashClearance { request, instances, starts }
     }
 
     /// Incarnations whose crashes no longer count.
@@ -133,7 +133,7 @@
     pub crashes: Vec<Crash>,
     /// Requests cleared of earlier crashes.
     #[n(1)]
-    pub cleared: Vec<Cleared>,
+    pub cleared: Vec<CrashClearance>,
 }
 
 /// Request to quarantine a fingerprint, so that no router dispatches it.
--- a/crates/protocol/src/message.rs
+++ b/crates/protocol/src/message.rs
@@ -12,7 +12,7 @@
 use minicbor::{Decode, Decoder, Encode};
 
 pub use crate::fleet::{
-    CatalogBody, Cleared, Crash, CrashUpdate, DispatchReport, FleetUpdate, KnownVersion,
+    CatalogBody, Crash, CrashClearance, CrashUpdate, DispatchReport, FleetUpdate, KnownVersion,
     QuarantineRequest, QuarantineUpdate, Reachability, RelayedUpdate, RenewalUpdate, RouterUpdate,
 };
 pub use crate::limits::{ChargeAnswer, LimitCharge, ServerLimitUpdate, server_account};
