--- a/crates/protocol/src/connection.rs
+++ b/crates/protocol/src/connection.rs
@@ -13,7 +13,8 @@
 
 use crate::frame::{FRAME_HEADER_BYTES, FrameError, read_frame, write_frame};
 use crate::handshake::{
-    BuildLevel, ClusterKey, HandshakeError, PeerIdentity, ProvedPeer, as_acceptor, as_connector,
+    AuthenticatedPeer, BuildLevel, ClusterKey, HandshakeError, PeerIdentity, as_acceptor,
+    as_connector,
 };
 use crate::message::{Message, decode_message, encode};
 
@@ -140,7 +141,7 @@
 
 fn split_connection(
     stream: TcpStream,
-    ProvedPeer { identity: peer, level }: ProvedPeer,
+    AuthenticatedPeer { identity: peer, level }: AuthenticatedPeer,
 ) -> Connection {
     let (reader, writer) = stream.into_split();
     let reader = FrameReader { stream: BufReader::new(reader), traffic: None };
--- a/crates/protocol/src/handshake.rs
+++ b/crates/protocol/src/handshake.rs
@@ -96,7 +96,7 @@
 
 /// Peer that has proved the cluster key.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ProvedPeer {
+pub struct AuthenticatedPeer {
     /// Identity of the peer.
     pub identity: PeerIdentity,
     /// Build level of the peer.
@@ -150,7 +150,7 @@
     stream: &mut S,
     key: &ClusterKey,
     own: &PeerIdentity,
-) -> Result<ProvedPeer, HandshakeError>
+) -> Result<AuthenticatedPeer, HandshakeError>
 where
     S: AsyncRead + AsyncWrite + Unpin,
 {
@@ -163,7 +163,7 @@
     stream: &mut S,
     key: &ClusterKey,
     own: &PeerIdentity,
-) -> Result<ProvedPeer, HandshakeError>
+) -> Result<AuthenticatedPeer, HandshakeError>
 where
     S: AsyncRead + AsyncWrite + Unpin,
 {
@@ -176,7 +176,7 @@
     key: &ClusterKey,
     own: &PeerIdentity,
     direction: u8,
-) -> Result<ProvedPeer, HandshakeError>
+) -> Result<AuthenticatedPeer, HandshakeError>
 where
     S: AsyncRead + AsyncWrite + Unpin,
 {
@@ -194,7 +194,7 @@
     let expected = key.proof(1 - direction, connector, acceptor);
     let received = read_frame(stream).await?;
     if bool::from(expected.as_slice().ct_eq(&received)) {
-        Ok(ProvedPeer { identity: peer.identity, level: peer.level })
+        Ok(AuthenticatedPeer { identity: peer.identity, level: peer.level })
     } else {
         Err(HandshakeError::WrongKey)
     }
