--- a/crates/control/src/peers/link.rs
+++ b/crates/control/src/peers/link.rs
@@ -11,7 +11,7 @@
 
 use juniper_protocol::message::encode;
 use juniper_protocol::{
-    CallAnswer, CallError, ClusterKey, Connection, IncomingFrame, OpenCalls, PeerIdentity, Reply,
+    CallError, ClusterKey, Connection, IncomingFrame, OpenCalls, PeerIdentity, Reply, ReplySender,
     Request, connect,
 };
 use juniper_types::NodeId;
@@ -133,7 +133,7 @@
 /// A call, and where its reply goes.
 struct SendCall {
     request: Request,
-    answer: CallAnswer,
+    answer: ReplySender,
 }
 
 impl Message<SendCall> for LinkActor {
--- a/crates/protocol/src/calls.rs
+++ b/crates/protocol/src/calls.rs
@@ -26,7 +26,7 @@
 }
 
 /// Sender for the result of a call.
-pub type CallAnswer = oneshot::Sender<Result<Reply, CallError>>;
+pub type ReplySender = oneshot::Sender<Result<Reply, CallError>>;
 
 /// Event from the reader task of a connection.
 #[derive(Debug)]
@@ -64,7 +64,7 @@
     writer: Option<FrameWriter>,
     generation: u64,
     next_call: u64,
-    pending: HashMap<u64, CallAnswer>,
+    pending: HashMap<u64, ReplySender>,
 }
 
 impl OpenCalls {
@@ -86,7 +86,7 @@
     }
 
     /// Registers a call and returns the message to send.
-    pub fn begin(&mut self, request: Request, answer: CallAnswer) -> Message {
+    pub fn begin(&mut self, request: Request, answer: ReplySender) -> Message {
         self.next_call += 1;
         self.pending.insert(self.next_call, answer);
         Message::Request { call: self.next_call, request }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -15,7 +15,7 @@
 pub mod notices;
 pub mod push;
 
-pub use calls::{CallAnswer, CallError, GenerationReader, IncomingFrame, OpenCalls};
+pub use calls::{CallError, GenerationReader, IncomingFrame, OpenCalls, ReplySender};
 pub use connection::{Connection, FrameReader, FrameWriter, Traffic, accept, connect};
 pub use frame::{FrameError, MAX_FRAME_BYTES, PROTOCOL_VERSION};
 pub use handshake::{
--- a/crates/router/src/link.rs
+++ b/crates/router/src/link.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use juniper_protocol::{
-    CallAnswer, CallError, ClusterKey, IncomingFrame, OpenCalls, PeerIdentity, Reply, Request,
+    CallError, ClusterKey, IncomingFrame, OpenCalls, PeerIdentity, Reply, ReplySender, Request,
     Traffic, connect,
 };
 use kameo::Actor;
@@ -56,7 +56,7 @@
 /// A call to send, and where its reply goes.
 pub struct SendCall {
     request: Request,
-    answer: CallAnswer,
+    answer: ReplySender,
 }
 
 impl Message<SendCall> for LinkActor {
