--- a/crates/control/src/internal/session.rs
+++ b/crates/control/src/internal/session.rs
@@ -169,11 +169,11 @@
                 hand_to_replica(&face, &peer, &payload).await?;
                 continue;
             }
-            Ok(Message::RouterNews(news)) if peer.identity.role == PeerRole::Router => {
+            Ok(Message::RouterUpdate(news)) if peer.identity.role == PeerRole::Router => {
                 face.relay.hear_router(&peer.identity, news);
                 continue;
             }
-            Ok(Message::RelayedNews(told)) if peer.identity.role == PeerRole::Control => {
+            Ok(Message::RelayedUpdate(told)) if peer.identity.role == PeerRole::Control => {
                 face.relay.hear_replica(told);
                 continue;
             }
--- a/crates/crash-watch/src/watch.rs
+++ b/crates/crash-watch/src/watch.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use juniper_feed::{Feed, FleetView, RelayedBatch};
-use juniper_protocol::message::{CrashNews, QuarantineCall, RelayedNews, RouterNews};
+use juniper_protocol::message::{CrashUpdate, QuarantineRequest, RelayedUpdate, RouterUpdate};
 use juniper_quarantine::{
     Clearance, Counted, CrashCounts, CrashProof, CrashReport, CutRequest, CutRequests, EndedWell,
     Report, Retelling, ServerCrash,
@@ -211,7 +211,7 @@
     }
 
     /// Takes in what another router reports.
-    fn hear(&self, from: NodeId, news: &CrashNews) {
+    fn hear(&self, from: NodeId, news: &CrashUpdate) {
         let from = from.to_string();
         for crash in &news.crashes {
             let after_ms = rand::rng().random_range(OTHERS_RECORD_AFTER_MS);
@@ -224,7 +224,7 @@
     }
 
     fn hear_batch(&self, batch: &RelayedBatch) {
-        for RelayedNews { from, news, .. } in batch.iter() {
+        for RelayedUpdate { from, news, .. } in batch.iter() {
             if let Some(crashes) = &news.crashes {
                 self.hear(*from, crashes);
             }
@@ -247,7 +247,7 @@
                     Err(RecvError::Closed) => return,
                 },
                 crashes = self.outbox.next() => {
-                    let news = RouterNews { crashes: Some(crashes), ..RouterNews::default() };
+                    let news = RouterUpdate { crashes: Some(crashes), ..RouterUpdate::default() };
                     self.feed.tell(news).await;
                 }
                 // Nearly always there is nothing to keep, and no reason to wake up.
@@ -279,7 +279,7 @@
         };
         for unrecorded in due {
             let servers = unrecorded.servers.iter().map(|server| server.name().clone()).collect();
-            let call = QuarantineCall { request: unrecorded.request, servers };
+            let call = QuarantineRequest { request: unrecorded.request, servers };
             self.feed.record_quarantine(call, turn).await;
         }
     }
--- a/crates/feed/src/actor.rs
+++ b/crates/feed/src/actor.rs
@@ -6,7 +6,9 @@
 use std::time::Duration;
 
 use juniper_clock::BootInstant;
-use juniper_protocol::message::{CatalogBody, FleetNews, RelayedNews, RenewalNews, RouterNews};
+use juniper_protocol::message::{
+    CatalogBody, FleetUpdate, RelayedUpdate, RenewalUpdate, RouterUpdate,
+};
 use juniper_protocol::{ClusterKey, PeerIdentity};
 use juniper_registry::{HeardInstance, InstanceName};
 use juniper_types::{NodeId, Timestamp, ZoneName};
@@ -25,7 +27,7 @@
 const RETRY_INTERVAL: Duration = Duration::from_millis(400);
 
 /// What several routers told.
-pub type RelayedBatch = Arc<Vec<RelayedNews>>;
+pub type RelayedBatch = Arc<Vec<RelayedUpdate>>;
 
 /// What a feed needs.
 pub struct FeedSettings {
@@ -53,8 +55,8 @@
         zone: ZoneName,
     },
     Disconnected,
-    Told(Vec<RelayedNews>),
-    News(FleetNews),
+    Told(Vec<RelayedUpdate>),
+    News(FleetUpdate),
     Instances {
         heard: Vec<HeardInstance>,
         whole: bool,
@@ -62,7 +64,7 @@
         /// Whether it is what all replicas know, and not what this one has heard itself.
         of_fleet: bool,
     },
-    Renewals(RenewalNews),
+    Renewals(RenewalUpdate),
     Catalog(Option<CatalogBody>),
     Confirmed {
         at: BootInstant,
@@ -226,7 +228,7 @@
 }
 
 /// Tell the other routers.
-pub(crate) struct TellRouters(pub(crate) RouterNews);
+pub(crate) struct TellRouters(pub(crate) RouterUpdate);
 
 impl Message<TellRouters> for FeedActor {
     type Reply = ();
@@ -257,7 +259,7 @@
 
     /// Hands on what other routers tell. One message goes to all listeners, so what this
     /// router told comes back to it.
-    fn hear(&self, mut told: Vec<RelayedNews>) {
+    fn hear(&self, mut told: Vec<RelayedUpdate>) {
         let own = self.settings.own.node;
         told.retain(|told| told.from != own);
         if !told.is_empty() {
--- a/crates/feed/tests/fold.rs
+++ b/crates/feed/tests/fold.rs
@@ -8,7 +8,7 @@
 use juniper_catalog::{Catalog, RequestLimits};
 use juniper_feed::FleetFold;
 use juniper_protocol::message::{
-    CatalogBody, FleetNews, KnownVersion, QuarantineNews, RenewalNews,
+    CatalogBody, FleetUpdate, KnownVersion, QuarantineUpdate, RenewalUpdate,
 };
 use juniper_registry::{
     HeardInstance, InstanceId, InstanceName, InstanceReport, InstanceState, ModelHolding, StartTime,
@@ -22,8 +22,8 @@
     Timestamp::from_millis(millis)
 }
 
-fn news(revision: u64, catalog_version: u64) -> FleetNews {
-    FleetNews {
+fn news(revision: u64, catalog_version: u64) -> FleetUpdate {
+    FleetUpdate {
         revision,
         catalog_version,
         weights: BTreeMap::new(),
@@ -112,7 +112,7 @@
 fn a_server_that_left_stays_away_whatever_heartbeats_say() {
     let mut fold = connected();
     fold.instances(FIRST, vec![heard("a", 1), heard("b", 1)], true, Timestamp::ZERO);
-    let left = FleetNews { departures: vec![InstanceName::new("a")], ..news(7, 0) };
+    let left = FleetUpdate { departures: vec![InstanceName::new("a")], ..news(7, 0) };
     assert!(fold.news(FIRST, left, at(0)).changed);
     fold.instances(SECOND, vec![heard("a", 9)], true, Timestamp::ZERO);
     assert_eq!(ids(&fold), ["b"]);
@@ -127,7 +127,7 @@
     assert_eq!(ids(&fold), ["a"]);
 }
 
-fn renewing(under_way: &[&str], ended: &[&str], versions: &[(&str, u64)]) -> RenewalNews {
+fn renewing(under_way: &[&str], ended: &[&str], versions: &[(&str, u64)]) -> RenewalUpdate {
     let ids = |ids: &[&str]| ids.iter().map(InstanceId::new).collect::<Vec<_>>();
     let version = |(id, version): &(&str, u64)| KnownVersion {
         instance: InstanceName::new(id),
@@ -136,7 +136,7 @@
         version: *version,
     };
     let versions = versions.iter().map(version).collect();
-    let news = RenewalNews { versions, ..RenewalNews::default() };
+    let news = RenewalUpdate { versions, ..RenewalUpdate::default() };
     news.with_servers(&ids(under_way), &ids(ended))
 }
 
@@ -158,7 +158,7 @@
     fold.renewals(FIRST, renewing(&["a", "b"], &[], &[]));
     fold.renewals(FIRST, renewing(&["c"], &["a"], &[]));
     assert_eq!(ids(&fold), ["b", "c"].map(InstanceId::new));
-    fold.renewals(FIRST, RenewalNews { is_whole: true, ..renewing(&["d"], &[], &[]) });
+    fold.renewals(FIRST, RenewalUpdate { is_whole: true, ..renewing(&["d"], &[], &[]) });
     assert_eq!(ids(&fold), ["d"].map(InstanceId::new));
 }
 
@@ -181,8 +181,8 @@
 fn each_version_of_weights_has_a_time_of_its_own() {
     let mut fold = connected();
     let named = |version| BTreeMap::from([("m".to_owned(), version)]);
-    fold.news(FIRST, FleetNews { weights: named(2), ..news(1, 0) }, at(1_000));
-    fold.news(FIRST, FleetNews { weights: named(3), ..news(2, 0) }, at(4_000));
+    fold.news(FIRST, FleetUpdate { weights: named(2), ..news(1, 0) }, at(1_000));
+    fold.news(FIRST, FleetUpdate { weights: named(3), ..news(2, 0) }, at(4_000));
     let wanted = &fold.view().weights["m"];
     let after = Duration::from_secs(5);
     assert_eq!(wanted.version(), 3);
@@ -205,9 +205,9 @@
     assert_eq!(fold.routers(), 3);
 }
 
-fn quarantine(is_whole: bool, added: &[u8], released: &[u8]) -> Option<QuarantineNews> {
+fn quarantine(is_whole: bool, added: &[u8], released: &[u8]) -> Option<QuarantineUpdate> {
     let named = |numbers: &[u8]| numbers.iter().map(|it| RequestFingerprint([*it; 16])).collect();
-    Some(QuarantineNews { is_whole, added: named(added), released: named(released) })
+    Some(QuarantineUpdate { is_whole, added: named(added), released: named(released) })
 }
 
 fn quarantined(fold: &FleetFold) -> Vec<u8> {
@@ -217,7 +217,7 @@
 #[test]
 fn the_replica_that_has_applied_most_says_which_requests_are_in_quarantine() {
     let mut fold = FleetFold::default();
-    let told = |revision, quarantine| FleetNews { quarantine, ..news(revision, 0) };
+    let told = |revision, quarantine| FleetUpdate { quarantine, ..news(revision, 0) };
     fold.news(FIRST, told(1, quarantine(true, &[1, 2], &[])), at(0));
     fold.news(SECOND, told(1, quarantine(true, &[1, 2], &[])), at(0));
     assert_eq!(quarantined(&fold), [1, 2]);
@@ -244,7 +244,7 @@
     let mut fold = connected();
     fold.instances(FIRST, vec![started(100)], true, at(0));
     let first = started(100).report.id();
-    fold.renewals(FIRST, RenewalNews::default().with_servers([&first], []));
+    fold.renewals(FIRST, RenewalUpdate::default().with_servers([&first], []));
     assert!(fold.view().renewing.contains(&first));
     fold.instances(SECOND, vec![started(200)], true, at(1));
     let known = fold.view().instances.iter().next().expect("a server").id.clone();
@@ -255,6 +255,6 @@
         model: "m".to_owned(),
         version: 9,
     };
-    fold.renewals(FIRST, RenewalNews { versions: vec![version], ..RenewalNews::default() });
+    fold.renewals(FIRST, RenewalUpdate { versions: vec![version], ..RenewalUpdate::default() });
     assert!(fold.view().versions.is_empty());
 }
--- a/crates/gateway/src/news.rs
+++ b/crates/gateway/src/news.rs
@@ -7,7 +7,8 @@
 use juniper_feed::RelayedBatch;
 use juniper_placement::{ChainSighting, Choice, Placement, Reporter, SightingBudget, ToldRequest};
 use juniper_protocol::message::{
-    Reachability, RelayedNews, RouterNews, ServerLimitNews, ServerNoticeNews, Sighting,
+    DispatchReport, Reachability, RelayedUpdate, RouterUpdate, ServerLimitUpdate,
+    ServerNoticeUpdate,
 };
 use juniper_registry::{InstanceId, StartTime};
 use juniper_types::{NodeId, Timestamp};
@@ -29,7 +30,7 @@
 
 /// What the other routers haven't been told yet.
 pub(crate) struct NewsQueue {
-    news: Mutex<RouterNews>,
+    news: Mutex<RouterUpdate>,
     /// Number of the latest request that the others are told of.
     last_number: AtomicU16,
     wake: Notify,
@@ -83,7 +84,7 @@
 
     /// Notes what a server takes from all routers together. If too much waits, it is told with a
     /// later answer of the server.
-    pub(crate) fn push_limit(&self, limit: ServerLimitNews) {
+    pub(crate) fn push_limit(&self, limit: ServerLimitUpdate) {
         let mut news = lock(&self.news);
         let queued = news.server_limits.get_or_insert_default();
         queued.retain(|told| told.id() != limit.id());
@@ -94,7 +95,7 @@
     }
 
     /// Notes what a server asked of this router.
-    pub(crate) fn push_notice(&self, notice: ServerNoticeNews) {
+    pub(crate) fn push_notice(&self, notice: ServerNoticeUpdate) {
         let mut news = lock(&self.news);
         let queued = news.notices.get_or_insert_default();
         if queued.len() < MAX_QUEUED_SERVERS {
@@ -105,7 +106,7 @@
 
     /// What waits, with the sightings that tell most, and how many of them are left out. Their ends
     /// are told all the same: who hasn't heard of a request passes over its end.
-    fn take(&self, allowed: usize) -> (RouterNews, usize) {
+    fn take(&self, allowed: usize) -> (RouterUpdate, usize) {
         let mut news = std::mem::take(&mut *lock(&self.news));
         if news.sightings.len() <= allowed {
             return (news, 0);
@@ -152,7 +153,7 @@
     limits.for_each(|news| gateway.learn_limit(news));
     let now = gateway.now();
     let mut placement = gateway.placement();
-    for RelayedNews { from, zone, news } in batch.iter() {
+    for RelayedUpdate { from, zone, news } in batch.iter() {
         let request = |number: u16| ToldRequest { router: *from, number };
         for notice in news.notices.iter().flatten() {
             learn_notice(&mut placement, notice, *from, now);
@@ -179,7 +180,7 @@
 /// Takes in what a server asked of another router.
 fn learn_notice(
     placement: &mut Placement,
-    notice: &ServerNoticeNews,
+    notice: &ServerNoticeUpdate,
     from: NodeId,
     now: Timestamp,
 ) {
@@ -192,10 +193,10 @@
     }
 }
 
-fn message(sighting: ChainSighting, number: u16) -> Sighting {
+fn message(sighting: ChainSighting, number: u16) -> DispatchReport {
     let ChainSighting { instance, version, keys, part_tokens, own_tokens, tokens, read_tokens } =
         sighting;
-    Sighting {
+    DispatchReport {
         instance: instance.name().clone(),
         version,
         chains: keys,
@@ -207,7 +208,7 @@
     }
 }
 
-fn read(sighting: &Sighting) -> ChainSighting {
+fn read(sighting: &DispatchReport) -> ChainSighting {
     ChainSighting {
         instance: InstanceId::started_at(sighting.instance.clone(), StartTime::UNKNOWN),
         version: sighting.version,
--- a/crates/gateway/tests/paths/support/control.rs
+++ b/crates/gateway/tests/paths/support/control.rs
@@ -6,8 +6,9 @@
 
 use juniper_catalog::Catalog;
 use juniper_protocol::message::{
-    CatalogBody, ChargeAnswer, Cleared, Crash, CrashNews, FleetNews, LimitCharge, QuarantineCall,
-    Reachability, RelayedNews, RouterNews, ServerLimitNews, ServerNoticeNews,
+    CatalogBody, ChargeAnswer, Crash, CrashClearance, CrashUpdate, FleetUpdate, LimitCharge,
+    QuarantineRequest, Reachability, RelayedUpdate, RouterUpdate, ServerLimitUpdate,
+    ServerNoticeUpdate,
 };
 use juniper_protocol::{
     ClusterKey, Connection, Message, PeerRole, Push, Refusal, Reply, Request, accept,
@@ -39,11 +40,11 @@
     /// Units that were given back.
     given_back: Mutex<Vec<f64>>,
     /// What the gateway has told the other routers.
-    told: Mutex<Vec<RouterNews>>,
+    told: Mutex<Vec<RouterUpdate>>,
     /// Requests that the gateway asked to have recorded as in quarantine.
-    quarantined: Mutex<Vec<QuarantineCall>>,
+    quarantined: Mutex<Vec<QuarantineRequest>>,
     /// What other routers tell the gateway.
-    relayed: broadcast::Sender<RelayedNews>,
+    relayed: broadcast::Sender<RelayedUpdate>,
 }
 
 /// What a replica does with charges.
@@ -133,10 +134,10 @@
     }
 
     /// Another router tells the gateway something.
-    pub fn relay(&self, from: u64, zone: &str, news: RouterNews) {
+    pub fn relay(&self, from: u64, zone: &str, news: RouterUpdate) {
         let zone = ZoneName::new(zone).expect("a name");
         // Nobody is told before somebody follows.
-        let _ = self.said.relayed.send(RelayedNews { from: NodeId(from), zone, news });
+        let _ = self.said.relayed.send(RelayedUpdate { from: NodeId(from), zone, news });
     }
 
     /// Servers that the gateway has told of sending requests to.
@@ -158,15 +159,15 @@
     }
 
     /// Requests that the gateway asked to have recorded as in quarantine.
-    pub fn quarantined(&self) -> Vec<QuarantineCall> {
+    pub fn quarantined(&self) -> Vec<QuarantineRequest> {
         self.said.quarantined.lock().expect("no panic").clone()
     }
 
     /// Ends of servers under requests that the gateway has told of, and those that it took back.
-    pub fn told_crashes(&self) -> (Vec<Crash>, Vec<Cleared>) {
+    pub fn told_crashes(&self) -> (Vec<Crash>, Vec<CrashClearance>) {
         let told = self.said.told.lock().expect("no panic");
         let crashes = told.iter().filter_map(|news| news.crashes.clone());
-        let mut all = CrashNews::default();
+        let mut all = CrashUpdate::default();
         for news in crashes {
             all.crashes.extend(news.crashes);
             all.cleared.extend(news.cleared);
@@ -181,13 +182,13 @@
     }
 
     /// What the gateway has told of servers that state what they take.
-    pub fn told_limits(&self) -> Vec<ServerLimitNews> {
+    pub fn told_limits(&self) -> Vec<ServerLimitUpdate> {
         let told = self.said.told.lock().expect("no panic");
         told.iter().flat_map(|news| news.server_limits.clone().unwrap_or_default()).collect()
     }
 
     /// What the gateway has told of what servers asked of it.
-    pub fn told_notices(&self) -> Vec<ServerNoticeNews> {
+    pub fn told_notices(&self) -> Vec<ServerNoticeUpdate> {
         let told = self.said.told.lock().expect("no panic");
         told.iter().flat_map(|news| news.notices.clone().unwrap_or_default()).collect()
     }
@@ -233,7 +234,7 @@
                     said.dawdle(&request).await;
                     held_back.order(&said, &request, answers(&said, call, &request))
                 }
-                Some(Message::RouterNews(news)) => {
+                Some(Message::RouterUpdate(news)) => {
                     said.told.lock().expect("no panic").push(news);
                     continue;
                 }
@@ -241,7 +242,7 @@
                 None => return,
             },
             _ = heard.recv() => vec![instances(&said)],
-            told = relayed.recv() => vec![Message::RelayedNews(told.into_iter().collect())],
+            told = relayed.recv() => vec![Message::RelayedUpdate(told.into_iter().collect())],
         };
         for message in to_send {
             if writer.send(&message).await.is_err() {
@@ -293,7 +294,7 @@
 }
 
 fn news(said: &Said) -> Message {
-    Message::Push(Push::Fleet(FleetNews {
+    Message::Push(Push::Fleet(FleetUpdate {
         revision: REVISION,
         catalog_version: said.catalog.version,
         weights: BTreeMap::new(),
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,8 +1,8 @@
 //! Framed, versioned, authenticated messages between the daemons.
 //!
-//! A connection starts with a mutual proof of the cluster key ([`handshake`]).
-//! After that both sides exchange frames ([`frame`]), each holding one
-//! CBOR-encoded [`Message`].
+//! Both sides of a connection first prove that they hold the cluster key ([`handshake`]).
+//! After that they exchange frames ([`frame`]), each of which carries one CBOR-encoded
+//! [`Message`].
 
 pub mod calls;
 pub mod connection;
@@ -15,7 +15,7 @@
 pub mod notices;
 pub mod push;
 
-pub use calls::{CallAnswer, CallError, GenerationReader, IncomingFrame, OpenCalls};
+pub use calls::{CallError, GenerationReader, IncomingFrame, OpenCalls, ReplySender};
 pub use connection::{Connection, FrameReader, FrameWriter, Traffic, accept, connect};
 pub use frame::{FrameError, MAX_FRAME_BYTES, PROTOCOL_VERSION};
 pub use handshake::{
