--- a/crates/limits/src/account.rs
+++ b/crates/limits/src/account.rs
@@ -1,54 +1,54 @@
-//! What is asked of a limit, and what it answers.
+//! Rate limits, charges against them and verdicts.
 
 use std::time::Duration;
 
-/// A rate with room for a burst above it, in units a second and units. A unit is a
-/// request or a token.
+/// A rate with a burst allowance. A unit is a request or a token.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateLimit {
-    /// Units a second.
+    /// Units per second.
     pub per_second: f64,
-    /// Units that may come at once beyond the rate.
+    /// Units that may be taken at once, beyond the rate.
     pub burst: f64,
 }
 
-/// One request that is to be counted against a limit.
+/// A request to be charged to an account.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ChargeRequest<'a> {
-    /// Whose limit it is: a tenant's name, or what stands for an incarnation of a server.
+    /// Key of the account: a tenant name, or the key of a server incarnation.
     pub account: &'a str,
-    /// The limit as the asking router has it in force.
+    /// Limit in force on the calling router.
     pub limit: RateLimit,
-    /// Version of the limit. The highest one that any router names holds.
+    /// Version of the limit. The highest version that any router sent applies.
     pub version: u64,
-    /// Units that the request costs.
+    /// Cost of the request, in units.
     pub units: f64,
-    /// It runs whatever the answer is, for example as the second attempt of a request that was
-    /// admitted, and is counted in any case.
+    /// Charge without checking the limit, for requests that run in any case, such as the second
+    /// attempt of a request that was admitted.
     pub is_certain: bool,
-    /// Units that are left to more urgent requests: it is admitted only if so many are there.
+    /// Units that are reserved for more urgent requests: a request is admitted only if the bucket
+    /// holds at least this many.
     pub reserve: f64,
 }
 
-/// Whether a request lies within its limit.
+/// Decision on a charge.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Verdict {
-    /// It does, and was counted.
+    /// Within the limit; the units were charged.
     Admitted {
-        /// Units a second that were admitted of late over all routers.
+        /// Recently admitted units per second over all routers.
         fleet_per_second: f64,
     },
-    /// It doesn't, and was not counted.
+    /// Over the limit; nothing was charged.
     Refused {
-        /// Time after which it has a chance.
+        /// Time after which a retry may be admitted.
         pause: Duration,
-        /// Units a second that were admitted of late over all routers.
+        /// Recently admitted units per second over all routers.
         fleet_per_second: f64,
     },
 }
 
 impl Verdict {
-    /// Whether the request lies within the limit.
+    /// Whether the request was admitted.
     pub fn is_admitted(&self) -> bool {
         matches!(self, Verdict::Admitted { .. })
     }
--- /dev/null
+++ b/crates/limits/src/advertised_limit.rs
@@ -0,0 +1,79 @@
+//! Limits that a server's answer advertises for all routers together.
+
+/// Highest accepted rate, in requests per second: more than any server can serve.
+const MAX_PER_SECOND: f64 = 1e6;
+
+/// Lowest accepted rate, in requests per second. Below it, no request would be sent for minutes,
+/// and no router would observe the end of the limit.
+const MIN_PER_SECOND: f64 = 0.01;
+
+/// Rate in requests per second, within the accepted range.
+#[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
+pub struct RequestRate(f64);
+
+impl RequestRate {
+    /// Creates a rate in requests per second.
+    ///
+    /// # Errors
+    /// Fails if the rate is outside the accepted range.
+    pub fn of(per_second: f64) -> Result<Self, RateFault> {
+        match (MIN_PER_SECOND..=MAX_PER_SECOND).contains(&per_second) {
+            true => Ok(RequestRate(per_second)),
+            false => Err(RateFault::OutOfRange),
+        }
+    }
+
+    /// The rate in requests per second.
+    pub fn per_second(self) -> f64 {
+        self.0
+    }
+}
+
+/// Reason why an advertised rate is invalid.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum RateFault {
+    /// Not a decimal number.
+    #[error("not a decimal number")]
+    NoNumber,
+    /// Negative, zero, infinite or outside the accepted range.
+    #[error("out of range")]
+    OutOfRange,
+    /// Several different rates in one answer.
+    #[error("conflicting values")]
+    Several,
+}
+
+/// Limit that one answer of a server advertises.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub enum StatedLimit {
+    /// No limit.
+    #[default]
+    Nothing,
+    /// Highest rate that the server accepts from all routers together.
+    Rate(RequestRate),
+    /// Invalid limit, ignored: a known limit neither changes nor ends.
+    Unreadable(RateFault),
+}
+
+impl StatedLimit {
+    /// Parses the values of an answer's header. `None` is a value that isn't text.
+    pub fn read<'a>(values: impl IntoIterator<Item = Option<&'a str>>) -> Self {
+        let mut advertised = StatedLimit::Nothing;
+        for value in values {
+            let next = match value.map_or(Err(RateFault::NoNumber), parse_rate) {
+                Ok(rate) => StatedLimit::Rate(rate),
+                Err(error) => return StatedLimit::Unreadable(error),
+            };
+            if advertised != StatedLimit::Nothing && advertised != next {
+                return StatedLimit::Unreadable(RateFault::Several);
+            }
+            advertised = next;
+        }
+        advertised
+    }
+}
+
+fn parse_rate(text: &str) -> Result<RequestRate, RateFault> {
+    let per_second = text.trim().parse().map_err(|_| RateFault::NoNumber)?;
+    RequestRate::of(per_second)
+}
--- a/crates/limits/src/bucket.rs
+++ b/crates/limits/src/bucket.rs
@@ -1,4 +1,4 @@
-//! A token bucket whose rate and size may change at any time.
+//! Token bucket whose rate and burst may change at any time.
 
 use std::time::Duration;
 
@@ -6,43 +6,42 @@
 
 use crate::account::RateLimit;
 
-/// Longest pause suggested, also for a rate of zero.
-const MAX_PAUSE: Duration = Duration::from_secs(60);
+/// Longest wait returned, also for a rate of zero.
+const MAX_WAIT: Duration = Duration::from_secs(60);
 
-/// Part of the burst that is there at first in a bucket whose past isn't known.
-const UNKNOWN_LEVEL: f64 = 0.5;
+/// Initial fill of a bucket whose earlier use is unknown, as a fraction of the burst.
+const UNKNOWN_FILL_FRACTION: f64 = 0.5;
 
-/// Units that may be taken at once, refilled at a steady rate.
+/// Token bucket, refilled at a steady rate.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TokenBucket {
-    /// Units that are there; below zero after one that was taken whole.
+    /// Available units; negative while the bucket is overdrawn.
     level: f64,
-    /// Burst that the level was last held against.
+    /// Burst at the last refill.
     burst: f64,
     refilled_at: Timestamp,
 }
 
 impl TokenBucket {
-    /// A bucket with as much as there can be.
+    /// Creates a bucket filled to the burst.
     pub fn full(limit: RateLimit, now: Timestamp) -> Self {
         Self::at_level(limit.burst, limit, now)
     }
 
-    /// A bucket whose past isn't known: another one may have been used until now.
+    /// Creates a half-filled bucket, for a limit that another bucket may have served until now.
     pub fn of_unknown_past(limit: RateLimit, now: Timestamp) -> Self {
-        Self::at_level(limit.burst * UNKNOWN_LEVEL, limit, now)
+        Self::at_level(limit.burst * UNKNOWN_FILL_FRACTION, limit, now)
     }
 
-    /// A bucket with `level` units.
+    /// Creates a bucket that holds `level` units, at most the burst.
     pub fn at_level(level: f64, limit: RateLimit, now: Timestamp) -> Self {
         TokenBucket { level: level.min(limit.burst), burst: limit.burst, refilled_at: now }
     }
 
-    /// Takes `units` whole, or says how long it takes until they are there. More than the
-    /// burst never is; a bucket of such a size admits nothing.
+    /// Takes `units` if the bucket holds them. A request larger than the burst is never admitted.
     ///
     /// # Errors
-    /// The time until the units are there.
+    /// Returns the time until the bucket holds the units.
     pub fn take(&mut self, units: f64, limit: RateLimit, now: Timestamp) -> Result<(), Duration> {
         self.refill(limit, now);
         if limit.per_second <= 0.0 || self.level < units {
@@ -52,12 +51,12 @@
         Ok(())
     }
 
-    /// Takes `units` if the bucket holds `reserve`, and may overdraw it. Requests of all sizes
-    /// are admitted alike; what is taken in any time is above rate and burst by one request at
-    /// most.
+    /// Takes `units` if the bucket holds `reserve`, overdrawing it if necessary. Admission doesn't
+    /// depend on the size of the request, and the units taken over any period exceed rate and
+    /// burst by at most one request.
     ///
     /// # Errors
-    /// The time until the bucket holds the reserve.
+    /// Returns the time until the bucket holds the reserve.
     pub fn take_or_overdraw(
         &mut self,
         units: f64,
@@ -73,13 +72,12 @@
         Ok(())
     }
 
-    /// Takes `units` by chance: if fewer are there, all of them are taken, and the request is
-    /// admitted with the probability that they are of its units. On average no more is admitted
-    /// than was there, also over many buckets of which none holds a whole request.
-    /// `draw` is drawn evenly from 0 to 1.
+    /// Takes `units` if the bucket holds them. Otherwise empties the bucket and admits the request
+    /// with a probability of level / units. On average this admits no more units than the buckets
+    /// held, even if no bucket ever holds a whole request. `draw` is uniform in 0..1.
     ///
     /// # Errors
-    /// The time until all of the units would be there.
+    /// Returns the time until the bucket holds all of the units.
     pub fn take_by_chance(
         &mut self,
         units: f64,
@@ -92,32 +90,32 @@
             self.level -= units;
             return Ok(());
         }
-        let chance = self.level / units;
+        let probability = self.level / units;
         self.level = self.level.min(0.0);
-        match draw < chance {
+        match draw < probability {
             true => Ok(()),
             false => Err(self.time_until(units, limit)),
         }
     }
 
-    /// Takes `units` whatever is there.
+    /// Takes `units` unconditionally, overdrawing the bucket if necessary.
     pub fn take_anyway(&mut self, units: f64, limit: RateLimit, now: Timestamp) {
         self.refill(limit, now);
         self.level -= units;
     }
 
-    /// Puts back what was taken for nothing.
+    /// Returns units that were taken but not used.
     pub fn give_back(&mut self, units: f64) {
         self.level = (self.level + units).min(self.burst);
     }
 
-    /// Units that lack until the bucket holds `reserve`.
+    /// Units missing until the bucket holds `reserve`.
     pub fn lacking(&self, reserve: f64) -> f64 {
         (reserve - self.level).max(0.0)
     }
 
-    /// Refills the bucket and takes over a limit that has changed: a larger burst is there at
-    /// once, a smaller one leaves no debt.
+    /// Refills the bucket and applies a changed limit: a larger burst is available at once, and a
+    /// smaller one caps the level without creating debt.
     fn refill(&mut self, limit: RateLimit, now: Timestamp) {
         let elapsed = now.since(self.refilled_at).as_secs_f64();
         self.refilled_at = self.refilled_at.max(now);
@@ -128,10 +126,10 @@
 
     fn time_until(&self, units: f64, limit: RateLimit) -> Duration {
         if limit.per_second <= 0.0 {
-            return MAX_PAUSE;
+            return MAX_WAIT;
         }
-        let lacking = (units - self.level).max(0.0);
-        let micros = (lacking / limit.per_second * 1e6).ceil();
-        Duration::from_micros(micros as u64).min(MAX_PAUSE)
+        let deficit = (units - self.level).max(0.0);
+        let micros = (deficit / limit.per_second * 1e6).ceil();
+        Duration::from_micros(micros as u64).min(MAX_WAIT)
     }
 }
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -1,20 +1,21 @@
-//! Limits that hold over all routers together: of tenants, and of servers that state one.
+//! Rate limits that hold across all routers: limits of tenants, and limits that servers advertise.
 //!
-//! - [`TokenBucket`] is the one bucket behind every rate of the product.
-//! - [`LimitOwner`] is what a control replica keeps for the accounts that it owns: one
-//!   bucket for the whole fleet, which every router charges before it sends a request.
-//! - [`owners`] orders the replicas for an account; the first that a router reaches and
-//!   that a quorum has lately confirmed is the account's owner.
-//! - [`LocalLimits`] decides on a router while it reaches no owner: each router then
-//!   keeps to its [`FleetShare`] of a part of the limit.
-//! - [`StatedLimit`] is what a server's answer states of the requests that it takes, and
-//!   [`ServerLimit`] what a router knows of that limit and tells the others.
-//! - [`ServerNotice`] is what an answer asks of the one router that gets it.
+//! - [`TokenBucket`] is the token bucket behind every rate limit.
+//! - [`LimitOwner`] runs on a control replica and keeps one bucket for the whole fleet for each
+//!   account that the replica owns. Routers charge the account before they dispatch a request.
+//! - [`owners`] ranks the replicas for an account. The first one that the router reaches and that
+//!   a quorum has recently confirmed owns the account.
+//! - [`LocalLimits`] decides on a router that reaches no owner. The router then admits its
+//!   [`FleetShare`] of a fraction of the limit.
+//! - [`StatedLimit`] is the limit that a server's answer advertises. [`ServerLimit`] tracks it on a
+//!   router and decides when to report it to the other routers.
+//! - [`ServerNotice`] is a backoff request or departure announcement in a server's answer.
 //!
-//! Time and random numbers are passed in; nothing here performs I/O. Why it is done
-//! like this, and what other ways came to: `docs/design/fleet-limits.md`.
+//! Time and random numbers are passed in; nothing here performs I/O. For the design and the
+//! alternatives, see `docs/design/fleet-limits.md`.
 
 mod account;
+mod advertised_limit;
 mod bucket;
 mod local;
 mod notice;
@@ -22,9 +23,9 @@
 mod owners;
 mod server_limit;
 mod share;
-mod stated;
 
 pub use account::{ChargeRequest, RateLimit, Verdict};
+pub use advertised_limit::{RateFault, RequestRate, StatedLimit};
 pub use bucket::TokenBucket;
 pub use local::LocalLimits;
 pub use notice::{PauseFault, ServerNotice, StatedDeparture, StatedPause};
@@ -32,4 +33,3 @@
 pub use owners::owners;
 pub use server_limit::{Allowance, Decider, ServerLimit, ToldLimit};
 pub use share::FleetShare;
-pub use stated::{RateFault, RequestRate, StatedLimit};
--- a/crates/limits/src/local.rs
+++ b/crates/limits/src/local.rs
@@ -1,9 +1,9 @@
-//! Limits of a router that reaches no owner.
+//! Local enforcement of limits on a router that reaches no owner.
 //!
-//! The owner of an account may have just lost power, or the router may be cut off from all
-//! replicas while other routers still reach the owner. A router then admits its share of
-//! [`UNOWNED_PART`] of the limit by itself. It learns its share while it is told by the owner what
-//! all routers were admitted, and keeps it while it isn't.
+//! The owner of an account may have crashed, or the router may be partitioned from all replicas
+//! while other routers still reach the owner. The router then admits its share of
+//! [`UNOWNED_FRACTION`] of the limit. The share is derived from the fleet-wide rates in the owner's
+//! last answers.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -12,74 +12,76 @@
 
 use crate::account::{ChargeRequest, RateLimit, Verdict};
 use crate::bucket::TokenBucket;
-use crate::owner::{MIN_PAUSE, RECENT, per_second};
+use crate::owner::{MIN_RETRY_AFTER, RECENT_HALF_LIFE, per_second};
 use crate::share::FleetShare;
 
-/// Part of a limit that routers admit together while none of them reaches the owner. The rest
-/// is left for the case that others do: a third of the routers, such as those of one zone, that are
-/// cut off for the 4.25 s in which they honour keys add 0.6 x 4.25 / 3 = 0.85 s of the rate, a tenth
-/// of what a window of 8 s with a second's burst allows.
-const UNOWNED_PART: f64 = 0.6;
+/// Fraction of a limit that routers admit together while none of them reaches the owner. The rest
+/// bounds the excess if others do reach the owner: a third of the routers, such as one zone, that
+/// are partitioned for the 4.25 s in which they honour API keys add 0.6 x 4.25 / 3 = 0.85 s of the
+/// rate, a tenth of what a window of 8 s with a burst of one second allows.
+const UNOWNED_FRACTION: f64 = 0.6;
 
-/// Time without an owner after which a router that decides by itself begins anew.
-const SAME_ABSENCE: Duration = Duration::from_secs(2);
+/// Idle time after which a router's local bucket is created anew.
+const LOCAL_BUCKET_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Time for which what an owner told holds; some times the half-life of recent requests.
-const KNOWN_FOR: Duration = Duration::from_secs(10);
+/// Time for which the rate in an owner's answer is used; a multiple of the half-life of recent
+/// requests.
+const FLEET_RATE_TTL: Duration = Duration::from_secs(10);
 
-/// Accounts without requests for so long are forgotten.
-const IDLE_BEFORE_FORGOTTEN: Duration = Duration::from_secs(60);
+/// Idle time after which an account is removed.
+const ACCOUNT_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Accounts at whose number idle ones are looked for.
-const MANY_ACCOUNTS: usize = 256;
+/// Number of accounts from which on idle ones are removed before another is added.
+const CLEANUP_THRESHOLD: usize = 256;
 
-/// A router's part of a limit while it decides by itself.
+/// A router's bucket for its share of a limit while it reaches no owner.
 #[derive(Clone, Copy, Debug)]
-struct OwnPart {
+struct LocalBucket {
     share: FleetShare,
     bucket: TokenBucket,
     used_at: Timestamp,
 }
 
-/// What a router knows of one account.
+/// State of one account on a router.
 #[derive(Clone, Copy, Debug)]
 struct Account {
-    /// What was admitted here.
+    /// Units that this router was admitted.
     admitted: Decaying,
-    /// Units a second that all routers were admitted, as the owner told last.
+    /// Units per second admitted to all routers, from the owner's last answer.
     fleet_per_second: f64,
-    own: Option<OwnPart>,
-    /// When an owner last told.
-    heard_at: Option<Timestamp>,
+    local: Option<LocalBucket>,
+    /// Time of the owner's last answer.
+    owner_answered_at: Option<Timestamp>,
     used_at: Timestamp,
 }
 
 impl Account {
     fn new(now: Timestamp) -> Self {
         Account {
-            admitted: Decaying::new(RECENT),
+            admitted: Decaying::new(RECENT_HALF_LIFE),
             fleet_per_second: 0.0,
-            own: None,
-            heard_at: None,
+            local: None,
+            owner_answered_at: None,
             used_at: now,
         }
     }
 
-    /// The router's part of the limit, begun anew if an owner has decided since.
-    fn own_part(&mut self, limit: RateLimit, routers: u32, now: Timestamp) -> &mut OwnPart {
-        let begun = self.own.filter(|own| now.since(own.used_at) < SAME_ABSENCE);
-        let own = begun.unwrap_or_else(|| {
-            let here = per_second(&self.admitted, now);
-            let share = FleetShare::by_demand(routers, here, self.fleet_per_second);
-            let level = self.spare_part(limit) * part_of(limit, share).burst;
-            let bucket = TokenBucket::at_level(level, part_of(limit, share), now);
-            OwnPart { share, bucket, used_at: now }
+    /// The router's local bucket, created anew if an owner has answered since it was last used.
+    fn local_bucket(&mut self, limit: RateLimit, routers: u32, now: Timestamp) -> &mut LocalBucket {
+        let recent =
+            self.local.filter(|local| now.since(local.used_at) < LOCAL_BUCKET_IDLE_TIMEOUT);
+        let local = recent.unwrap_or_else(|| {
+            let admitted_here = per_second(&self.admitted, now);
+            let share = FleetShare::by_demand(routers, admitted_here, self.fleet_per_second);
+            let level = self.unused_fraction(limit) * local_limit(limit, share).burst;
+            let bucket = TokenBucket::at_level(level, local_limit(limit, share), now);
+            LocalBucket { share, bucket, used_at: now }
         });
-        self.own.insert(OwnPart { used_at: now, ..own })
+        self.local.insert(LocalBucket { used_at: now, ..local })
     }
 
-    /// Part of the limit that wasn't used when the owner was last heard.
-    fn spare_part(&self, limit: RateLimit) -> f64 {
+    /// Fraction of the limit that was unused at the owner's last answer.
+    fn unused_fraction(&self, limit: RateLimit) -> f64 {
         match limit.per_second > 0.0 {
             true => (1.0 - self.fleet_per_second / limit.per_second).clamp(0.0, 1.0),
             false => 0.0,
@@ -87,26 +89,26 @@
     }
 }
 
-/// One router's part of the limit.
-fn part_of(limit: RateLimit, share: FleetShare) -> RateLimit {
+/// The limit that a router with this share applies locally.
+fn local_limit(limit: RateLimit, share: FleetShare) -> RateLimit {
     RateLimit {
-        per_second: share.of_rate(limit.per_second) * UNOWNED_PART,
-        burst: share.of_rate(limit.burst) * UNOWNED_PART,
+        per_second: share.of_rate(limit.per_second) * UNOWNED_FRACTION,
+        burst: share.of_rate(limit.burst) * UNOWNED_FRACTION,
     }
 }
 
-/// What a router needs to decide by itself.
+/// Limits that a router enforces locally while it reaches no owner.
 #[derive(Clone, Debug, Default)]
 pub struct LocalLimits {
     accounts: HashMap<String, Account>,
 }
 
 impl LocalLimits {
-    /// Notes what the owner has decided.
+    /// Records the owner's verdict on a request.
     pub fn heard(&mut self, request: &ChargeRequest<'_>, verdict: &Verdict, now: Timestamp) {
         let account = self.account(request.account, now);
-        account.own = None;
-        account.heard_at = Some(now);
+        account.local = None;
+        account.owner_answered_at = Some(now);
         match verdict {
             Verdict::Admitted { fleet_per_second } => {
                 account.admitted.add(request.units, now);
@@ -118,15 +120,15 @@
         }
     }
 
-    /// Whether an owner has lately told what all routers were admitted. Without it the router's
-    /// share isn't known, and deciding alone refuses most of what lies within the limit.
+    /// Whether an owner has recently answered for this account. Without the fleet-wide rate the
+    /// router's share is unknown, and local decisions refuse most requests within the limit.
     pub fn knows(&self, account: &str, now: Timestamp) -> bool {
-        let heard = self.accounts.get(account).and_then(|account| account.heard_at);
-        heard.is_some_and(|at| now.since(at) < KNOWN_FOR)
+        let answered_at = self.accounts.get(account).and_then(|account| account.owner_answered_at);
+        answered_at.is_some_and(|at| now.since(at) < FLEET_RATE_TTL)
     }
 
-    /// Decides without an owner. `routers` live, this one included; `draw` is drawn evenly from
-    /// 0 to 1.
+    /// Decides on a request without an owner. `routers` is the number of live routers, including
+    /// this one; `draw` is uniform in 0..1.
     pub fn decide(
         &mut self,
         request: &ChargeRequest<'_>,
@@ -136,21 +138,21 @@
     ) -> Verdict {
         let account = self.account(request.account, now);
         let fleet_per_second = account.fleet_per_second;
-        let own = account.own_part(request.limit, routers, now);
-        let part = part_of(request.limit, own.share);
+        let local = account.local_bucket(request.limit, routers, now);
+        let limit = local_limit(request.limit, local.share);
         if request.is_certain {
-            own.bucket.take_anyway(request.units, part, now);
+            local.bucket.take_anyway(request.units, limit, now);
             return Verdict::Admitted { fleet_per_second };
         }
-        match own.bucket.take_by_chance(request.units, part, now, draw) {
+        match local.bucket.take_by_chance(request.units, limit, now, draw) {
             Ok(()) => Verdict::Admitted { fleet_per_second },
-            Err(pause) => Verdict::Refused { pause: pause.max(MIN_PAUSE), fleet_per_second },
+            Err(pause) => Verdict::Refused { pause: pause.max(MIN_RETRY_AFTER), fleet_per_second },
         }
     }
 
     fn account(&mut self, name: &str, now: Timestamp) -> &mut Account {
-        if self.accounts.len() >= MANY_ACCOUNTS && !self.accounts.contains_key(name) {
-            self.accounts.retain(|_, account| now.since(account.used_at) < IDLE_BEFORE_FORGOTTEN);
+        if self.accounts.len() >= CLEANUP_THRESHOLD && !self.accounts.contains_key(name) {
+            self.accounts.retain(|_, account| now.since(account.used_at) < ACCOUNT_IDLE_TIMEOUT);
         }
         let account = self.accounts.entry(name.to_owned()).or_insert_with(|| Account::new(now));
         account.used_at = now;
--- a/crates/limits/src/notice.rs
+++ b/crates/limits/src/notice.rs
@@ -1,80 +1,80 @@
-//! What a server's answer asks of whoever gets it: to send nothing for a while, or nothing any more.
+//! Notices in a server's answer: a backoff request, or the announcement of a departure.
 
 use std::time::Duration;
 
-/// Longest pause that is believed. Beyond it a server would be lost for as long as it lives.
-const MAX_PAUSE: Duration = Duration::from_secs(24 * 60 * 60);
+/// Longest accepted backoff. A longer one could take a server out of service for good.
+const MAX_BACKOFF: Duration = Duration::from_secs(24 * 60 * 60);
 
-/// Why a stated pause can't be read.
+/// Reason why a requested backoff is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PauseFault {
-    /// It is no decimal number of seconds; dates are none.
-    #[error("no decimal number")]
+    /// Not a decimal number of seconds. Dates aren't supported.
+    #[error("not a decimal number")]
     NoNumber,
-    /// It is negative, zero, infinite, or too long to be meant.
+    /// Negative, zero, infinite or above the longest accepted backoff.
     #[error("out of range")]
     OutOfRange,
-    /// Several pauses are stated that differ.
-    #[error("several pauses that differ")]
+    /// Several different backoffs in one answer.
+    #[error("conflicting values")]
     Several,
 }
 
-/// The pause that one answer asks for.
+/// Backoff that an answer requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum StatedPause {
-    /// None.
+    /// No backoff.
     #[default]
     Nothing,
-    /// Nothing is to be sent for so long.
+    /// Send nothing to the server for this long.
     For(Duration),
-    /// A pause that can't be read. It neither begins nor ends one.
+    /// Invalid request, ignored: a backoff neither starts nor ends.
     Unreadable(PauseFault),
 }
 
 impl StatedPause {
-    /// Reads the values that one answer has, in seconds; `None` stands for one that is no text.
+    /// Parses the values of an answer's header, in seconds. `None` is a value that isn't text.
     pub fn read<'a>(values: impl IntoIterator<Item = Option<&'a str>>) -> Self {
-        let mut stated = StatedPause::Nothing;
+        let mut requested = StatedPause::Nothing;
         for value in values {
-            let next = match value.map_or(Err(PauseFault::NoNumber), read_pause) {
-                Ok(pause) => StatedPause::For(pause),
-                Err(fault) => return StatedPause::Unreadable(fault),
+            let next = match value.map_or(Err(PauseFault::NoNumber), parse_backoff) {
+                Ok(backoff) => StatedPause::For(backoff),
+                Err(error) => return StatedPause::Unreadable(error),
             };
-            if stated != StatedPause::Nothing && stated != next {
+            if requested != StatedPause::Nothing && requested != next {
                 return StatedPause::Unreadable(PauseFault::Several);
             }
-            stated = next;
+            requested = next;
         }
-        stated
+        requested
     }
 }
 
-fn read_pause(text: &str) -> Result<Duration, PauseFault> {
+fn parse_backoff(text: &str) -> Result<Duration, PauseFault> {
     let seconds: f64 = text.trim().parse().map_err(|_| PauseFault::NoNumber)?;
-    let pause = Duration::try_from_secs_f64(seconds).map_err(|_| PauseFault::OutOfRange)?;
-    match pause.is_zero() || pause > MAX_PAUSE {
+    let backoff = Duration::try_from_secs_f64(seconds).map_err(|_| PauseFault::OutOfRange)?;
+    match backoff.is_zero() || backoff > MAX_BACKOFF {
         true => Err(PauseFault::OutOfRange),
-        false => Ok(pause),
+        false => Ok(backoff),
     }
 }
 
-/// What one answer says of the departure of its server.
+/// Announcement of a departure in an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum StatedDeparture {
-    /// Nothing.
+    /// No announcement.
     #[default]
     Nothing,
-    /// The server is leaving.
+    /// The server is departing.
     Leaving,
-    /// Something that can't be read. It changes nothing.
+    /// Invalid announcement, ignored.
     Unreadable,
 }
 
-/// What one answer asks for.
+/// Notices in one answer of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ServerNotice {
-    /// To send nothing for a while.
+    /// Backoff that the server requests.
     pub pause: StatedPause,
-    /// To send nothing new any more.
+    /// Whether the server announces its departure.
     pub departure: StatedDeparture,
 }
--- a/crates/limits/tests/server_limits/ways.rs
+++ b/crates/limits/tests/server_limits/strategies.rs
@@ -1,4 +1,4 @@
-//! The way of the product, and ways that were weighed and not taken.
+//! Production strategy and the alternatives that it is compared with.
 
 use juniper_limits::{
     Allowance, ChargeRequest, Decider, FleetShare, LimitOwner, LocalLimits, RateLimit, RequestRate,
@@ -6,50 +6,50 @@
 };
 use juniper_types::NodeId;
 
-use crate::fleet::{Fleet, Way, time};
+use crate::fleet::{Fleet, Strategy, time};
 
-/// Time of day at which a play begins, in milliseconds.
-const BEGUN_UNIX_MS: u64 = 1_700_000_000_000;
+/// Wall-clock time at the start of a simulation, in milliseconds since the Unix epoch.
+const START_UNIX_MS: u64 = 1_700_000_000_000;
 
 fn unix_ms(now: u64) -> u64 {
-    BEGUN_UNIX_MS + now
+    START_UNIX_MS + now
 }
 
-/// One router.
+/// State of one router.
 #[derive(Clone, Default)]
 struct Router {
     limit: Option<ServerLimit>,
     local: LocalLimits,
 }
 
-/// Replicas keep the account, and routers ask for each request.
-pub struct OwnedWay {
+/// Production strategy: each request is charged to the replica that owns the account.
+pub struct OwnerStrategy {
     routers: Vec<Router>,
     owners: Vec<LimitOwner>,
-    /// Charges that replicas answered.
+    /// Number of charges that replicas answered.
     pub charges: usize,
 }
 
-impl OwnedWay {
+impl OwnerStrategy {
     pub fn new(fleet: &Fleet) -> Self {
         let routers = vec![Router::default(); fleet.routers];
-        OwnedWay { routers, owners: vec![LimitOwner::default(); fleet.replicas], charges: 0 }
+        OwnerStrategy { routers, owners: vec![LimitOwner::default(); fleet.replicas], charges: 0 }
     }
 
     fn owner(fleet: &Fleet, router: usize, now: u64) -> Option<usize> {
-        let connected =
+        let connected_replicas =
             (0..fleet.replicas).filter(|replica| fleet.seems_connected(router, *replica, now));
-        let ordered = owners(connected.map(|replica| NodeId(replica as u64)), "server");
+        let ordered = owners(connected_replicas.map(|replica| NodeId(replica as u64)), "server");
         let first = ordered.first()?.0 as usize;
-        let reaches = fleet.has_power(first, now) && !fleet.is_cut(router, now);
+        let reaches = fleet.is_up(first, now) && !fleet.is_partitioned(router, now);
         reaches.then_some(first)
     }
 }
 
-impl Way for OwnedWay {
-    fn sends(&mut self, fleet: &Fleet, router: usize, now: u64, draw: f64) -> bool {
+impl Strategy for OwnerStrategy {
+    fn admits(&mut self, fleet: &Fleet, router: usize, now: u64, draw: f64) -> bool {
         for (replica, owner) in self.owners.iter_mut().enumerate() {
-            if !fleet.has_power(replica, now) {
+            if !fleet.is_up(replica, now) {
                 *owner = LimitOwner::default();
             }
         }
@@ -80,100 +80,100 @@
         verdict.is_admitted()
     }
 
-    fn answered(
+    fn observe_answer(
         &mut self,
         router: usize,
         sent_at: u64,
-        stated: Option<RequestRate>,
+        advertised: Option<RequestRate>,
         now: u64,
     ) -> Option<ToldLimit> {
-        let known = &mut self.routers[router].limit;
-        match (stated, known.as_mut()) {
+        let limit = &mut self.routers[router].limit;
+        match (advertised, limit.as_mut()) {
             (Some(rate), Some(limit)) => {
                 limit.heard(rate, time(now), unix_ms(now));
             }
             (Some(rate), None) => {
-                *known = Some(ServerLimit::heard_first(rate, time(now), unix_ms(now)));
+                *limit = Some(ServerLimit::heard_first(rate, time(now), unix_ms(now)));
             }
             (None, Some(limit)) => {
                 limit.heard_none(time(sent_at), time(now), unix_ms(now));
             }
             (None, None) => {}
         }
-        known.as_mut()?.news(time(now))
+        limit.as_mut()?.news(time(now))
     }
 
-    fn told(&mut self, router: usize, told: ToldLimit, now: u64) {
+    fn apply_report(&mut self, router: usize, reported: ToldLimit, now: u64) {
         match &mut self.routers[router].limit {
             Some(limit) => {
-                limit.told(told, time(now), unix_ms(now));
+                limit.told(reported, time(now), unix_ms(now));
             }
-            limit => *limit = Some(ServerLimit::told_first(told, time(now))),
+            limit => *limit = Some(ServerLimit::told_first(reported, time(now))),
         }
     }
 
-    fn forgets(&mut self, router: usize) {
+    fn restart(&mut self, router: usize) {
         self.routers[router] = Router::default();
     }
 }
 
-/// What each router keeps to by itself, once it has heard the limit.
-pub struct AloneWay {
+/// Alternative strategy: each router enforces the limit locally, once it has observed it.
+pub struct LocalStrategy {
     buckets: Vec<Option<TokenBucket>>,
     rate: f64,
     share: FleetShare,
 }
 
-impl AloneWay {
-    /// Each keeps to the whole limit.
+impl LocalStrategy {
+    /// Each router applies the whole limit.
     pub fn whole(fleet: &Fleet) -> Self {
         Self::with(fleet, FleetShare::even(1))
     }
 
-    /// Each keeps to an even share, by chance where that is less than a request.
+    /// Each router applies an even share, with probabilistic admission.
     pub fn even(fleet: &Fleet) -> Self {
         Self::with(fleet, FleetShare::even(fleet.routers as u32))
     }
 
     fn with(fleet: &Fleet, share: FleetShare) -> Self {
-        AloneWay { buckets: vec![None; fleet.routers], rate: fleet.rate, share }
+        LocalStrategy { buckets: vec![None; fleet.routers], rate: fleet.rate, share }
     }
 
-    fn part(&self) -> RateLimit {
+    fn local_limit(&self) -> RateLimit {
         let per_second = self.share.of_rate(self.rate);
         RateLimit { per_second, burst: self.share.of_rate(1.0) }
     }
 }
 
-impl Way for AloneWay {
-    fn sends(&mut self, _fleet: &Fleet, router: usize, now: u64, draw: f64) -> bool {
-        let part = self.part();
+impl Strategy for LocalStrategy {
+    fn admits(&mut self, _fleet: &Fleet, router: usize, now: u64, draw: f64) -> bool {
+        let local_limit = self.local_limit();
         let Some(bucket) = &mut self.buckets[router] else { return true };
-        bucket.take_by_chance(1.0, part, time(now), draw).is_ok()
+        bucket.take_by_chance(1.0, local_limit, time(now), draw).is_ok()
     }
 
-    fn answered(
+    fn observe_answer(
         &mut self,
         router: usize,
         _sent_at: u64,
-        stated: Option<RequestRate>,
+        advertised: Option<RequestRate>,
         now: u64,
     ) -> Option<ToldLimit> {
-        let part = self.part();
-        let is_first = stated.is_some() && self.buckets[router].is_none();
+        let local_limit = self.local_limit();
+        let is_first = advertised.is_some() && self.buckets[router].is_none();
         if is_first {
-            self.buckets[router] = Some(TokenBucket::at_level(0.0, part, time(now)));
+            self.buckets[router] = Some(TokenBucket::at_level(0.0, local_limit, time(now)));
         }
-        let rate = stated.filter(|_| is_first)?;
+        let rate = advertised.filter(|_| is_first)?;
         Some(ToldLimit { sequence: 0, rate, is_over: false })
     }
 
-    fn told(&mut self, router: usize, _told: ToldLimit, now: u64) {
-        let part = self.part();
-        self.buckets[router].get_or_insert(TokenBucket::at_level(0.0, part, time(now)));
+    fn apply_report(&mut self, router: usize, _reported: ToldLimit, now: u64) {
+        let local_limit = self.local_limit();
+        self.buckets[router].get_or_insert(TokenBucket::at_level(0.0, local_limit, time(now)));
     }
 
-    fn forgets(&mut self, router: usize) {
+    fn restart(&mut self, router: usize) {
         self.buckets[router] = None;
     }
 }
--- a/crates/limits/tests/ways/owned.rs
+++ b/crates/limits/tests/strategies/owned.rs
@@ -1,28 +1,28 @@
-//! The way of the product: the replica that owns the tenant is asked for each request.
+//! Production strategy: each request is charged to the replica that owns the account.
 
 use juniper_limits::{ChargeRequest, LimitOwner, LocalLimits, owners};
 use juniper_types::{NodeId, Timestamp};
 
-use crate::world::{Arrival, KEYS_HONOURED_MS, Way, World};
+use crate::world::{Arrival, KEY_CACHE_TTL_MS, Strategy, World};
 
-pub struct OwnedWay {
+pub struct OwnerStrategy {
     owners: Vec<LimitOwner>,
     routers: Vec<LocalLimits>,
-    /// When each router last heard any replica, in milliseconds.
-    heard: Vec<u64>,
+    /// When each router last reached any replica, in milliseconds.
+    reached_at: Vec<u64>,
 }
 
-impl OwnedWay {
+impl OwnerStrategy {
     pub fn new(world: &World) -> Self {
-        OwnedWay {
+        OwnerStrategy {
             owners: vec![LimitOwner::default(); world.replicas],
             routers: vec![LocalLimits::default(); world.routers],
-            heard: vec![0; world.routers],
+            reached_at: vec![0; world.routers],
         }
     }
 
-    /// The replica that answers, if one does: the first that seems connected, or the second if
-    /// the first owns nothing.
+    /// The owner that answers, if any: the first replica that seems connected, or the second one
+    /// if the first isn't confirmed by a quorum.
     fn owner(world: &World, arrival: &Arrival) -> Option<usize> {
         let (router, now) = (arrival.router, arrival.at);
         let connected =
@@ -41,7 +41,7 @@
     }
 }
 
-impl Way for OwnedWay {
+impl Strategy for OwnerStrategy {
     fn admits(&mut self, world: &World, arrival: &Arrival, now: Timestamp) -> bool {
         let request = ChargeRequest {
             account: "tenant",
@@ -52,15 +52,15 @@
             reserve: 0.0,
         };
         for (replica, owner) in self.owners.iter_mut().enumerate() {
-            if !world.has_power(replica, arrival.at) {
+            if !world.is_up(replica, arrival.at) {
                 *owner = LimitOwner::default();
             }
         }
         let router = arrival.router;
         if (0..world.replicas).any(|replica| world.reaches(router, replica, arrival.at)) {
-            self.heard[router] = arrival.at;
+            self.reached_at[router] = arrival.at;
         }
-        if arrival.at - self.heard[router] > KEYS_HONOURED_MS {
+        if arrival.at - self.reached_at[router] > KEY_CACHE_TTL_MS {
             return false;
         }
         let local = &mut self.routers[router];
