--- a/crates/limits/tests/server_limits/fleet.rs
+++ b/crates/limits/tests/server_limits/fleet.rs
@@ -332,12 +332,12 @@
         Simulation { fleet, strategy, rng, events, next_number: 0, outcome, aware_since };
     let requests = (fleet.demand * DURATION_MS as f64 / 1_000.0) as usize;
     for _ in 0..requests {
-        let at = simulate.rng.random_range(0..DURATION_MS);
-        let random = simulate.rng.random::<f64>().powf(fleet.skew);
-        let router = (random * fleet.routers as f64) as usize;
-        simulate.push(at, EventKind::Request { router });
+        let at = simulation.rng.random_range(0..DURATION_MS);
+        let position = simulation.rng.random::<f64>().powf(fleet.skew);
+        let router = (position * fleet.routers as f64) as usize;
+        simulation.push(at, EventKind::Request { router });
     }
-    simulate.run()
+    simulation.run()
 }
 
 /// Window with the largest excess over the allowed arrivals, 1.5 times the limit plus five
--- a/crates/limits/tests/server_limits/main.rs
+++ b/crates/limits/tests/server_limits/main.rs
@@ -45,7 +45,7 @@
             fleet.until
         );
     }
-    println!("worst_ratio window: {worst_ratio:.2} of the allowed requests");
+    println!("worst window: {worst_ratio:.2} of the allowed requests");
 }
 
 /// Requests that the server received while it advertised the limit, relative to those it could
--- a/crates/quarantine/src/counts.rs
+++ b/crates/quarantine/src/counts.rs
@@ -1,8 +1,8 @@
-//! Counts the servers that ended under each request.
+//! Crash counts of requests.
 //!
-//! Every router keeps the same counts from what all routers report. A report names the life that
-//! ended, so one that comes twice, or from two routers, counts once, and reports may come in any
-//! order.
+//! Every router derives the same counts from the reports of all routers. A report names the
+//! incarnation that crashed, so duplicates, also from different routers, count once, and the order
+//! of reports doesn't matter.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,50 +12,49 @@
 
 use crate::report::{Clearance, CrashReport};
 
-/// Servers that may end under a request before it is sent no more. Two ends happen to a request
-/// by chance on days on which servers crash or are restarted; the users' rule asks for three.
+/// Number of crashes after which a request is quarantined. One or two crashes may coincide with a
+/// request by chance.
 pub const CRASHES_BEFORE_QUARANTINE: usize = 3;
 
-/// Servers that end within this time of each other count once, if the request was under way on
-/// them together and has ended well before: a loss of power takes many at the same moment, and all
-/// requests on them, copies of a frequent and innocent one too. Copies of one that ends its servers
-/// may come together as well, but none of them ever ends well.
-const SAME_EVENT: Duration = Duration::from_millis(150);
+/// Crashes within this time of each other count once if the request was in flight on both servers
+/// and has completed before. A power failure interrupts many copies of a frequent, harmless request
+/// at once; a request that crashes its servers never completes.
+const SIMULTANEOUS_WINDOW: Duration = Duration::from_millis(150);
 
-/// Time since the latest end after which a request is no suspect any more. Callers come back
-/// within seconds; automation within minutes.
-const SUSPECT_TIME: Duration = Duration::from_secs(600);
+/// Time since the latest change after which a request is no longer suspected; longer than callers
+/// and automation take to retry.
+const SUSPECT_TTL: Duration = Duration::from_secs(600);
 
-/// Suspects that are kept, about 200 bytes each. One crash makes at most as many as a server has
-/// slots.
+/// Maximum number of suspects, at about 200 bytes each. A crash adds at most as many as the server
+/// has slots.
 const MAX_SUSPECTS: usize = 4_096;
 
-/// Suspects that are forgotten at once when there is no room for another one.
-const FORGOTTEN_AT_ONCE: usize = MAX_SUSPECTS / 8;
+/// Number of suspects that are evicted together when the maximum is reached.
+const EVICTION_BATCH: usize = MAX_SUSPECTS / 8;
 
-/// Ends that are kept of one suspect.
+/// Maximum number of crashes recorded for one suspect.
 const MAX_CRASHES: usize = 16;
 
-/// Time after which the replicas are asked again to record a quarantine.
-const RECORD_PAUSE: Duration = Duration::from_secs(1);
+/// Interval at which an unrecorded quarantine is sent to the replicas again.
+const RECORD_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a report changed.
+/// Effect of a crash report.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Counted {
-    /// Nothing: it was known, or its request is in quarantine.
+    /// No effect: the crash was known, or the request is quarantined.
     Known,
-    /// So many ends count against the request now.
+    /// The request is suspected; this many crashes count against it.
     Suspected(usize),
-    /// The request is in quarantine from now on: these servers ended under it.
+    /// The request has been quarantined after crashes of these servers.
     Quarantined(Vec<InstanceId>),
 }
 
-/// A quarantine that the replicas have not recorded yet.
+/// Quarantine that the replicas haven't recorded yet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Unrecorded {
-    /// The request.
+    /// Fingerprint of the request.
     pub request: RequestFingerprint,
-    /// Servers that ended under it.
+    /// Servers that crashed under the request.
     pub servers: Vec<InstanceId>,
 }
 
@@ -64,7 +63,7 @@
     instance: InstanceId,
     sent_at: Timestamp,
     at: Timestamp,
-    ended_well: bool,
+    completed: bool,
     is_cleared: bool,
 }
 
@@ -72,41 +71,42 @@
 struct Suspect {
     crashes: Vec<Crash>,
     changed_at: Timestamp,
-    /// When the replicas are to be asked to record it; set while it is in quarantine.
+    /// When to ask the replicas to record the quarantine; set while the request is quarantined.
     record_at: Option<Timestamp>,
 }
 
 impl Crash {
-    /// Whether both servers may have ended for one cause that isn't the request. One that the
-    /// request was sent to after the earlier end ended for another cause.
-    fn is_same_event(&self, earlier: &Crash) -> bool {
-        let ended_well = self.ended_well || earlier.ended_well;
-        ended_well && self.at.since(earlier.at) < SAME_EVENT && self.sent_at <= earlier.at
+    /// Whether both crashes may have one cause other than the request. That isn't so if the request
+    /// was dispatched to this server after the earlier crash.
+    fn has_same_cause(&self, earlier: &Crash) -> bool {
+        let completed = self.completed || earlier.completed;
+        completed && self.at.since(earlier.at) < SIMULTANEOUS_WINDOW && self.sent_at <= earlier.at
     }
 }
 
 impl Suspect {
-    fn knows(&self, instance: &InstanceId) -> bool {
+    fn contains(&self, instance: &InstanceId) -> bool {
         self.crashes.iter().any(|crash| crash.instance.is_same(instance))
     }
 
-    /// The ends that count against it, the earliest first; one of those at the same moment.
-    fn counted(&self) -> Vec<&Crash> {
+    /// Crashes that count against the request, earliest first; simultaneous ones count once.
+    fn counted_crashes(&self) -> Vec<&Crash> {
         let mut crashes: Vec<&Crash> =
             self.crashes.iter().filter(|crash| !crash.is_cleared).collect();
         crashes.sort_by_key(|crash| crash.at);
-        let mut counted: Vec<&Crash> = Vec::new();
+        let mut counted_crashes: Vec<&Crash> = Vec::new();
         for crash in crashes {
-            let is_same_event = counted.last().is_some_and(|last| crash.is_same_event(last));
-            if !is_same_event {
-                counted.push(crash);
+            let has_same_cause =
+                counted_crashes.last().is_some_and(|last| crash.has_same_cause(last));
+            if !has_same_cause {
+                counted_crashes.push(crash);
             }
         }
-        counted
+        counted_crashes
     }
 
     fn servers(&self) -> Vec<InstanceId> {
-        self.counted().into_iter().map(|crash| crash.instance.clone()).collect()
+        self.counted_crashes().into_iter().map(|crash| crash.instance.clone()).collect()
     }
 
     fn add(&mut self, crash: Crash) {
@@ -116,30 +116,30 @@
     }
 }
 
-/// The servers that ended under each request.
+/// Crash counts of all suspected requests.
 #[derive(Clone, Debug, Default)]
 pub struct CrashCounts {
     suspects: BTreeMap<RequestFingerprint, Suspect>,
 }
 
 impl CrashCounts {
-    /// Whether nothing is suspected.
+    /// Whether no request is suspected.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
     }
 
-    /// Requests that are kept.
+    /// Number of suspected requests.
     pub fn suspects(&self) -> usize {
         self.suspects.len()
     }
 
-    /// Whether the request must not be sent to a server.
+    /// Whether the request is quarantined and must not be dispatched.
     pub fn is_quarantined(&self, request: &RequestFingerprint) -> bool {
         self.suspects.get(request).is_some_and(|suspect| suspect.record_at.is_some())
     }
 
-    /// A server ended under a request. If that puts the request in quarantine, the replicas are
-    /// asked to record it `record_after` from now, unless another router has done so by then.
+    /// Records a crash under a request. If this quarantines the request, the record is due after
+    /// `record_after`, unless another router has had it recorded by then.
     pub fn crashed(
         &mut self,
         report: &CrashReport,
@@ -147,13 +147,13 @@
         record_after: Duration,
     ) -> Counted {
         let suspect = self.suspect(report.request, now);
-        if suspect.knows(&report.instance) || suspect.record_at.is_some() {
+        if suspect.contains(&report.instance) || suspect.record_at.is_some() {
             return Counted::Known;
         }
         let at = now.before(report.age);
         let sent_at = at.before(report.under_way);
-        let (instance, ended_well) = (report.instance.clone(), report.ended_well);
-        suspect.add(Crash { instance, sent_at, at, ended_well, is_cleared: false });
+        let (instance, completed) = (report.instance.clone(), report.ended_well);
+        suspect.add(Crash { instance, sent_at, at, completed, is_cleared: false });
         suspect.changed_at = now;
         let servers = suspect.servers();
         if servers.len() < CRASHES_BEFORE_QUARANTINE {
@@ -163,12 +163,13 @@
         Counted::Quarantined(servers)
     }
 
-    /// A server answered the request whole. Returns what the other routers should know, if ends
-    /// counted against it.
+    /// Records that the request completed. Returns the clearance to report to the other routers if
+    /// crashes counted against the request.
     pub fn answered(&mut self, request: RequestFingerprint, now: Timestamp) -> Option<Clearance> {
         let suspect = self.suspects.get(&request)?;
-        let counted = suspect.crashes.iter().filter(|crash| !crash.is_cleared);
-        let instances: Vec<InstanceId> = counted.map(|crash| crash.instance.clone()).collect();
+        let counted_crashes = suspect.crashes.iter().filter(|crash| !crash.is_cleared);
+        let instances: Vec<InstanceId> =
+            counted_crashes.map(|crash| crash.instance.clone()).collect();
         if instances.is_empty() {
             return None;
         }
@@ -177,32 +178,33 @@
         Some(clearance)
     }
 
-    /// Ends don't count against a request any more. Those that weren't reported yet are noted, so
-    /// that a report on its way doesn't count either.
+    /// Applies a clearance. Crashes that weren't reported yet are recorded as cleared, so that a
+    /// later report of them doesn't count.
     pub fn cleared(&mut self, clearance: &Clearance, now: Timestamp) {
         let suspect = self.suspect(clearance.request, now);
         for instance in &clearance.instances {
-            if !suspect.knows(instance) {
+            if !suspect.contains(instance) {
                 let instance = instance.clone();
-                let (sent_at, at, ended_well) = (now, now, true);
-                suspect.add(Crash { instance, sent_at, at, ended_well, is_cleared: true });
+                let (sent_at, at, completed) = (now, now, true);
+                suspect.add(Crash { instance, sent_at, at, completed, is_cleared: true });
             }
         }
         let cleared = suspect.crashes.iter_mut();
         cleared
             .filter(|crash| clearance.instances.iter().any(|id| id.is_same(&crash.instance)))
             .for_each(|crash| crash.is_cleared = true);
-        if suspect.counted().len() < CRASHES_BEFORE_QUARANTINE {
+        if suspect.counted_crashes().len() < CRASHES_BEFORE_QUARANTINE {
             suspect.record_at = None;
         }
     }
 
-    /// The replicas have released the request.
+    /// Removes a request that the replicas have released from quarantine.
     pub fn released(&mut self, request: &RequestFingerprint) {
         self.suspects.remove(request);
     }
 
-    /// Quarantines that the replicas are to be asked to record now, and again after a pause.
+    /// Quarantines that are due to be sent to the replicas for recording. They become due again
+    /// until they are recorded.
     pub fn due_records(
         &mut self,
         now: Timestamp,
@@ -212,36 +214,35 @@
         for (request, suspect) in &mut self.suspects {
             let is_due = suspect.record_at.is_some_and(|at| at <= now);
             if is_due && !is_recorded(request) {
-                suspect.record_at = Some(now.after(RECORD_PAUSE));
+                suspect.record_at = Some(now.after(RECORD_RETRY_INTERVAL));
                 due.push(Unrecorded { request: *request, servers: suspect.servers() });
             }
         }
         due
     }
 
-    /// Forgets requests under which no server has ended for long.
+    /// Removes suspects that haven't changed for a while.
     pub fn forget_old(&mut self, now: Timestamp) {
-        self.suspects.retain(|_, suspect| now.since(suspect.changed_at) < SUSPECT_TIME);
+        self.suspects.retain(|_, suspect| now.since(suspect.changed_at) < SUSPECT_TTL);
     }
 
     fn suspect(&mut self, request: RequestFingerprint, now: Timestamp) -> &mut Suspect {
         if self.suspects.len() >= MAX_SUSPECTS && !self.suspects.contains_key(&request) {
-            self.make_room();
+            self.evict();
         }
-        let fresh = || Suspect { changed_at: now, ..Suspect::default() };
-        self.suspects.entry(request).or_insert_with(fresh)
-    }
-
-    /// Makes room for many at once, since it looks at all: those with the fewest ends go, the
-    /// oldest among them first.
-    fn make_room(&mut self) {
-        let weighed = self
-            .suspects
-            .iter()
-            .map(|(request, suspect)| (suspect.counted().len(), suspect.changed_at, *request));
-        let mut weighed: Vec<_> = weighed.collect();
-        weighed.sort_unstable();
-        for (_, _, request) in weighed.into_iter().take(FORGOTTEN_AT_ONCE) {
+        let new_suspect = || Suspect { changed_at: now, ..Suspect::default() };
+        self.suspects.entry(request).or_insert_with(new_suspect)
+    }
+
+    /// Evicts a batch of suspects, since each eviction scans all of them: those with the fewest
+    /// crashes first, and the oldest first among these.
+    fn evict(&mut self) {
+        let candidates = self.suspects.iter().map(|(request, suspect)| {
+            (suspect.counted_crashes().len(), suspect.changed_at, *request)
+        });
+        let mut candidates: Vec<_> = candidates.collect();
+        candidates.sort_unstable();
+        for (_, _, request) in candidates.into_iter().take(EVICTION_BATCH) {
             self.suspects.remove(&request);
         }
     }
--- /dev/null
+++ b/crates/quarantine/src/interrupted_requests.rs
@@ -0,0 +1,146 @@
+//! Interrupted requests, until it is known whether their server crashed.
+//!
+//! A request is also interrupted by a connection reset, a network partition or a malformed answer.
+//! A crash is proven when the server refuses new connections, or when another incarnation appears
+//! at its address.
+
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use juniper_registry::InstanceId;
+use juniper_types::{RequestFingerprint, Timestamp};
+
+/// Time after the last interruption within which a crash can be proven. Longer than a supervisor
+/// takes to restart a server.
+const PROOF_TIMEOUT: Duration = Duration::from_secs(10);
+
+/// Maximum number of interrupted requests that wait for a proof; further ones are ignored.
+const MAX_PENDING: usize = 1_024;
+
+/// Proof of a server's crash.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum CrashProof {
+    /// The server refused a connection.
+    Refused,
+    /// Another incarnation has the server's address.
+    NewLife,
+}
+
+impl CrashProof {
+    /// The value used in logs and metric labels.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            CrashProof::Refused => "refused",
+            CrashProof::NewLife => "new_life",
+        }
+    }
+}
+
+/// Crash of a server while requests were in flight on it.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ServerCrash {
+    /// Incarnation of the crashed server.
+    pub instance: InstanceId,
+    /// Proof of the crash.
+    pub proof: CrashProof,
+    /// Interrupted requests that weren't returned with an earlier crash of this incarnation.
+    pub requests: Vec<CutRequest>,
+}
+
+/// Request whose connection broke before the answer was complete.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct CutRequest {
+    /// Fingerprint of the request.
+    pub request: RequestFingerprint,
+    /// When the request was dispatched to the server.
+    pub sent_at: Timestamp,
+    /// When the connection broke.
+    pub cut_at: Timestamp,
+}
+
+#[derive(Clone, Debug)]
+struct SuspectedServer {
+    address: SocketAddr,
+    last_interrupted_at: Timestamp,
+    proof: Option<CrashProof>,
+    pending: BTreeMap<RequestFingerprint, CutRequest>,
+}
+
+/// Interrupted requests by server.
+#[derive(Clone, Debug, Default)]
+pub struct CutRequests {
+    servers: BTreeMap<InstanceId, SuspectedServer>,
+}
+
+impl CutRequests {
+    /// Records an interrupted request to a server that wasn't departing. Returns the crash if the
+    /// server is already known to have crashed.
+    pub fn cut(
+        &mut self,
+        instance: &InstanceId,
+        address: SocketAddr,
+        interrupted: CutRequest,
+    ) -> Option<ServerCrash> {
+        let now = interrupted.cut_at;
+        self.remove_expired(now);
+        let pending: usize = self.servers.values().map(|server| server.pending.len()).sum();
+        if pending >= MAX_PENDING {
+            return None;
+        }
+        let server = self.servers.entry(instance.clone()).or_insert_with(|| SuspectedServer {
+            address,
+            last_interrupted_at: now,
+            proof: None,
+            pending: BTreeMap::new(),
+        });
+        server.last_interrupted_at = now;
+        server.pending.entry(interrupted.request).or_insert(interrupted);
+        let proof = server.proof?;
+        self.proved(instance, proof, now)
+    }
+
+    /// Records the proof of a server's crash. Returns the crash if interrupted requests are pending.
+    pub fn proved(
+        &mut self,
+        instance: &InstanceId,
+        proof: CrashProof,
+        now: Timestamp,
+    ) -> Option<ServerCrash> {
+        self.remove_expired(now);
+        let server = self.servers.get_mut(instance)?;
+        let proof = *server.proof.get_or_insert(proof);
+        let requests: Vec<_> = std::mem::take(&mut server.pending).into_values().collect();
+        let crash = ServerCrash { instance: instance.clone(), proof, requests };
+        (!crash.requests.is_empty()).then_some(crash)
+    }
+
+    /// Finds servers whose address now belongs to another incarnation. `incarnation_at` returns the
+    /// known incarnation at an address.
+    pub fn find_new_lives<'a>(
+        &mut self,
+        now: Timestamp,
+        incarnation_at: impl Fn(SocketAddr) -> Option<&'a InstanceId>,
+    ) -> Vec<ServerCrash> {
+        let has_new_incarnation = |id: &InstanceId, server: &SuspectedServer| {
+            incarnation_at(server.address).is_some_and(|known| !known.is_same(id))
+        };
+        let unproven = self.servers.iter().filter(|(_, server)| server.proof.is_none());
+        let replaced: Vec<InstanceId> = unproven
+            .filter(|(id, server)| has_new_incarnation(id, server))
+            .map(|(id, _)| id.clone())
+            .collect();
+        let crashes = replaced.iter().filter_map(|id| self.proved(id, CrashProof::NewLife, now));
+        crashes.collect()
+    }
+
+    /// Whether no interrupted requests are tracked.
+    pub fn is_empty(&self) -> bool {
+        self.servers.is_empty()
+    }
+
+    /// Removes servers whose time for a proof has passed: they didn't crash.
+    fn remove_expired(&mut self, now: Timestamp) {
+        self.servers.retain(|_, server| now.since(server.last_interrupted_at) < PROOF_TIMEOUT);
+    }
+}
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -1,23 +1,23 @@
-//! Requests that end each server that runs them.
+//! Detection and quarantine of requests that crash the servers that execute them.
 //!
-//! - [`CutRequests`] tells a server that has ended from a connection that broke, and names the
-//!   requests that were under way on it.
-//! - [`CrashCounts`] counts the ends under each request, from what all routers report; a request
-//!   under which three servers ended is in quarantine. A whole answer clears it.
-//! - [`EndedWell`] remembers requests that ended well, so that many servers that lose power at once
-//!   don't count against frequent ones.
-//! - [`Retelling`] tells a router's own reports again, since news of routers may be lost.
+//! - [`CutRequests`] tracks interrupted requests until it is known whether their server crashed.
+//! - [`CrashCounts`] counts the crashes under each request from the reports of all routers. A
+//!   request is quarantined after [`CRASHES_BEFORE_QUARANTINE`] crashes and cleared when it
+//!   completes.
+//! - [`EndedWell`] records requests that have completed, so that simultaneous crashes of many
+//!   servers, as in a power failure, don't count against frequent requests.
+//! - [`Retelling`] repeats a router's own reports, since messages between routers may be lost.
 //!
 //! Time is passed in; nothing here performs I/O.
 
+mod completed_requests;
 mod counts;
-mod cut_requests;
-mod ended_well;
+mod interrupted_requests;
+mod rebroadcast;
 mod report;
-mod retelling;
 
+pub use completed_requests::EndedWell;
 pub use counts::{CRASHES_BEFORE_QUARANTINE, Counted, CrashCounts, Unrecorded};
-pub use cut_requests::{CrashProof, CutRequest, CutRequests, ServerCrash};
-pub use ended_well::EndedWell;
+pub use interrupted_requests::{CrashProof, CutRequest, CutRequests, ServerCrash};
+pub use rebroadcast::Retelling;
 pub use report::{Clearance, CrashReport, Report};
-pub use retelling::Retelling;
--- a/crates/quarantine/src/report.rs
+++ b/crates/quarantine/src/report.rs
@@ -1,39 +1,39 @@
-//! What routers tell each other of requests under which servers ended.
+//! Reports that routers send each other about crashes and completed requests.
 
 use std::time::Duration;
 
 use juniper_registry::InstanceId;
 use juniper_types::RequestFingerprint;
 
-/// A server ended while the request was under way on it.
+/// Crash of a server while the request was in flight on it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CrashReport {
-    /// The request.
+    /// Fingerprint of the request.
     pub request: RequestFingerprint,
-    /// The life that ended.
+    /// Incarnation of the crashed server.
     pub instance: InstanceId,
-    /// Time since the request's connection broke.
+    /// Time since the request was interrupted.
     pub age: Duration,
-    /// Time for which the request had been under way then.
+    /// Time from the dispatch of the request to its interruption.
     pub under_way: Duration,
-    /// Whether the reporting router has seen the same request end well before.
+    /// Whether the reporting router has seen the same request complete before.
     pub ended_well: bool,
 }
 
-/// A server answered the request whole, so the ends before were not its doing.
+/// Clearance of a request that completed, and so didn't cause the earlier crashes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Clearance {
-    /// The request.
+    /// Fingerprint of the request.
     pub request: RequestFingerprint,
-    /// The lives whose ends don't count any more. Ends that come later do.
+    /// Incarnations whose crashes no longer count against the request. Later crashes do.
     pub instances: Vec<InstanceId>,
 }
 
-/// One thing to tell.
+/// Report to the other routers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Report {
-    /// A server ended.
+    /// A server crashed.
     Crash(CrashReport),
-    /// A request ended well.
+    /// A request completed.
     Clear(Clearance),
 }
--- a/crates/quarantine/tests/counts.rs
+++ b/crates/quarantine/tests/counts.rs
@@ -1,4 +1,4 @@
-//! Three ends of servers under a request put it in quarantine, however the reports come.
+//! Crash counts of requests: quarantine after three crashes, clearances, and repeated reports.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use juniper_types::{RequestFingerprint, Timestamp};
 use quickcheck::quickcheck;
 
-const AT_ONCE: Duration = Duration::ZERO;
+const NO_DELAY: Duration = Duration::ZERO;
 
 fn request(number: u8) -> RequestFingerprint {
     RequestFingerprint([number; 16])
@@ -23,31 +23,31 @@
     Timestamp::ZERO.after(Duration::from_secs(seconds))
 }
 
-fn report(asked: u8, ended: u8, age_ms: u64) -> CrashReport {
+fn report(request_id: u8, server_id: u8, age_ms: u64) -> CrashReport {
     let (age, under_way) = (Duration::from_millis(age_ms), Duration::from_millis(500));
-    let (request, instance) = (request(asked), server(ended));
+    let (request, instance) = (request(request_id), server(server_id));
     CrashReport { request, instance, age, under_way, ended_well: false }
 }
 
-fn crash(counts: &mut CrashCounts, asked: u8, ended: u8, now: Timestamp) -> Counted {
-    counts.crashed(&report(asked, ended, 0), now, AT_ONCE)
+fn crash(counts: &mut CrashCounts, request_id: u8, server_id: u8, now: Timestamp) -> Counted {
+    counts.crashed(&report(request_id, server_id, 0), now, NO_DELAY)
 }
 
 #[test]
-fn the_third_end_puts_a_request_in_quarantine_and_no_other() {
+fn the_third_crash_quarantines_only_its_request() {
     let mut counts = CrashCounts::default();
     assert_eq!(crash(&mut counts, 1, 1, at(100)), Counted::Suspected(1));
     assert_eq!(crash(&mut counts, 1, 2, at(101)), Counted::Suspected(2));
-    assert_eq!(crash(&mut counts, 2, 2, at(101)), Counted::Suspected(1), "it ran there too");
+    assert_eq!(crash(&mut counts, 2, 2, at(101)), Counted::Suspected(1), "in flight there too");
     assert!(!counts.is_quarantined(&request(1)));
     let servers = vec![server(1), server(2), server(3)];
     assert_eq!(crash(&mut counts, 1, 3, at(102)), Counted::Quarantined(servers));
     assert!(counts.is_quarantined(&request(1)) && !counts.is_quarantined(&request(2)));
-    assert_eq!(crash(&mut counts, 1, 4, at(103)), Counted::Known, "one that was under way");
+    assert_eq!(crash(&mut counts, 1, 4, at(103)), Counted::Known, "a copy in flight");
 }
 
 #[test]
-fn an_end_that_several_routers_report_or_one_tells_again_counts_once() {
+fn duplicate_reports_of_a_crash_count_once() {
     let mut counts = CrashCounts::default();
     crash(&mut counts, 1, 1, at(100));
     for seconds in 101..110 {
@@ -56,74 +56,83 @@
     assert!(!counts.is_quarantined(&request(1)));
 }
 
-/// All servers lose power at once. Copies of a frequent and innocent request were under way on
-/// many of them.
+/// A power failure of all servers, with copies of a frequent, harmless request in flight.
 #[test]
-fn servers_that_end_at_the_same_moment_count_once() {
+fn simultaneous_crashes_under_a_completed_request_count_once() {
     let mut counts = CrashCounts::default();
-    for ended in 1..=9 {
-        let told = CrashReport { ended_well: true, ..report(1, ended, u64::from(ended) * 10) };
-        assert_eq!(counts.crashed(&told, at(100), AT_ONCE), Counted::Suspected(1));
+    for server_id in 1..=9 {
+        let crash_report =
+            CrashReport { ended_well: true, ..report(1, server_id, u64::from(server_id) * 10) };
+        assert_eq!(counts.crashed(&crash_report, at(100), NO_DELAY), Counted::Suspected(1));
     }
-    // A report that comes late tells how long ago it was.
+    // A late report carries the age of the crash.
     let late = CrashReport { ended_well: true, ..report(1, 10, 5_000) };
-    assert_eq!(counts.crashed(&late, at(105), AT_ONCE), Counted::Suspected(1));
-    assert_eq!(crash(&mut counts, 1, 11, at(106)), Counted::Suspected(2), "a later end counts");
+    assert_eq!(counts.crashed(&late, at(105), NO_DELAY), Counted::Suspected(1));
+    assert_eq!(crash(&mut counts, 1, 11, at(106)), Counted::Suspected(2), "a later crash counts");
 }
 
-/// Copies of a request that ends its servers come at several routers at the same moment.
+/// Copies of a request that crashes its servers arrive at several routers at once.
 #[test]
-fn servers_that_end_together_count_each_if_the_request_never_ended_well() {
+fn simultaneous_crashes_under_a_never_completed_request_count_each() {
     let mut counts = CrashCounts::default();
-    for ended in 1..=2 {
-        let told = report(1, ended, u64::from(ended) * 10);
-        assert_eq!(counts.crashed(&told, at(100), AT_ONCE), Counted::Suspected(ended.into()));
+    for server_id in 1..=2 {
+        let crash_report = report(1, server_id, u64::from(server_id) * 10);
+        assert_eq!(
+            counts.crashed(&crash_report, at(100), NO_DELAY),
+            Counted::Suspected(server_id.into())
+        );
     }
-    let third = counts.crashed(&report(1, 3, 30), at(100), AT_ONCE);
+    let third = counts.crashed(&report(1, 3, 30), at(100), NO_DELAY);
     assert!(matches!(third, Counted::Quarantined(_)), "{third:?}");
 }
 
 #[test]
-fn requests_that_ended_well_are_remembered_until_others_take_their_place() {
-    let mut ended_well = EndedWell::default();
-    assert!(!ended_well.has(&request(0)), "a free place is no request");
-    (1..=9).for_each(|number| ended_well.note(&request(number)));
-    assert!((1..=9).all(|number| ended_well.has(&request(number))));
-    assert!(!ended_well.has(&request(10)));
+fn completed_requests_are_recorded_until_overwritten() {
+    let mut completed_requests = EndedWell::default();
+    assert!(!completed_requests.has(&request(0)), "a free slot matches no request");
+    (1..=9).for_each(|number| completed_requests.note(&request(number)));
+    assert!((1..=9).all(|number| completed_requests.has(&request(number))));
+    assert!(!completed_requests.has(&request(10)));
 }
 
-/// The router sends a request to the next server as soon as one has ended under it.
+/// The router retries a request on the next server as soon as one has crashed under it.
 #[test]
-fn servers_that_end_one_after_the_other_count_each() {
+fn consecutive_crashes_count_each() {
     let mut counts = CrashCounts::default();
-    for ended in 1..=2_u8 {
+    for server_id in 1..=2_u8 {
         let under_way = Duration::from_millis(4);
-        let told = CrashReport { under_way, ..report(1, ended, 100 - 10 * u64::from(ended)) };
-        assert_eq!(counts.crashed(&told, at(100), AT_ONCE), Counted::Suspected(ended.into()));
+        let crash_report =
+            CrashReport { under_way, ..report(1, server_id, 100 - 10 * u64::from(server_id)) };
+        assert_eq!(
+            counts.crashed(&crash_report, at(100), NO_DELAY),
+            Counted::Suspected(server_id.into())
+        );
     }
 }
 
 #[test]
-fn a_whole_answer_clears_the_ends_before_it_also_those_that_are_reported_later() {
-    let mut here = CrashCounts::default();
-    let mut elsewhere = CrashCounts::default();
-    crash(&mut here, 1, 1, at(100));
-    crash(&mut here, 1, 2, at(101));
-    let clearance = here.answered(request(1), at(102)).expect("ends counted");
-    elsewhere.cleared(&clearance, at(102));
-    for counts in [&mut here, &mut elsewhere] {
+fn completion_clears_earlier_crashes_even_if_reported_later() {
+    let mut local = CrashCounts::default();
+    let mut remote = CrashCounts::default();
+    crash(&mut local, 1, 1, at(100));
+    crash(&mut local, 1, 2, at(101));
+    let clearance = local.answered(request(1), at(102)).expect("crashes counted");
+    remote.cleared(&clearance, at(102));
+    for counts in [&mut local, &mut remote] {
         assert_eq!(crash(counts, 1, 1, at(103)), Counted::Known);
         assert_eq!(crash(counts, 1, 2, at(103)), Counted::Known);
-        assert_eq!(crash(counts, 1, 3, at(104)), Counted::Suspected(1), "later ends count");
+        assert_eq!(crash(counts, 1, 3, at(104)), Counted::Suspected(1), "later crashes count");
     }
-    assert_eq!(here.answered(request(2), at(105)), None, "nothing counted against it");
+    assert_eq!(local.answered(request(2), at(105)), None, "no crashes counted");
 }
 
-/// A copy of an innocent request was under way when the third end was counted, and ends well.
+/// A copy of the request is in flight when the third crash is counted, and completes.
 #[test]
-fn a_whole_answer_ends_the_quarantine_too() {
+fn completion_ends_the_quarantine() {
     let mut counts = CrashCounts::default();
-    (1..=3).for_each(|ended| drop(crash(&mut counts, 1, ended, at(100 + u64::from(ended)))));
+    (1..=3).for_each(|server_id| {
+        drop(crash(&mut counts, 1, server_id, at(100 + u64::from(server_id))))
+    });
     assert!(counts.is_quarantined(&request(1)));
     assert!(counts.answered(request(1), at(110)).is_some());
     assert!(!counts.is_quarantined(&request(1)));
@@ -131,24 +140,29 @@
 }
 
 #[test]
-fn a_quarantine_is_recorded_by_who_saw_an_end_first_and_asked_for_until_it_is() {
+fn a_quarantine_is_due_after_a_delay_and_until_it_is_recorded() {
     let mut counts = CrashCounts::default();
     crash(&mut counts, 1, 1, at(100));
     crash(&mut counts, 1, 2, at(101));
     counts.crashed(&report(1, 3, 0), at(102), Duration::from_secs(2));
-    assert!(counts.due_records(at(103), |_| false).is_empty(), "others may do it");
+    assert!(
+        counts.due_records(at(103), |_| false).is_empty(),
+        "another router may have it recorded"
+    );
     let unrecorded =
         Unrecorded { request: request(1), servers: vec![server(1), server(2), server(3)] };
     assert_eq!(counts.due_records(at(104), |_| false), std::slice::from_ref(&unrecorded));
-    assert!(counts.due_records(at(104), |_| false).is_empty(), "a pause first");
+    assert!(counts.due_records(at(104), |_| false).is_empty(), "retried after an interval");
     assert_eq!(counts.due_records(at(105), |_| false), [unrecorded]);
-    assert!(counts.due_records(at(107), |_| true).is_empty(), "it is recorded");
+    assert!(counts.due_records(at(107), |_| true).is_empty(), "already recorded");
 }
 
 #[test]
-fn a_released_request_starts_anew_and_an_old_suspect_is_forgotten() {
+fn released_requests_and_old_suspects_are_removed() {
     let mut counts = CrashCounts::default();
-    (1..=3).for_each(|ended| drop(crash(&mut counts, 1, ended, at(100 + u64::from(ended)))));
+    (1..=3).for_each(|server_id| {
+        drop(crash(&mut counts, 1, server_id, at(100 + u64::from(server_id))))
+    });
     counts.released(&request(1));
     assert_eq!(crash(&mut counts, 1, 4, at(200)), Counted::Suspected(1));
     counts.forget_old(at(799));
@@ -157,56 +171,60 @@
     assert!(counts.is_empty());
 }
 
-/// Thousands of other requests, each under one end, push no request out under which two servers
-/// have ended.
+/// Thousands of requests with one crash each don't evict a request with two crashes.
 #[test]
-fn suspects_are_bounded_and_the_least_suspicious_go_first() {
+fn suspects_are_bounded_and_those_with_the_fewest_crashes_are_evicted() {
     let mut counts = CrashCounts::default();
     crash(&mut counts, 1, 1, at(100));
     crash(&mut counts, 1, 2, at(101));
     for number in 0..10_000_u32 {
         let mut bytes = [9; 16];
         bytes[..4].copy_from_slice(&number.to_be_bytes());
-        let told = CrashReport { request: RequestFingerprint(bytes), ..report(0, 3, 0) };
-        counts.crashed(&told, at(102), AT_ONCE);
+        let crash_report = CrashReport { request: RequestFingerprint(bytes), ..report(0, 3, 0) };
+        counts.crashed(&crash_report, at(102), NO_DELAY);
     }
     assert!((3_584..=4_096).contains(&counts.suspects()), "{}", counts.suspects());
     assert!(matches!(crash(&mut counts, 1, 3, at(103)), Counted::Quarantined(_)));
 }
 
 quickcheck! {
-    /// Routers that hear the same ends in any order, some of them twice, agree in the end.
-    fn the_order_of_reports_does_not_matter(ends: Vec<(u8, u8)>, turn: usize) -> bool {
-        let ends: Vec<(u8, u8)> = ends.into_iter().map(|(who, what)| (who % 3, what % 6)).collect();
-        let told = |ends: &[(u8, u8)]| {
+    /// Routers that receive the same reports in any order, some of them twice, agree.
+    fn the_order_of_reports_does_not_matter(crashes: Vec<(u8, u8)>, rotation: usize) -> bool {
+        let crashes: Vec<(u8, u8)> =
+            crashes.into_iter().map(|(request, server)| (request % 3, server % 6)).collect();
+        let quarantined = |crashes: &[(u8, u8)]| {
             let mut counts = CrashCounts::default();
-            for (asked, ended) in ends {
-                // Each server ends at a time of its own, a second apart.
-                let at_end = 1_000 * u64::from(*ended);
-                counts.crashed(&report(*asked, *ended, 20_000 - at_end), at(100), AT_ONCE);
+            for (request_id, server_id) in crashes {
+                // The servers crash a second apart.
+                let crashed_ms = 1_000 * u64::from(*server_id);
+                counts.crashed(
+                    &report(*request_id, *server_id, 20_000 - crashed_ms),
+                    at(100),
+                    NO_DELAY,
+                );
             }
-            (0..3).map(|asked| counts.is_quarantined(&request(asked))).collect::<Vec<bool>>()
+            (0..3).map(|id| counts.is_quarantined(&request(id))).collect::<Vec<bool>>()
         };
-        let mut other = ends.clone();
-        if !other.is_empty() {
-            let middle = turn % other.len();
-            other.rotate_left(middle);
+        let mut reordered = crashes.clone();
+        if !reordered.is_empty() {
+            let middle = rotation % reordered.len();
+            reordered.rotate_left(middle);
         }
-        other.extend(ends.first().copied());
-        told(&ends) == told(&other)
+        reordered.extend(crashes.first().copied());
+        quarantined(&crashes) == quarantined(&reordered)
     }
 }
 
 #[test]
-fn a_report_is_told_again_with_its_age_and_then_no_more() {
-    let mut retelling = Retelling::default();
-    retelling.told(Report::Crash(report(1, 1, 50)), at(100));
+fn a_report_is_repeated_three_times_with_its_current_age() {
+    let mut rebroadcast = Retelling::default();
+    rebroadcast.told(Report::Crash(report(1, 1, 50)), at(100));
     let mut ages = Vec::new();
     for tenths in 0..80_u64 {
         let now = at(100).after(Duration::from_millis(tenths * 100));
-        for again in retelling.due(now) {
-            let Report::Crash(again) = again else { panic!("it was a crash") };
-            ages.push(again.age.as_millis());
+        for repeat in rebroadcast.due(now) {
+            let Report::Crash(repeat) = repeat else { panic!("not a crash report") };
+            ages.push(repeat.age.as_millis());
         }
     }
     assert_eq!(ages, [450, 1_350, 3_150]);
