--- a/crates/feed/src/actor.rs
+++ b/crates/feed/src/actor.rs
@@ -1,4 +1,4 @@
-//! The actor that owns the view and the connections to the replicas.
+//! Actor that owns the view and the links to the replicas.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,51 +16,52 @@
 use tokio::sync::{broadcast, watch};
 use tokio::time::{Instant, MissedTickBehavior, interval};
 
-use crate::fold::{FleetFold, FoldOutcome};
-use crate::following::Link;
 use crate::link::LinkCommand;
+use crate::links::Link;
 use crate::view::FleetView;
+use crate::view_builder::{FleetViewBuilder, MergeOutcome};
 
-/// Pace at which a configuration that didn't come is asked for again.
-const RETRY_INTERVAL: Duration = Duration::from_millis(400);
+/// Interval between checks whether a missing catalog has to be requested again.
+const FETCH_RETRY_INTERVAL: Duration = Duration::from_millis(400);
 
-/// What several routers told.
+/// Updates of several routers, as relayed by a replica.
 pub type RelayedBatch = Arc<Vec<RelayedNews>>;
 
-/// What a feed needs.
+/// Settings of a [`Feed`](crate::Feed).
 pub struct FeedSettings {
-    /// Secret shared by the daemons.
+    /// Secret shared by all daemons of the cluster.
     pub key: ClusterKey,
-    /// Who this node is.
+    /// Identity of this node.
     pub own: PeerIdentity,
-    /// Replicas to begin with.
+    /// Replicas to follow until they name the members of their group.
     pub seeds: Vec<NodeId>,
-    /// Where replicas are reached whose numbers aren't addresses; the others need no entry.
+    /// Addresses of replicas whose node ids don't encode their addresses; other replicas need no
+    /// entry.
     pub addresses: BTreeMap<NodeId, SocketAddr>,
 }
 
-/// Something that happened on the link to a replica.
+/// Event on the link to a replica.
 pub(crate) struct ReplicaEvent {
-    /// The replica.
+    /// Replica at the other end of the link.
     pub node: NodeId,
-    /// What happened.
     pub event: LinkEvent,
 }
 
-/// What can happen on a link.
+/// Kinds of events on a link.
 pub(crate) enum LinkEvent {
     Connected {
         zone: ZoneName,
     },
     Disconnected,
-    Told(Vec<RelayedNews>),
-    News(FleetNews),
+    RouterUpdates(Vec<RelayedNews>),
+    Fleet(FleetNews),
     Instances {
-        heard: Vec<HeardInstance>,
-        whole: bool,
-        gone: Vec<InstanceName>,
-        /// Whether it is what all replicas know, and not what this one has heard itself.
-        of_fleet: bool,
+        observed: Vec<HeardInstance>,
+        is_complete: bool,
+        removed: Vec<InstanceName>,
+        /// Whether the servers are those that all replicas know, rather than those that this
+        /// replica observed itself.
+        is_fleet_wide: bool,
     },
     Renewals(RenewalNews),
     Catalog(Option<CatalogBody>),
@@ -71,42 +72,43 @@
     },
 }
 
-/// Owns the view.
+/// Actor behind [`Feed`](crate::Feed).
 pub(crate) struct FeedActor {
     pub(crate) settings: FeedSettings,
     pub(crate) own_ref: ActorRef<FeedActor>,
     started: Instant,
-    /// Origin of the times of confirmations, whose ages count suspensions.
+    /// Origin of the timestamps of confirmations; confirmation ages include time in which the host
+    /// was suspended.
     booted: BootInstant,
-    pub(crate) fold: FleetFold,
+    pub(crate) view_builder: FleetViewBuilder,
     pub(crate) links: BTreeMap<NodeId, Link>,
     view: watch::Sender<Arc<FleetView>>,
     pub(crate) confirmed_at: watch::Sender<Option<BootInstant>>,
-    routers: watch::Sender<u32>,
-    news: broadcast::Sender<RelayedBatch>,
-    /// Zones of the replicas that are connected.
+    router_count: watch::Sender<u32>,
+    router_updates: broadcast::Sender<RelayedBatch>,
+    /// Zones of the connected replicas.
     pub(crate) zones: BTreeMap<NodeId, ZoneName>,
-    /// The replica through which this router tells others and hears from them.
+    /// Replica through which this router exchanges updates with the other routers.
     pub(crate) relay: Option<NodeId>,
-    /// Replicas to follow, the preferred one first.
+    /// Replicas to follow, in order of preference.
     pub(crate) followed: Vec<NodeId>,
-    /// Replicas that could not be reached, with the time of the latest attempt.
-    pub(crate) lost: BTreeMap<NodeId, Instant>,
+    /// Unreachable replicas, with the time of the latest attempt to connect.
+    pub(crate) unreachable: BTreeMap<NodeId, Instant>,
 }
 
-/// What the actor publishes.
-pub(crate) struct Published {
+/// Sending ends of the channels that the feed publishes on.
+pub(crate) struct PublishedChannels {
     pub(crate) view: watch::Sender<Arc<FleetView>>,
     pub(crate) confirmed_at: watch::Sender<Option<BootInstant>>,
-    pub(crate) routers: watch::Sender<u32>,
-    pub(crate) news: broadcast::Sender<RelayedBatch>,
+    pub(crate) router_count: watch::Sender<u32>,
+    pub(crate) router_updates: broadcast::Sender<RelayedBatch>,
 }
 
-/// What the actor starts with.
+/// Arguments for starting the actor.
 pub(crate) struct FeedArguments {
     pub(crate) settings: FeedSettings,
     pub(crate) started: Instant,
-    pub(crate) published: Published,
+    pub(crate) published: PublishedChannels,
 }
 
 impl Actor for FeedActor {
@@ -123,29 +125,29 @@
             own_ref: actor.clone(),
             started,
             booted: BootInstant::now(),
-            fold: FleetFold::default(),
+            view_builder: FleetViewBuilder::default(),
             links: BTreeMap::new(),
             view: published.view,
             confirmed_at: published.confirmed_at,
-            routers: published.routers,
-            news: published.news,
+            router_count: published.router_count,
+            router_updates: published.router_updates,
             zones: BTreeMap::new(),
             relay: None,
             followed: Vec::new(),
-            lost: BTreeMap::new(),
+            unreachable: BTreeMap::new(),
         };
-        feed.follow_members();
-        tokio::spawn(keep_retrying(actor));
+        feed.update_links();
+        tokio::spawn(run_fetch_timer(actor));
         Ok(feed)
     }
 }
 
-async fn keep_retrying(feed: ActorRef<FeedActor>) {
-    let mut ticks = interval(RETRY_INTERVAL);
+async fn run_fetch_timer(feed: ActorRef<FeedActor>) {
+    let mut ticks = interval(FETCH_RETRY_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        if feed.tell(RetryFetch).await.is_err() {
+        if feed.tell(RetryCatalogFetch).await.is_err() {
             return;
         }
     }
@@ -165,80 +167,80 @@
         let now = self.now();
         let outcome = match event {
             LinkEvent::Connected { zone } => {
-                self.fold.set_near(node, zone == self.settings.own.zone);
+                self.view_builder.set_in_own_zone(node, zone == self.settings.own.zone);
                 self.zones.insert(node, zone);
-                self.lost.remove(&node);
-                self.choose_relay();
-                self.fold.set_connected(node, true)
+                self.unreachable.remove(&node);
+                self.update_relay();
+                self.view_builder.set_connected(node, true)
             }
             LinkEvent::Disconnected => {
                 self.zones.remove(&node);
-                self.lost.insert(node, Instant::now());
-                self.choose_relay();
-                self.fold.set_connected(node, false)
+                self.unreachable.insert(node, Instant::now());
+                self.update_relay();
+                self.view_builder.set_connected(node, false)
             }
-            LinkEvent::Told(told) => {
-                self.hear(told);
-                FoldOutcome::default()
+            LinkEvent::RouterUpdates(updates) => {
+                self.forward_router_updates(updates);
+                MergeOutcome::default()
             }
-            LinkEvent::News(news) => self.fold.news(node, news, now),
-            LinkEvent::Instances { heard, whole, gone, of_fleet } => {
-                let outcome = self.fold.instances(node, heard, whole, now);
-                if of_fleet && whole {
-                    // What other replicas said before is in it, or has gone.
-                    self.fold.keep_only(node);
+            LinkEvent::Fleet(update) => self.view_builder.apply_fleet_update(node, update, now),
+            LinkEvent::Instances { observed, is_complete, removed, is_fleet_wide } => {
+                let outcome = self.view_builder.apply_instances(node, observed, is_complete, now);
+                if is_fleet_wide && is_complete {
+                    // A complete fleet-wide list supersedes what other replicas reported before.
+                    self.view_builder.retain_only_source(node);
                 }
-                let forgotten = self.fold.forget(node, &gone);
-                FoldOutcome { changed: outcome.changed || forgotten.changed, ..outcome }
+                let removal = self.view_builder.remove_instances(node, &removed);
+                MergeOutcome { changed: outcome.changed || removal.changed, ..outcome }
             }
-            LinkEvent::Renewals(news) => self.fold.renewals(node, news),
-            LinkEvent::Catalog(body) => match self.fold.catalog(body, now) {
+            LinkEvent::Renewals(update) => self.view_builder.apply_renewals(node, update),
+            LinkEvent::Catalog(body) => match self.view_builder.apply_catalog(body, now) {
                 Ok(outcome) => outcome,
                 Err(error) => {
                     log::error!("event=catalog_unreadable replica={node} reason=\"{error}\"");
-                    FoldOutcome::default()
+                    MergeOutcome::default()
                 }
             },
             LinkEvent::Confirmed { at, revision, routers } => {
-                self.fold.set_routers(node, routers);
-                self.routers.send_replace(self.fold.routers());
+                self.view_builder.set_router_count(node, routers);
+                self.router_count.send_replace(self.view_builder.router_count());
                 let at = Timestamp::ZERO.after(at.since(self.booted));
-                self.fold.confirmed(node, at, revision);
-                FoldOutcome::default()
+                self.view_builder.record_confirmation(node, at, revision);
+                MergeOutcome::default()
             }
         };
-        self.act_on(outcome);
+        self.apply_outcome(outcome);
     }
 }
 
-/// Ask again for a configuration that didn't come.
-struct RetryFetch;
+/// Requests a missing catalog again and expires silent servers.
+struct RetryCatalogFetch;
 
-impl Message<RetryFetch> for FeedActor {
+impl Message<RetryCatalogFetch> for FeedActor {
     type Reply = ();
 
-    async fn handle(&mut self, _retry: RetryFetch, _context: &mut Context<Self, ()>) {
+    async fn handle(&mut self, _retry: RetryCatalogFetch, _context: &mut Context<Self, ()>) {
         let now = self.now();
-        let gone = self.fold.forget_gone(now);
-        let fetch = self.fold.next_fetch(now);
-        self.act_on(FoldOutcome { changed: gone.changed, fetch });
+        let expiry = self.view_builder.expire_silent_instances(now);
+        let fetch = self.view_builder.next_fetch(now);
+        self.apply_outcome(MergeOutcome { changed: expiry.changed, fetch });
     }
 }
 
-/// Tell the other routers.
-pub(crate) struct TellRouters(pub(crate) RouterNews);
+/// Publishes an update to the other routers.
+pub(crate) struct PublishToRouters(pub(crate) RouterNews);
 
-impl Message<TellRouters> for FeedActor {
+impl Message<PublishToRouters> for FeedActor {
     type Reply = ();
 
-    async fn handle(&mut self, message: TellRouters, _context: &mut Context<Self, ()>) {
+    async fn handle(&mut self, message: PublishToRouters, _context: &mut Context<Self, ()>) {
         if let Some(relay) = self.relay {
-            self.command(relay, LinkCommand::Tell(message.0));
+            self.send_command(relay, LinkCommand::Publish(message.0));
         }
     }
 }
 
-/// Other seeds stand in the settings now.
+/// Replaces the seeds.
 pub(crate) struct SetSeeds(pub(crate) Vec<NodeId>);
 
 impl Message<SetSeeds> for FeedActor {
@@ -246,7 +248,7 @@
 
     async fn handle(&mut self, message: SetSeeds, _context: &mut Context<Self, ()>) {
         self.settings.seeds = message.0;
-        self.follow_members();
+        self.update_links();
     }
 }
 
@@ -255,37 +257,37 @@
         Timestamp::ZERO.after(self.started.elapsed())
     }
 
-    /// Hands on what other routers tell. One message goes to all listeners, so what this
-    /// router told comes back to it.
-    fn hear(&self, mut told: Vec<RelayedNews>) {
+    /// Forwards updates of other routers to the subscribers. The relay sends each update to all
+    /// routers, so this router's own updates come back and are dropped here.
+    fn forward_router_updates(&self, mut updates: Vec<RelayedNews>) {
         let own = self.settings.own.node;
-        told.retain(|told| told.from != own);
-        if !told.is_empty() {
-            // A node without use for them doesn't listen.
-            let _ = self.news.send(Arc::new(told));
+        updates.retain(|update| update.from != own);
+        if !updates.is_empty() {
+            // Sending fails if nothing subscribes, as in a node that doesn't use these updates.
+            let _ = self.router_updates.send(Arc::new(updates));
         }
     }
 
-    fn act_on(&mut self, outcome: FoldOutcome) {
+    fn apply_outcome(&mut self, outcome: MergeOutcome) {
         if outcome.changed {
-            self.publish();
+            self.publish_view();
         }
         self.confirmed_at.send_if_modified(|published| {
-            let latest = self.fold.confirmed_at();
+            let latest = self.view_builder.confirmed_at();
             let latest = latest.map(|at| self.booted + at.since(Timestamp::ZERO));
             let changed = *published != latest;
             *published = latest;
             changed
         });
         if let Some((node, above)) = outcome.fetch {
-            // It is asked for again if the link has just ended.
-            self.command(node, LinkCommand::Fetch(above));
+            // If the link has just ended, the fetch timer requests the catalog again.
+            self.send_command(node, LinkCommand::Fetch(above));
         }
-        self.follow_members();
+        self.update_links();
     }
 
-    fn publish(&self) {
-        let view = self.fold.view();
+    fn publish_view(&self) {
+        let view = self.view_builder.view();
         let before = self.view.borrow().catalog_version();
         if view.catalog_version() != before {
             let (version, revision) = (view.catalog_version(), view.revision);
--- a/crates/feed/src/charge.rs
+++ b/crates/feed/src/charge.rs
@@ -1,40 +1,40 @@
-//! Charges against limits that hold over all routers, on their way to the replicas that own them.
+//! Charges against fleet-wide limits, sent to the replicas that own them.
 
 use juniper_protocol::message::{ChargeAnswer, LimitCharge};
 use juniper_protocol::{Refusal, Reply};
 use tokio::sync::oneshot;
 
-/// Why a charge was not answered. Whether it was counted isn't known then.
+/// Reason why a charge got no answer. The owner may have counted the charge nevertheless.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ChargeError {
-    /// No replica of this rank is connected.
+    /// No connected replica has the requested rank.
     #[error("no replica is connected")]
     NoReplica,
-    /// The replica owns nothing at the moment.
-    #[error("the replica owns no limits: {0}")]
+    /// The replica doesn't own limits at the moment.
+    #[error("replica refused the charge: {0}")]
     NotOwner(#[from] Refusal),
-    /// The connection ended before the answer.
-    #[error("the connection to the replica has ended")]
+    /// The connection ended before the answer arrived.
+    #[error("connection to the replica closed before the answer")]
     Disconnected,
-    /// The replica answered to something else.
-    #[error("the replica's answer is none to a charge")]
-    NoAnswer,
+    /// The reply was of another kind than the answer to a charge.
+    #[error("replica sent an unexpected reply to a charge")]
+    UnexpectedReply,
 }
 
-/// Where the answer to a charge goes.
+/// Sender for the result of a charge.
 pub(crate) type ChargeSender = oneshot::Sender<Result<ChargeAnswer, ChargeError>>;
 
-/// A charge that waits for its answer.
+/// Charge together with the sender for its result.
 pub(crate) struct PendingCharge {
     pub charge: LimitCharge,
     pub answer: ChargeSender,
 }
 
-/// What a replica's reply to a charge means.
-pub(crate) fn read_reply(reply: Reply) -> Result<ChargeAnswer, ChargeError> {
+/// Converts a replica's reply to the result of a charge.
+pub(crate) fn charge_result(reply: Reply) -> Result<ChargeAnswer, ChargeError> {
     match reply {
         Reply::Charged(answer) => Ok(answer),
         Reply::Refused(refusal) => Err(ChargeError::NotOwner(refusal)),
-        _ => Err(ChargeError::NoAnswer),
+        _ => Err(ChargeError::UnexpectedReply),
     }
 }
--- a/crates/feed/src/feed.rs
+++ b/crates/feed/src/feed.rs
@@ -1,4 +1,4 @@
-//! A handle to a running feed.
+//! Handle to a running feed.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,111 +12,113 @@
 use tokio::time::Instant;
 
 use crate::actor::{
-    FeedActor, FeedArguments, FeedSettings, Published, RelayedBatch, SetSeeds, TellRouters,
+    FeedActor, FeedArguments, FeedSettings, PublishToRouters, PublishedChannels, RelayedBatch,
+    SetSeeds,
 };
 use crate::charge::{ChargeError, PendingCharge};
-use crate::replica_calls::{ChargeLimit, GiveBack, RecordQuarantine, RecordRelease};
+use crate::replica_calls::{ChargeLimit, RecordQuarantine, RecordRelease, RefundCharge};
 use crate::view::FleetView;
 
-/// Events that wait for the actor; links wait beyond that.
+/// Capacity of the actor's mailbox; links wait when it is full.
 const MAILBOX_CAPACITY: usize = 64;
 
-/// Routers that are assumed until a replica has told their number. More is the
-/// safe side: each keeps to a smaller part of what they share.
-const UNKNOWN_ROUTERS: u32 = 32;
+/// Number of routers assumed until a replica has reported it. A high value is the safe one: each
+/// router takes a smaller share of common limits.
+const DEFAULT_ROUTER_COUNT: u32 = 32;
 
-/// Batches of news that wait for whoever listens; older ones are lost.
-const WAITING_NEWS: usize = 64;
+/// Capacity of the channel of router updates, in batches; a slow receiver loses the oldest ones.
+const ROUTER_UPDATE_CAPACITY: usize = 64;
 
-/// A running feed.
+/// Cloneable handle to the actor that follows the replicas.
 #[derive(Clone)]
 pub struct Feed {
     actor: ActorRef<FeedActor>,
     started: Instant,
     view: watch::Receiver<Arc<FleetView>>,
     confirmed_at: watch::Receiver<Option<BootInstant>>,
-    routers: watch::Receiver<u32>,
-    news: broadcast::Sender<RelayedBatch>,
+    router_count: watch::Receiver<u32>,
+    router_updates: broadcast::Sender<RelayedBatch>,
 }
 
 impl Feed {
-    /// Starts to follow the replicas.
+    /// Starts following the replicas.
     pub fn start(settings: FeedSettings) -> Self {
         let started = Instant::now();
         let (view_sender, view) = watch::channel(Arc::default());
         let (confirmed_sender, confirmed_at) = watch::channel(None);
-        let news = broadcast::Sender::new(WAITING_NEWS);
-        let (routers_sender, routers) = watch::channel(UNKNOWN_ROUTERS);
-        let published = Published {
+        let router_updates = broadcast::Sender::new(ROUTER_UPDATE_CAPACITY);
+        let (router_count_sender, router_count) = watch::channel(DEFAULT_ROUTER_COUNT);
+        let published = PublishedChannels {
             view: view_sender,
             confirmed_at: confirmed_sender,
-            routers: routers_sender,
-            news: news.clone(),
+            router_count: router_count_sender,
+            router_updates: router_updates.clone(),
         };
         let arguments = FeedArguments { settings, started, published };
         let actor = FeedActor::spawn_with_mailbox(arguments, mailbox::bounded(MAILBOX_CAPACITY));
-        Feed { actor, started, view, confirmed_at, routers, news }
+        Feed { actor, started, view, confirmed_at, router_count, router_updates }
     }
 
-    /// What the node knows of the fleet.
+    /// Watches the view of the fleet.
     pub fn view(&self) -> watch::Receiver<Arc<FleetView>> {
         self.view.clone()
     }
 
-    /// The latest view.
+    /// Current view of the fleet.
     pub fn latest(&self) -> Arc<FleetView> {
         Arc::clone(&self.view.borrow())
     }
 
-    /// Time since a quorum confirmed that the view was complete, if ever; suspensions count.
+    /// Time since a quorum confirmed that the view was complete, including time in which the host
+    /// was suspended; `None` if it has never been confirmed.
     pub fn age(&self) -> Option<Duration> {
         self.confirmed_at.borrow().map(|at| at.elapsed())
     }
 
-    /// Tells of confirmations.
+    /// Watches the time of the latest confirmation.
     pub fn confirmations(&self) -> watch::Receiver<Option<BootInstant>> {
         self.confirmed_at.clone()
     }
 
-    /// Routers that follow the replicas.
+    /// Number of routers that follow the replicas.
     pub fn routers(&self) -> u32 {
-        *self.routers.borrow()
+        *self.router_count.borrow()
     }
 
-    /// The origin of the times in the view.
+    /// Origin of the timestamps in the view.
     pub fn started(&self) -> Instant {
         self.started
     }
 
-    /// What other routers tell.
+    /// Subscribes to the updates of other routers.
     pub fn news(&self) -> broadcast::Receiver<RelayedBatch> {
-        self.news.subscribe()
+        self.router_updates.subscribe()
     }
 
-    /// Tells the other routers.
+    /// Publishes an update to the other routers.
     pub async fn tell(&self, news: RouterNews) {
-        // A feed that has ended reaches nobody.
-        let _ = self.actor.tell(TellRouters(news)).await;
+        // Sending fails only if the actor has stopped.
+        let _ = self.actor.tell(PublishToRouters(news)).await;
     }
 
-    /// Has a request recorded as one that is sent to no server any more. `rank` says which replica
-    /// is asked; whoever asks again takes the next one. The view tells when it is recorded.
+    /// Asks a replica to record a request as quarantined. `rank` selects the replica; callers retry
+    /// with the next rank. The view shows when the quarantine is recorded.
     pub async fn record_quarantine(&self, call: QuarantineCall, rank: usize) {
-        // A feed that has ended reaches nobody.
+        // Sending fails only if the actor has stopped.
         let _ = self.actor.tell(RecordQuarantine { call, rank }).await;
     }
 
-    /// Has it recorded that a request may be sent again.
+    /// Asks a replica to record the release of a request from quarantine.
     pub async fn record_release(&self, request: RequestFingerprint) {
-        // A feed that has ended reaches nobody.
+        // Sending fails only if the actor has stopped.
         let _ = self.actor.tell(RecordRelease(request)).await;
     }
 
-    /// Has a request counted by the replica that owns its account: the connected one that
-    /// comes at `rank` in the account's order. The caller bounds the wait.
+    /// Charges a request at the replica that owns its account: the connected one of the given
+    /// `rank` in the account's owner order. The caller sets the timeout.
     ///
     /// # Errors
-    /// Fails when there is no such replica, or it doesn't answer.
+    /// Fails when there is no such replica, or when it doesn't answer.
     pub async fn charge(
         &self,
         charge: LimitCharge,
@@ -124,21 +126,21 @@
     ) -> Result<ChargeAnswer, ChargeError> {
         let (answer, answered) = oneshot::channel();
         let message = ChargeLimit { pending: PendingCharge { charge, answer }, rank };
-        // A feed that has ended drops the sender, which the wait below notices.
+        // A stopped actor drops the sender, which the wait below reports.
         let _ = self.actor.tell(message).await;
         answered.await.unwrap_or(Err(ChargeError::Disconnected))
     }
 
-    /// Tells the owner of the account that no server has run what was counted. If it
-    /// can't be told, the next requests are admitted a little later.
+    /// Refunds units at the owner of the account because no server executed the request. If the
+    /// owner can't be reached, later requests are admitted somewhat later.
     pub async fn give_back(&self, account: String, units: f64) {
-        // A feed that has ended reaches nobody.
-        let _ = self.actor.tell(GiveBack { account, units }).await;
+        // Sending fails only if the actor has stopped.
+        let _ = self.actor.tell(RefundCharge { account, units }).await;
     }
 
-    /// Takes over the seeds of settings that have changed.
+    /// Replaces the seeds after a change of the settings.
     pub async fn set_seeds(&self, seeds: Vec<NodeId>) {
-        // A feed that has ended follows nobody.
+        // Sending fails only if the actor has stopped.
         let _ = self.actor.tell(SetSeeds(seeds)).await;
     }
 }
--- a/crates/feed/src/lib.rs
+++ b/crates/feed/src/lib.rs
@@ -1,26 +1,25 @@
-//! Follows the control replicas.
+//! Subscriptions of a router or replica to the control replicas.
 //!
-//! A node keeps a connection to every replica that it knows of. Each replica
-//! pushes what the fleet agrees on and the servers that it hears of; a
-//! [`FleetFold`] makes one view of it that never goes back, and the [`Feed`]
-//! publishes that view. Because every replica is followed, the loss or the cut
-//! of one delays nothing.
+//! A node keeps connections to the replicas that [`FollowRequest`] selects. Each replica pushes the
+//! state that the fleet agrees on and the servers that it observes. [`FleetViewBuilder`] merges
+//! these pushes into one monotonic [`FleetView`], which [`Feed`] publishes. Several replicas are
+//! followed at once, so that a crash or partition of one of them doesn't delay updates.
 
 mod actor;
 mod charge;
 mod feed;
-mod fold;
-mod follow;
-mod following;
 mod link;
+mod links;
 mod relay;
 mod replica_calls;
+mod selection;
 mod view;
+mod view_builder;
 
 pub use actor::{FeedSettings, RelayedBatch};
 pub use charge::ChargeError;
 pub use feed::Feed;
-pub use fold::{FleetFold, FoldOutcome};
-pub use follow::{FOLLOWED, FOLLOWED_WHOLE, FollowQuestion, FollowedPart};
-pub use relay::relay_among;
+pub use relay::select_relay;
+pub use selection::{FOLLOWED_REPLICAS, FollowRequest, FollowScope, MAX_FULLY_FOLLOWED};
 pub use view::{FleetView, WantedWeights};
+pub use view_builder::{FleetViewBuilder, MergeOutcome};
--- a/crates/feed/src/link.rs
+++ b/crates/feed/src/link.rs
@@ -1,4 +1,4 @@
-//! The connection to one control replica.
+//! Connection to one control replica.
 
 use std::collections::{HashMap, VecDeque};
 use std::convert::Infallible;
@@ -18,151 +18,153 @@
 use tokio::time::{Instant, MissedTickBehavior, interval, sleep, timeout};
 
 use crate::actor::{FeedActor, LinkEvent, ReplicaEvent};
-use crate::charge::{ChargeSender, PendingCharge, read_reply};
-use crate::follow::FollowedPart;
+use crate::charge::{ChargeSender, PendingCharge, charge_result};
+use crate::selection::FollowScope;
 
-/// Time within which a connection must stand.
+/// Timeout for connecting, handshake included.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Pace at which a replica is asked how current it is.
+/// Interval between confirmation requests to a replica.
 const CONFIRM_INTERVAL: Duration = Duration::from_millis(700);
 
-/// Pace while no replica has confirmed anything yet: the node has just started and
-/// serves nobody before.
+/// Confirmation interval while no replica has confirmed anything yet: a node that has just started
+/// serves no requests before the first confirmation.
 const FIRST_CONFIRM_INTERVAL: Duration = Duration::from_millis(80);
 
-/// A replica that leaves a question unanswered for so long is taken for dead.
-const SILENCE_LIMIT: Duration = Duration::from_millis(2_100);
+/// Time without a reply after which the connection to a replica is closed.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(2_100);
 
-/// Range of the pause before the next attempt to connect, in milliseconds. It is
-/// random, so that nodes that lost a replica together don't return to it together.
-const RECONNECT_PAUSE_MS: std::ops::Range<u64> = 100..400;
+/// Range of the delay before a reconnect, in milliseconds; random, so that the nodes that lost a
+/// replica don't all reconnect at the same time.
+const RECONNECT_DELAY_MS: std::ops::Range<u64> = 100..400;
 
-/// The same while no replica has confirmed anything yet: the node has just started, perhaps
-/// together with the replicas, and serves nobody before.
-const FIRST_CONNECT_PAUSE_MS: std::ops::Range<u64> = 20..80;
+/// Reconnect delay while no replica has confirmed anything yet: the node has just started, possibly
+/// together with the replicas, and serves no requests before.
+const FIRST_CONNECT_DELAY_MS: std::ops::Range<u64> = 20..80;
 
-/// Why a connection ended.
+/// Reason for which a connection ended.
 #[derive(Debug, thiserror::Error)]
-enum LinkEnd {
-    #[error("can't connect in time")]
+enum LinkError {
+    #[error("connection attempt timed out")]
     ConnectTimeout,
-    #[error("can't connect: {0}")]
+    #[error("connection attempt failed: {0}")]
     Connect(#[from] HandshakeError),
     #[error("connection failed: {0}")]
     Frame(#[from] FrameError),
-    #[error("the replica fell silent")]
-    Silent,
-    #[error("the replica's number is no address")]
+    #[error("replica stopped replying")]
+    Unresponsive,
+    #[error("node id of the replica encodes no address")]
     NoAddress,
-    #[error("the feed has ended")]
+    #[error("feed has stopped")]
     Stopped,
 }
 
-/// What a link works with.
-pub(crate) struct LinkParts {
-    /// The replica.
+/// State of a link across its connections.
+pub(crate) struct LinkContext {
+    /// Replica at the other end.
     pub node: NodeId,
-    /// Where it is reached, if its number isn't its address.
+    /// Address of the replica, unless its node id encodes it.
     pub address: Option<SocketAddr>,
-    /// Secret shared by the daemons.
+    /// Secret shared by all daemons of the cluster.
     pub key: ClusterKey,
-    /// Who this node is.
+    /// Identity of this node.
     pub own: PeerIdentity,
-    /// Gets everything that the replica says.
+    /// Actor that receives the events of the link.
     pub feed: ActorRef<FeedActor>,
-    /// Whether a quorum has confirmed anything yet.
+    /// Time of the latest confirmation by any replica, if there was one.
     pub confirmed_at: watch::Receiver<Option<BootInstant>>,
-    /// What to send to the replica.
+    /// Commands to be sent to the replica.
     pub commands: mpsc::UnboundedReceiver<LinkCommand>,
-    /// What the replica is asked to push.
-    pub part: watch::Receiver<FollowedPart>,
-    /// Whether a connection has stood before.
+    /// Scope of the updates that the replica is asked to push.
+    pub scope: watch::Receiver<FollowScope>,
+    /// Whether an earlier connection was established.
     pub has_connected: bool,
 }
 
-/// What a link is to send.
+/// Commands that a link sends to its replica.
 pub(crate) enum LinkCommand {
-    /// Have the replica push this from now on.
-    Follow(FollowedPart),
-    /// Ask for the configuration above this version.
+    /// Follow the replica with this scope from now on.
+    Follow(FollowScope),
+    /// Request the catalog if its version is higher than this one.
     Fetch(u64),
-    /// Tell the other routers.
-    Tell(RouterNews),
-    /// Listen to what other routers tell through this replica, or no longer.
-    Listen(bool),
-    /// Count a request against a limit.
+    /// Publish an update to the other routers.
+    Publish(RouterNews),
+    /// Subscribe to the updates of other routers that this replica relays, or unsubscribe.
+    SubscribeRouters(bool),
+    /// Charge a request to a limit.
     Charge(PendingCharge),
-    /// No server has run what was counted.
-    GiveBack { account: String, units: f64 },
-    /// Record that a request is sent to no server any more.
+    /// Refund units of a charge.
+    Refund { account: String, units: f64 },
+    /// Record a request as quarantined.
     Quarantine(QuarantineCall),
-    /// Record that a request may be sent again.
+    /// Record the release of a request from quarantine.
     Release(RequestFingerprint),
 }
 
-/// Follows the replica until the feed ends.
-pub(crate) async fn run(mut parts: LinkParts) {
-    let mut known_down = false;
+/// Keeps the replica followed until the feed stops.
+pub(crate) async fn run(mut context: LinkContext) {
+    let mut is_down_logged = false;
     loop {
         let mut connected = false;
-        let Err(end) = follow(&mut parts, &mut connected).await;
-        known_down &= !connected;
-        if parts.tell(LinkEvent::Disconnected).await.is_err() {
+        let Err(error) = follow(&mut context, &mut connected).await;
+        is_down_logged &= !connected;
+        if context.notify_feed(LinkEvent::Disconnected).await.is_err() {
             return;
         }
-        if !known_down {
-            log::warn!("event=replica_lost replica={} reason=\"{end}\"", parts.node);
-            known_down = true;
+        if !is_down_logged {
+            log::warn!("event=replica_lost replica={} reason=\"{error}\"", context.node);
+            is_down_logged = true;
         }
-        if matches!(end, LinkEnd::Stopped | LinkEnd::NoAddress) {
+        if matches!(error, LinkError::Stopped | LinkError::NoAddress) {
             return;
         }
-        sleep(parts.reconnect_pause()).await;
+        sleep(context.reconnect_delay()).await;
     }
 }
 
-impl LinkParts {
-    fn reconnect_pause(&self) -> Duration {
+impl LinkContext {
+    fn reconnect_delay(&self) -> Duration {
         let range = match self.confirmed_at.borrow().is_none() {
-            true => FIRST_CONNECT_PAUSE_MS,
-            false => RECONNECT_PAUSE_MS,
+            true => FIRST_CONNECT_DELAY_MS,
+            false => RECONNECT_DELAY_MS,
         };
         Duration::from_millis(rand::rng().random_range(range))
     }
 
-    async fn tell(&self, event: LinkEvent) -> Result<(), LinkEnd> {
+    async fn notify_feed(&self, event: LinkEvent) -> Result<(), LinkError> {
         let event = ReplicaEvent { node: self.node, event };
-        self.feed.tell(event).await.map_err(|_| LinkEnd::Stopped)
+        self.feed.tell(event).await.map_err(|_| LinkError::Stopped)
     }
 }
 
-/// Messages that wait to be taken in; the replica is read no faster.
-const WAITING_FRAMES: usize = 16;
+/// Capacity of the queue between the reading task and the link, in messages.
+const FRAME_QUEUE_CAPACITY: usize = 16;
 
-/// A question for a confirmation that isn't answered.
-struct Question {
-    /// Number of the call.
+/// Confirmation request without a reply.
+struct PendingConfirmation {
+    /// Id of the call.
     call: u64,
-    /// When it was asked; a suspension makes the confirmation older.
-    asked: BootInstant,
-    /// The same on the clock that stands still in a suspension: a replica isn't taken for dead
-    /// because this node has slept.
-    asked_awake: Instant,
+    /// Time of the request on the clock that counts suspensions, so that a suspension makes the
+    /// confirmation older.
+    sent_at: BootInstant,
+    /// Time of the request on the clock that stops during suspensions, so that a suspended node
+    /// doesn't take its replicas for dead.
+    sent_monotonic: Instant,
 }
 
-/// A connection that stands.
+/// Established connection.
 struct Session {
     writer: FrameWriter,
-    /// Number of the latest call.
+    /// Id of the latest call.
     last_call: u64,
-    /// Questions for a confirmation that aren't answered, with the time of each.
-    confirms: VecDeque<Question>,
-    /// Charges that aren't answered, by the number of the call.
-    charges: HashMap<u64, ChargeSender>,
-    /// Whether what comes is what all replicas know, and not what this one has heard itself.
-    follows_fleet: bool,
-    /// What the replica understands.
+    /// Confirmation requests without a reply, oldest first.
+    pending_confirmations: VecDeque<PendingConfirmation>,
+    /// Charges without a reply, by call id.
+    pending_charges: HashMap<u64, ChargeSender>,
+    /// Whether the replica pushes the servers that all replicas know, rather than those that it
+    /// observed itself.
+    is_fleet_wide: bool,
+    /// Build level of the replica.
     level: BuildLevel,
 }
 
@@ -171,108 +173,115 @@
         Session {
             writer,
             last_call: 0,
-            confirms: VecDeque::new(),
-            charges: HashMap::new(),
-            follows_fleet: false,
+            pending_confirmations: VecDeque::new(),
+            pending_charges: HashMap::new(),
+            is_fleet_wide: false,
             level,
         }
     }
 
-    /// Has the replica push what it knows. One of an earlier build pushes what it has heard itself
-    /// and nothing else.
-    async fn follow(&mut self, part: FollowedPart) -> Result<(), LinkEnd> {
-        let knows_fleet = self.level >= BuildLevel::FOLLOWS_FLEET;
-        let request = match part {
-            FollowedPart::Nothing => return Ok(()),
-            FollowedPart::Fleet { servers } if knows_fleet => {
-                self.follows_fleet = true;
+    /// Asks the replica to push updates. A replica of an earlier build pushes only its own
+    /// observations.
+    async fn follow(&mut self, scope: FollowScope) -> Result<(), LinkError> {
+        let supports_fleet = self.level >= BuildLevel::FOLLOWS_FLEET;
+        let request = match scope {
+            FollowScope::Nothing => return Ok(()),
+            FollowScope::Fleet { servers } if supports_fleet => {
+                self.is_fleet_wide = true;
                 Request::FollowFleet { servers }
             }
-            FollowedPart::Own | FollowedPart::Fleet { .. } => Request::Follow,
+            FollowScope::Own | FollowScope::Fleet { .. } => Request::Follow,
         };
         self.call(request).await.map(|_| ())
     }
 
-    async fn write(&mut self, message: &Message) -> Result<(), LinkEnd> {
-        match timeout(SILENCE_LIMIT, self.writer.send(message)).await {
-            Ok(sent) => sent.map(|_| ()).map_err(LinkEnd::Frame),
-            Err(_) => Err(LinkEnd::Silent),
+    async fn write(&mut self, message: &Message) -> Result<(), LinkError> {
+        match timeout(REPLY_TIMEOUT, self.writer.send(message)).await {
+            Ok(sent) => sent.map(|_| ()).map_err(LinkError::Frame),
+            Err(_) => Err(LinkError::Unresponsive),
         }
     }
 
-    /// Sends a call and returns its number.
-    async fn call(&mut self, request: Request) -> Result<u64, LinkEnd> {
+    /// Sends a call and returns its id.
+    async fn call(&mut self, request: Request) -> Result<u64, LinkError> {
         self.last_call += 1;
         let call = self.last_call;
         self.write(&Message::Request { call, request }).await?;
         Ok(call)
     }
 
-    /// Asks the replica how current it is.
-    async fn confirm(&mut self) -> Result<(), LinkEnd> {
-        let oldest = self.confirms.front();
-        if oldest.is_some_and(|oldest| oldest.asked_awake.elapsed() > SILENCE_LIMIT) {
-            return Err(LinkEnd::Silent);
+    /// Asks the replica to confirm how current it is.
+    async fn confirm(&mut self) -> Result<(), LinkError> {
+        let oldest = self.pending_confirmations.front();
+        if oldest.is_some_and(|oldest| oldest.sent_monotonic.elapsed() > REPLY_TIMEOUT) {
+            return Err(LinkError::Unresponsive);
         }
-        let (asked, asked_awake) = (BootInstant::now(), Instant::now());
+        let (sent_at, sent_monotonic) = (BootInstant::now(), Instant::now());
         let call = self.call(Request::Confirm).await?;
-        self.confirms.push_back(Question { call, asked, asked_awake });
+        self.pending_confirmations.push_back(PendingConfirmation { call, sent_at, sent_monotonic });
         Ok(())
     }
 
-    async fn carry_out(&mut self, command: LinkCommand) -> Result<(), LinkEnd> {
+    async fn execute(&mut self, command: LinkCommand) -> Result<(), LinkError> {
         match command {
-            LinkCommand::Tell(news) => self.write(&Message::RouterNews(news)).await,
-            LinkCommand::Listen(wanted) => {
+            LinkCommand::Publish(update) => self.write(&Message::RouterNews(update)).await,
+            LinkCommand::SubscribeRouters(wanted) => {
                 self.call(Request::ListenToRouters { wanted }).await.map(|_| ())
             }
             LinkCommand::Charge(PendingCharge { charge, answer }) => {
-                self.charges.retain(|_, waiting| !waiting.is_closed());
+                self.pending_charges.retain(|_, waiting| !waiting.is_closed());
                 let call = self.call(Request::Charge(charge)).await?;
-                self.charges.insert(call, answer);
+                self.pending_charges.insert(call, answer);
                 Ok(())
             }
-            LinkCommand::GiveBack { account, units } => {
+            LinkCommand::Refund { account, units } => {
                 self.call(Request::GiveBack { account, units }).await.map(|_| ())
             }
-            LinkCommand::Quarantine(call) => self.call(Request::Quarantine(call)).await.map(|_| ()),
+            LinkCommand::Quarantine(request) => {
+                self.call(Request::Quarantine(request)).await.map(|_| ())
+            }
             LinkCommand::Release(request) => self.call(Request::Release(request)).await.map(|_| ()),
-            LinkCommand::Follow(part) => self.follow(part).await,
+            LinkCommand::Follow(scope) => self.follow(scope).await,
             LinkCommand::Fetch(above) => self.call(Request::Catalog { above }).await.map(|_| ()),
         }
     }
 
-    /// When the question that `call` answers was asked. Replies come in any order: one to another
-    /// call says nothing of the questions before it.
-    fn asked(&mut self, call: u64) -> Option<BootInstant> {
-        let place = self.confirms.iter().position(|question| question.call == call)?;
-        self.confirms.drain(..=place).next_back().map(|question| question.asked)
+    /// Removes the confirmation request that `call` replies to together with all earlier ones, and
+    /// returns its time. Replies come in any order; one to a call of another kind removes nothing.
+    fn take_confirmation(&mut self, call: u64) -> Option<BootInstant> {
+        let index = self.pending_confirmations.iter().position(|pending| pending.call == call)?;
+        self.pending_confirmations.drain(..=index).next_back().map(|pending| pending.sent_at)
     }
 
-    /// What a message of the replica means for the feed, if anything.
+    /// Converts a message of the replica to an event for the feed, if it is one.
     fn event_of(&mut self, message: Message) -> Option<LinkEvent> {
         match message {
-            Message::Push(Push::Fleet(news)) => Some(LinkEvent::News(news)),
+            Message::Push(Push::Fleet(update)) => Some(LinkEvent::Fleet(update)),
             Message::Push(Push::Instances { heard, whole, gone }) => {
-                let of_fleet = self.follows_fleet;
-                Some(LinkEvent::Instances { heard, whole, gone, of_fleet })
+                let is_fleet_wide = self.is_fleet_wide;
+                Some(LinkEvent::Instances {
+                    observed: heard,
+                    is_complete: whole,
+                    removed: gone,
+                    is_fleet_wide,
+                })
             }
             Message::Unknown { .. } => {
                 log::warn!("event=message_unknown from=replica");
                 None
             }
-            Message::Push(Push::Renewals(news)) => Some(LinkEvent::Renewals(news)),
-            Message::RelayedNews(told) => Some(LinkEvent::Told(told)),
+            Message::Push(Push::Renewals(update)) => Some(LinkEvent::Renewals(update)),
+            Message::RelayedNews(updates) => Some(LinkEvent::RouterUpdates(updates)),
             Message::Reply { reply: Reply::Catalog(body), .. } => Some(LinkEvent::Catalog(body)),
             Message::Reply { call, reply } => {
-                if let Some(answer) = self.charges.remove(&call) {
-                    // The request may have been given up.
-                    let _ = answer.send(read_reply(reply));
+                if let Some(answer) = self.pending_charges.remove(&call) {
+                    // The caller may have stopped waiting.
+                    let _ = answer.send(charge_result(reply));
                     return None;
                 }
-                let asked = self.asked(call)?;
+                let sent_at = self.take_confirmation(call)?;
                 let Reply::Confirmed { age_ms, revision, routers } = reply else { return None };
-                let at = asked.before(Duration::from_millis(age_ms));
+                let at = sent_at.before(Duration::from_millis(age_ms));
                 Some(LinkEvent::Confirmed { at, revision, routers })
             }
             _ => None,
@@ -280,67 +289,68 @@
     }
 }
 
-/// Connects and follows until the connection ends. Sets `connected` once it stands.
-async fn follow(parts: &mut LinkParts, connected: &mut bool) -> Result<Infallible, LinkEnd> {
-    let of_number = || parts.node.address().map(SocketAddr::V4);
-    let address = parts.address.or_else(of_number).ok_or(LinkEnd::NoAddress)?;
-    let opening = connect(address, &parts.key, &parts.own);
-    let opened = timeout(CONNECT_TIMEOUT, opening).await;
+/// Connects and follows the replica until the connection ends. Sets `connected` once the connection
+/// is established.
+async fn follow(context: &mut LinkContext, connected: &mut bool) -> Result<Infallible, LinkError> {
+    let encoded_address = || context.node.address().map(SocketAddr::V4);
+    let address = context.address.or_else(encoded_address).ok_or(LinkError::NoAddress)?;
+    let attempt = connect(address, &context.key, &context.own);
+    let connection = timeout(CONNECT_TIMEOUT, attempt).await;
     let Connection { peer, level, reader, writer } =
-        opened.map_err(|_| LinkEnd::ConnectTimeout)??;
+        connection.map_err(|_| LinkError::ConnectTimeout)??;
     *connected = true;
-    // What was to be sent on an earlier connection concerns no other one.
-    while parts.has_connected && parts.commands.try_recv().is_ok() {}
-    parts.has_connected = true;
-    let part = *parts.part.borrow();
-    log::info!("event=replica_followed replica={} part={part:?}", parts.node);
+    // Commands queued for an earlier connection don't apply to this one.
+    while context.has_connected && context.commands.try_recv().is_ok() {}
+    context.has_connected = true;
+    let scope = *context.scope.borrow();
+    log::info!("event=replica_followed replica={} part={scope:?}", context.node);
     let mut session = Session::new(writer, level);
-    session.follow(part).await?;
-    if part != FollowedPart::Nothing {
-        parts.tell(LinkEvent::Connected { zone: peer.zone }).await?;
+    session.follow(scope).await?;
+    if scope != FollowScope::Nothing {
+        context.notify_feed(LinkEvent::Connected { zone: peer.zone }).await?;
     }
-    let (frames, received) = mpsc::channel(WAITING_FRAMES);
-    let reading = tokio::spawn(read_frames(reader, frames));
-    let ended = exchange(parts, &mut session, received).await;
-    reading.abort();
-    ended
+    let (frames, frames_received) = mpsc::channel(FRAME_QUEUE_CAPACITY);
+    let reader_task = tokio::spawn(read_frames(reader, frames));
+    let result = exchange(context, &mut session, frames_received).await;
+    reader_task.abort();
+    result
 }
 
-/// Reading a frame can't be interrupted, so a task of its own does it.
+/// Reads frames in a task of its own, because reading a frame isn't cancel-safe.
 async fn read_frames(mut reader: FrameReader, frames: mpsc::Sender<Result<Message, FrameError>>) {
     loop {
         let frame = reader.receive().await;
-        let ended = frame.is_err();
-        if frames.send(frame).await.is_err() || ended {
+        let has_failed = frame.is_err();
+        if frames.send(frame).await.is_err() || has_failed {
             return;
         }
     }
 }
 
-/// Asks for confirmations, carries commands out and hands on what comes.
+/// Sends confirmation requests and commands, and forwards received messages as events.
 async fn exchange(
-    parts: &mut LinkParts,
+    context: &mut LinkContext,
     session: &mut Session,
-    mut received: mpsc::Receiver<Result<Message, FrameError>>,
-) -> Result<Infallible, LinkEnd> {
+    mut frames_received: mpsc::Receiver<Result<Message, FrameError>>,
+) -> Result<Infallible, LinkError> {
     let mut ticks = interval(CONFIRM_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tokio::select! {
-            frame = received.recv() => {
-                let message = frame.ok_or(LinkEnd::Frame(FrameError::Closed))??;
+            frame = frames_received.recv() => {
+                let message = frame.ok_or(LinkError::Frame(FrameError::Closed))??;
                 if let Some(event) = session.event_of(message) {
-                    parts.tell(event).await?;
+                    context.notify_feed(event).await?;
                 }
             }
             _ = ticks.tick() => {
-                if parts.confirmed_at.borrow().is_none() {
+                if context.confirmed_at.borrow().is_none() {
                     ticks.reset_after(FIRST_CONFIRM_INTERVAL);
                 }
                 session.confirm().await?;
             }
-            command = parts.commands.recv() => {
-                session.carry_out(command.ok_or(LinkEnd::Stopped)?).await?;
+            command = context.commands.recv() => {
+                session.execute(command.ok_or(LinkError::Stopped)?).await?;
             }
         }
     }
--- a/crates/feed/src/replica_calls.rs
+++ b/crates/feed/src/replica_calls.rs
@@ -1,4 +1,4 @@
-//! Calls of this node to one of the replicas, which the actor hands to the link of that replica.
+//! Messages to the actor that it forwards as calls to one replica.
 
 use juniper_protocol::message::QuarantineCall;
 use juniper_types::RequestFingerprint;
@@ -8,7 +8,8 @@
 use crate::charge::{ChargeError, PendingCharge};
 use crate::link::LinkCommand;
 
-/// Have a request counted by the connected replica that comes at `rank` for its account.
+/// Charges a request to its account at the connected replica of the given `rank` in the account's
+/// owner order.
 pub(crate) struct ChargeLimit {
     pub(crate) pending: PendingCharge,
     pub(crate) rank: usize,
@@ -19,35 +20,35 @@
 
     async fn handle(&mut self, message: ChargeLimit, _context: &mut Context<Self, ()>) {
         let ChargeLimit { pending, rank } = message;
-        match self.owner(&pending.charge.account, rank) {
-            Some(owner) => self.call(owner, LinkCommand::Charge(pending)),
+        match self.owner_at(&pending.charge.account, rank) {
+            Some(owner) => self.call_replica(owner, LinkCommand::Charge(pending)),
             None => {
-                // The request may have been given up.
+                // The caller may have stopped waiting.
                 let _ = pending.answer.send(Err(ChargeError::NoReplica));
             }
         }
     }
 }
 
-/// Tell the owner of an account that no server has run what was counted.
-pub(crate) struct GiveBack {
+/// Refunds units that were charged for a request which no server executed.
+pub(crate) struct RefundCharge {
     pub(crate) account: String,
     pub(crate) units: f64,
 }
 
-impl Message<GiveBack> for FeedActor {
+impl Message<RefundCharge> for FeedActor {
     type Reply = ();
 
-    async fn handle(&mut self, message: GiveBack, _context: &mut Context<Self, ()>) {
-        let GiveBack { account, units } = message;
-        if let Some(owner) = self.owner(&account, 0) {
-            self.call(owner, LinkCommand::GiveBack { account, units });
+    async fn handle(&mut self, message: RefundCharge, _context: &mut Context<Self, ()>) {
+        let RefundCharge { account, units } = message;
+        if let Some(owner) = self.owner_at(&account, 0) {
+            self.call_replica(owner, LinkCommand::Refund { account, units });
         }
     }
 }
 
-/// Have a request recorded as one that is sent to no server any more, by the connected replica
-/// that comes at `rank` in the request's order.
+/// Records a request as quarantined at the replica of the given `rank` in the request's owner
+/// order.
 pub(crate) struct RecordQuarantine {
     pub(crate) call: QuarantineCall,
     pub(crate) rank: usize,
@@ -59,21 +60,21 @@
     async fn handle(&mut self, message: RecordQuarantine, _context: &mut Context<Self, ()>) {
         let RecordQuarantine { call, rank } = message;
         let replicas = self.zones.len().max(1);
-        if let Some(replica) = self.owner(&call.request.to_string(), rank % replicas) {
-            self.call(replica, LinkCommand::Quarantine(call));
+        if let Some(replica) = self.owner_at(&call.request.to_string(), rank % replicas) {
+            self.call_replica(replica, LinkCommand::Quarantine(call));
         }
     }
 }
 
-/// Have it recorded that a request may be sent again.
+/// Records the release of a request from quarantine.
 pub(crate) struct RecordRelease(pub(crate) RequestFingerprint);
 
 impl Message<RecordRelease> for FeedActor {
     type Reply = ();
 
     async fn handle(&mut self, message: RecordRelease, _context: &mut Context<Self, ()>) {
-        if let Some(replica) = self.owner(&message.0.to_string(), 0) {
-            self.call(replica, LinkCommand::Release(message.0));
+        if let Some(replica) = self.owner_at(&message.0.to_string(), 0) {
+            self.call_replica(replica, LinkCommand::Release(message.0));
         }
     }
 }
--- a/crates/feed/src/view.rs
+++ b/crates/feed/src/view.rs
@@ -1,4 +1,4 @@
-//! What a node knows of the fleet.
+//! State of the fleet as known to one node.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -9,72 +9,72 @@
 use juniper_registry::{InstanceId, InstanceMap};
 use juniper_types::{RequestFingerprint, Timestamp};
 
-/// Weights that a model should have.
+/// Versions of a model's weights that the fleet should run.
 ///
-/// The versions are kept with the time at which this node learned of each, since
-/// each has a time of its own from which older ones may not be used any more.
+/// Each version is kept with the time at which this node learned of it, since the deadline after
+/// which older versions may not be used any more runs separately for each.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WantedWeights {
-    named: VecDeque<(u64, Timestamp)>,
+    announced: VecDeque<(u64, Timestamp)>,
 }
 
-/// Versions kept; the oldest are long in force.
-const MAX_NAMED: usize = 16;
+/// Maximum number of versions kept per model.
+const MAX_ANNOUNCED_VERSIONS: usize = 16;
 
 impl WantedWeights {
-    /// A higher version was named.
-    pub fn name(&mut self, version: u64, now: Timestamp) {
-        self.named.push_back((version, now));
-        if self.named.len() > MAX_NAMED {
-            self.named.pop_front();
+    /// Records a newly announced version, which must be higher than all before.
+    pub fn record_version(&mut self, version: u64, now: Timestamp) {
+        self.announced.push_back((version, now));
+        if self.announced.len() > MAX_ANNOUNCED_VERSIONS {
+            self.announced.pop_front();
         }
     }
 
-    /// The latest version; zero for none.
+    /// Latest announced version; zero if none.
     pub fn version(&self) -> u64 {
-        self.named.back().map_or(0, |(version, _)| *version)
+        self.announced.back().map_or(0, |(version, _)| *version)
     }
 
-    /// When the latest version was learned of.
+    /// Time at which the latest version was learned of.
     pub fn since(&self) -> Option<Timestamp> {
-        self.named.back().map(|(_, since)| *since)
+        self.announced.back().map(|(_, since)| *since)
     }
 
-    /// The latest version that was named at least `after` ago; zero for none.
+    /// Latest version that was announced at least `after` ago; zero if none.
     pub fn floor(&self, now: Timestamp, after: Duration) -> u64 {
-        let old = self.named.iter().rev().find(|(_, since)| now.since(*since) >= after);
+        let old = self.announced.iter().rev().find(|(_, since)| now.since(*since) >= after);
         old.map_or(0, |(version, _)| *version)
     }
 
-    /// When the first version above `version` was named.
+    /// Time at which the first version above `version` was announced.
     pub fn overdue_since(&self, version: u64) -> Option<Timestamp> {
-        self.named.iter().find(|(named, _)| *named > version).map(|(_, since)| *since)
+        self.announced.iter().find(|(announced, _)| *announced > version).map(|(_, since)| *since)
     }
 }
 
-/// What a node knows of the fleet. It never goes back: a later view has the same
-/// or a newer configuration, and a server that left stays away.
+/// State of the fleet as known to one node. Views are monotonic: a later view has the same or a
+/// newer configuration, and a departed server isn't added again.
 #[derive(Clone, Debug, Default)]
 pub struct FleetView {
-    /// Log position up to which the view is complete.
+    /// Log index up to which the view is complete.
     pub revision: u64,
-    /// The configuration in force, if one is known.
+    /// Catalog in force, if one has been received.
     pub catalog: Option<Arc<CatalogIndex>>,
-    /// Weights that each model should have.
+    /// Wanted weights by model.
     pub weights: BTreeMap<String, WantedWeights>,
-    /// Servers that may be used, each in its latest incarnation. Those that left, are leaving or
-    /// whose address belongs to another server aren't among them.
+    /// Usable servers, each in its latest incarnation. Departing and departed servers are excluded,
+    /// and so are those whose address another server has taken over.
     pub instances: InstanceMap,
-    /// Servers that take no new requests, because they are given new weights.
+    /// Servers that get no new requests during a rollout of new weights.
     pub renewing: Arc<BTreeSet<InstanceId>>,
-    /// Versions of weights that servers are known to have, before they say so.
+    /// Versions of weights that servers have loaded but not reported themselves yet.
     pub versions: Arc<Vec<KnownVersion>>,
-    /// Requests that are sent to no server, because servers ended under them.
+    /// Requests that may be sent to no server because servers crashed under them.
     pub quarantined: Arc<BTreeSet<RequestFingerprint>>,
 }
 
 impl FleetView {
-    /// Version of the configuration in force; zero for none.
+    /// Version of the catalog in force; zero if none.
     pub fn catalog_version(&self) -> u64 {
         self.catalog.as_ref().map_or(0, |index| index.catalog().version)
     }
--- a/crates/feed/tests/follow.rs
+++ b/crates/feed/tests/follow.rs
@@ -1,17 +1,17 @@
-//! Which replicas a router follows: all of a small group, a few of a large one.
+//! Selection of the replicas that a router follows: all of a small group, a few of a large one.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use juniper_feed::{FOLLOWED, FOLLOWED_WHOLE, FollowQuestion};
+use juniper_feed::{FOLLOWED_REPLICAS, FollowRequest, MAX_FULLY_FOLLOWED};
 use juniper_types::{NodeId, ZoneName};
 
 const ZONES: [&str; 5] = ["a", "b", "c", "d", "e"];
 
 fn zone(name: &str) -> ZoneName {
-    ZoneName::new(name).expect("a name")
+    ZoneName::new(name).expect("valid zone name")
 }
 
-/// So many replicas, spread over the zones.
+/// Group of `count` replicas, spread over the zones.
 fn group(count: usize) -> BTreeMap<NodeId, Option<ZoneName>> {
     let member =
         |number: usize| (NodeId(number as u64 + 1), Some(zone(ZONES[number % ZONES.len()])));
@@ -21,45 +21,53 @@
 fn followed(
     router: u64,
     members: &BTreeMap<NodeId, Option<ZoneName>>,
-    lost: &BTreeSet<NodeId>,
-    in_doubt: bool,
+    unreachable: &BTreeSet<NodeId>,
+    is_unconfirmed: bool,
 ) -> Vec<NodeId> {
     let zone = zone(ZONES[router as usize % ZONES.len()]);
-    FollowQuestion { own: NodeId(1_000 + router), zone: &zone, members, lost, in_doubt }.answer()
+    FollowRequest {
+        router: NodeId(1_000 + router),
+        zone: &zone,
+        members,
+        unreachable,
+        is_unconfirmed,
+    }
+    .select()
 }
 
 #[test]
 fn every_replica_of_a_small_group_is_followed() {
-    let members = group(FOLLOWED_WHOLE);
-    assert_eq!(followed(1, &members, &BTreeSet::new(), false).len(), FOLLOWED_WHOLE);
+    let members = group(MAX_FULLY_FOLLOWED);
+    assert_eq!(followed(1, &members, &BTreeSet::new(), false).len(), MAX_FULLY_FOLLOWED);
 }
 
 #[test]
-fn of_a_large_group_two_near_ones_and_a_far_one_are_followed() {
+fn of_a_large_group_two_replicas_in_the_own_zone_and_one_elsewhere_are_followed() {
     let members = group(25);
     for router in 0..50 {
-        let zones = followed(router, &members, &BTreeSet::new(), false);
+        let replicas = followed(router, &members, &BTreeSet::new(), false);
         let own = zone(ZONES[router as usize % ZONES.len()]);
-        let is_near = |node: &NodeId| members[node].as_ref() == Some(&own);
-        let near: Vec<bool> = zones.iter().map(is_near).collect();
-        assert_eq!(near, [true, true, false]);
+        let is_in_own_zone = |node: &NodeId| members[node].as_ref() == Some(&own);
+        let in_own_zone: Vec<bool> = replicas.iter().map(is_in_own_zone).collect();
+        assert_eq!(in_own_zone, [true, true, false]);
     }
 }
 
 #[test]
-fn replicas_that_were_lost_are_followed_only_where_there_are_no_others() {
+fn unreachable_replicas_are_followed_only_if_no_others_are_left() {
     let members = group(25);
     let before = followed(3, &members, &BTreeSet::new(), false);
-    let lost = BTreeSet::from([before[0]]);
-    let after = followed(3, &members, &lost, false);
+    let unreachable = BTreeSet::from([before[0]]);
+    let after = followed(3, &members, &unreachable, false);
     assert!(!after.contains(&before[0]) && after.contains(&before[1]), "{before:?} {after:?}");
     let all: BTreeSet<NodeId> = members.keys().copied().collect();
-    assert_eq!(followed(3, &members, &all, false).len(), FOLLOWED);
+    assert_eq!(followed(3, &members, &all, false).len(), FOLLOWED_REPLICAS);
 }
 
-/// All that are followed may be cut off from the quorum: others are asked, and those stay.
+/// All followed replicas may be partitioned from the quorum; they stay followed, since they may not
+/// be.
 #[test]
-fn in_doubt_more_are_followed_and_none_is_left() {
+fn without_confirmations_more_replicas_are_followed_and_none_is_dropped() {
     let members = group(25);
     let before = followed(7, &members, &BTreeSet::new(), false);
     let more = followed(7, &members, &BTreeSet::new(), true);
@@ -67,30 +75,29 @@
 }
 
 #[test]
-fn replicas_whose_zones_are_not_known_are_far_ones() {
+fn replicas_with_unknown_zones_count_as_outside_the_own_zone() {
     let mut members = group(25);
     members.values_mut().for_each(|zone| *zone = None);
-    assert_eq!(followed(2, &members, &BTreeSet::new(), false).len(), FOLLOWED);
+    assert_eq!(followed(2, &members, &BTreeSet::new(), false).len(), FOLLOWED_REPLICAS);
 }
 
-/// Connections and questions: with ten routers for each replica and one following all of them, both
-/// grew with the square of the fleet.
+/// Guards against connections and confirmation requests that grow with the square of the fleet.
 #[test]
-fn what_a_router_follows_does_not_grow_with_the_fleet_and_replicas_share_routers_evenly() {
+fn the_number_of_followed_replicas_is_constant_and_routers_are_spread_evenly() {
     for replicas in [10, 20, 40] {
         let members = group(replicas);
         let routers = replicas as u64 * 40;
         let mut followers: BTreeMap<NodeId, usize> = BTreeMap::new();
         for router in 0..routers {
             let followed = followed(router, &members, &BTreeSet::new(), false);
-            assert_eq!(followed.len(), FOLLOWED, "{replicas} replicas");
+            assert_eq!(followed.len(), FOLLOWED_REPLICAS, "{replicas} replicas");
             followed.into_iter().for_each(|node| *followers.entry(node).or_default() += 1);
         }
-        let even = 40 * FOLLOWED;
-        let most = followers.values().max().copied().unwrap_or(0);
+        let even = 40 * FOLLOWED_REPLICAS;
+        let maximum = followers.values().max().copied().unwrap_or(0);
         assert!(
-            followers.len() == replicas && most <= even * 3 / 2,
-            "{replicas}: {most} of {even}"
+            followers.len() == replicas && maximum <= even * 3 / 2,
+            "{replicas}: {maximum} of {even}"
         );
     }
 }
--- a/crates/registry/src/departure.rs
+++ b/crates/registry/src/departure.rs
@@ -1,4 +1,4 @@
-//! Servers that are leaving or have left.
+//! Departing and departed servers.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,30 +7,30 @@
 
 use crate::incarnation::{InstanceId, InstanceName, StartTime};
 
-/// Time for which a departure is remembered beside no trace of its server. Whatever is still on its
-/// way from a server that left (a heartbeat that a cut held up) has come by then.
-const REMEMBERED: Duration = Duration::from_secs(120);
+/// Time for which a departure is kept after the last trace of its server. Longer than the delay of
+/// any heartbeat, including one held up by a partition.
+const RETENTION: Duration = Duration::from_secs(120);
 
-/// Departures above which forgotten ones are looked for, at least.
-const LEAST_LOOK: usize = 1_024;
+/// Minimum number of departures before expired ones are looked for.
+const MIN_EXPIRY_COUNT: usize = 1_024;
 
-/// An incarnation of a server is leaving or has left.
+/// Departure of an incarnation of a server and of all earlier ones.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Departure {
-    /// What the server calls itself by.
+    /// Name of the server.
     pub name: InstanceName,
-    /// Every incarnation that started by then has left; all of them if it isn't known.
+    /// Latest departed incarnation; all incarnations have departed if unknown.
     pub through: StartTime,
 }
 
 impl Departure {
-    /// The departure of an incarnation, and of all before it.
+    /// Departure of the given incarnation and of all earlier ones.
     pub fn of(id: &InstanceId) -> Self {
         Departure { name: id.name().clone(), through: id.started() }
     }
 
-    /// Whether the incarnation has left. One that doesn't tell when it started can't be told from
-    /// the one that left.
+    /// Whether the incarnation has departed. An incarnation with an unknown start time is taken for
+    /// the departed one.
     pub fn covers(&self, id: &InstanceId) -> bool {
         let is_known = self.through.is_known() && id.started().is_known();
         self.name == *id.name() && (!is_known || id.started() <= self.through)
@@ -43,16 +43,16 @@
     at: Timestamp,
 }
 
-/// The departures that a router has heard of. None of them is taken back.
+/// Known departures; a recorded departure is never revoked.
 #[derive(Clone, Debug, Default)]
 pub struct Departures {
     known: BTreeMap<InstanceName, Departed>,
-    look_at: usize,
+    next_expiry_count: usize,
 }
 
 impl Departures {
-    /// Takes a departure in. Of two that differ the later one counts; one that tells no start time
-    /// comes from an earlier build and takes nothing back.
+    /// Records a departure. Of two departures of a server the later one counts; one without a start
+    /// time comes from an earlier build and doesn't replace one with a start time.
     pub fn add(&mut self, departure: &Departure, now: Timestamp) {
         let through = departure.through;
         let name = departure.name.clone();
@@ -61,23 +61,23 @@
         departed.at = now;
     }
 
-    /// Whether the incarnation is leaving or has left.
+    /// Whether the incarnation is departing or has departed.
     pub fn covers(&self, id: &InstanceId) -> bool {
         self.known.get(id.name()).is_some_and(|departed| {
             Departure { name: id.name().clone(), through: departed.through }.covers(id)
         })
     }
 
-    /// Forgets departures of servers of which there has been no trace for long.
+    /// Removes departures of servers that have left no trace for the retention time.
     pub fn forget(&mut self, now: Timestamp, is_known: impl Fn(&InstanceName) -> bool) {
-        if self.known.len() < self.look_at.max(LEAST_LOOK) {
+        if self.known.len() < self.next_expiry_count.max(MIN_EXPIRY_COUNT) {
             return;
         }
-        self.known.retain(|name, departed| now.since(departed.at) < REMEMBERED || is_known(name));
-        self.look_at = self.known.len() * 2;
+        self.known.retain(|name, departed| now.since(departed.at) < RETENTION || is_known(name));
+        self.next_expiry_count = self.known.len() * 2;
     }
 
-    /// Departures that are remembered.
+    /// Number of departures kept.
     pub fn count(&self) -> usize {
         self.known.len()
     }
--- a/crates/registry/src/directory.rs
+++ b/crates/registry/src/directory.rs
@@ -1,4 +1,4 @@
-//! What a router makes of what several replicas heard.
+//! Directory of servers, merged from the observations of several replicas.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -9,158 +9,164 @@
 use juniper_types::{NodeId, Timestamp};
 
 use crate::departure::{Departure, Departures};
-use crate::heard::HeardInstance;
 use crate::incarnation::{InstanceId, InstanceName};
 use crate::instance_map::InstanceMap;
+use crate::observed::HeardInstance;
 use crate::report::{InstanceReport, InstanceState};
 
-/// Time after which a server that a replica finds silent is forgotten. Replicas forget it by then
-/// too, and don't tell; without it a router would keep every server that ever was.
-const FORGET_SILENT_AFTER: Duration = Duration::from_secs(90);
+/// Time after which a server that a replica reports as silent is removed. By then the replica has
+/// removed it too, which it doesn't report.
+const SILENT_RETENTION: Duration = Duration::from_secs(90);
 
-/// A server as several replicas know it.
+/// Server as known to all replicas together.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Instance {
-    /// The incarnation.
+    /// Latest known incarnation.
     pub id: InstanceId,
-    /// Its latest heartbeat, shared with what is known of the replica that told it: with thousands of
-    /// servers, a second copy is megabytes at each router.
+    /// Latest heartbeat, shared with the observation that it came from: with thousands of servers,
+    /// a second copy would take megabytes in each router.
     pub report: Arc<InstanceReport>,
-    /// Whether every replica that knows it finds it silent.
+    /// Whether all replicas that know the incarnation report it as silent.
     pub silent: bool,
-    /// Whether it is leaving, by its own word or by the replicated log.
+    /// Whether the server is departing, by its own report or by the replicated log.
     pub leaving: bool,
 }
 
 impl Instance {
-    /// A server that has sent this heartbeat and isn't leaving.
+    /// Server with this heartbeat that is neither silent nor departing.
     pub fn of(report: InstanceReport) -> Self {
         Instance { id: report.id(), report: Arc::new(report), silent: false, leaving: false }
     }
 }
 
-/// Microseconds from the origin of the router's time, below zero for what was before it.
-type Moment = i64;
+/// Microseconds since the origin of the router's clock; negative for earlier times.
+type SignedMicros = i64;
 
-/// A server as one replica knows it.
+/// Server as known to one replica.
 #[derive(Clone, Debug)]
-struct Known {
+struct Observation {
     report: Arc<InstanceReport>,
     silent: bool,
-    /// When its incarnation began, by the replica's word.
-    began: Moment,
-    told_at: Timestamp,
+    /// Start of the incarnation, from the age that the replica reports.
+    began: SignedMicros,
+    received_at: Timestamp,
 }
 
-/// A server as all replicas together know it.
+/// Merged observations of one server.
 #[derive(Clone, Debug)]
 struct Merged {
-    /// Shared with the views of it, and replaced when something of it changes.
+    /// Shared with the published views, and replaced when it changes.
     instance: Arc<Instance>,
-    began: Moment,
+    began: SignedMicros,
 }
 
-/// All servers that are known, by what each replica heard.
+/// All known servers, with the observations of each replica.
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
-    sources: BTreeMap<NodeId, BTreeMap<InstanceName, Known>>,
+    sources: BTreeMap<NodeId, BTreeMap<InstanceName, Observation>>,
     departures: Departures,
-    /// Servers that are known at an address. One that began later has taken the place of the
-    /// others, in whatever order their heartbeats come.
-    at_address: BTreeMap<SocketAddrV4, BTreeSet<InstanceName>>,
+    /// Servers by address. Of several at one address only the one that started last is usable, in
+    /// whatever order their heartbeats arrive.
+    by_address: BTreeMap<SocketAddrV4, BTreeSet<InstanceName>>,
     merged: BTreeMap<InstanceName, Merged>,
-    /// Servers that may be used: they aren't leaving and have their address.
+    /// Usable servers: not departing, and not replaced at their address.
     usable: InstanceMap,
 }
 
 impl Directory {
-    /// Takes in what the replica on `source` heard. With `whole` it is all that
-    /// the replica knows, and what it knew before is void.
-    pub fn hear(&mut self, source: NodeId, heard: Vec<HeardInstance>, whole: bool, now: Timestamp) {
+    /// Applies the observations of the replica `source`. If `is_complete` is set, they replace all
+    /// its earlier ones.
+    pub fn apply_observations(
+        &mut self,
+        source: NodeId,
+        observed: Vec<HeardInstance>,
+        is_complete: bool,
+        now: Timestamp,
+    ) {
         let mut touched: BTreeSet<InstanceName> = BTreeSet::new();
         let known = self.sources.entry(source).or_default();
-        if whole {
+        if is_complete {
             touched.extend(std::mem::take(known).into_keys());
         }
-        for instance in heard {
+        for instance in observed {
             let HeardInstance { report, silent, age_ms } = instance;
             let name = report.name.clone();
-            let began = moment(now).saturating_sub_unsigned(age_ms.saturating_mul(1_000));
+            let began = signed_micros(now).saturating_sub_unsigned(age_ms.saturating_mul(1_000));
             let report = Arc::new(report);
-            known.insert(name.clone(), Known { report, silent, began, told_at: now });
+            known.insert(name.clone(), Observation { report, silent, began, received_at: now });
             touched.insert(name);
         }
-        touched.iter().for_each(|name| self.merge(name));
+        touched.iter().for_each(|name| self.update_merged(name));
     }
 
-    /// Forgets what the replica on `source` knew of these servers: they are gone.
-    pub fn forget(&mut self, source: NodeId, names: &[InstanceName]) {
+    /// Removes the observations of these servers by the replica `source`.
+    pub fn remove_instances(&mut self, source: NodeId, names: &[InstanceName]) {
         let Some(known) = self.sources.get_mut(&source) else { return };
         names.iter().for_each(|name| {
             known.remove(name);
         });
-        names.iter().for_each(|name| self.merge(name));
+        names.iter().for_each(|name| self.update_merged(name));
     }
 
-    /// Forgets every replica that isn't in `members`.
-    pub fn keep_sources(&mut self, members: &[NodeId]) {
+    /// Removes the observations of all replicas that aren't in `members`.
+    pub fn retain_sources(&mut self, members: &[NodeId]) {
         let gone: Vec<NodeId> =
             self.sources.keys().copied().filter(|node| !members.contains(node)).collect();
         for source in gone {
             let known = self.sources.remove(&source).unwrap_or_default();
-            known.keys().for_each(|name| self.merge(name));
+            known.keys().for_each(|name| self.update_merged(name));
         }
     }
 
-    /// A server is leaving or gone by the replicated log.
-    pub fn depart(&mut self, departure: &Departure, now: Timestamp) {
+    /// Records a departure from the replicated log.
+    pub fn record_departure(&mut self, departure: &Departure, now: Timestamp) {
         self.departures.add(departure, now);
-        self.merge(&departure.name);
+        self.update_merged(&departure.name);
         let merged = &self.merged;
         self.departures.forget(now, |name| merged.contains_key(name));
     }
 
-    /// Forgets servers that have been silent for long, so that what is kept grows with the
-    /// servers that there are and not with those that there were.
-    pub fn forget_gone(&mut self, now: Timestamp) {
+    /// Removes servers that have been silent for the retention time, so that memory use depends on
+    /// the number of present servers only.
+    pub fn expire_silent(&mut self, now: Timestamp) {
         let mut gone: BTreeSet<InstanceName> = BTreeSet::new();
         for known in self.sources.values_mut() {
             known.retain(|name, known| {
-                let is_gone = known.silent && now.since(known.told_at) >= FORGET_SILENT_AFTER;
+                let is_gone = known.silent && now.since(known.received_at) >= SILENT_RETENTION;
                 if is_gone {
                     gone.insert(name.clone());
                 }
                 !is_gone
             });
         }
-        gone.iter().for_each(|name| self.merge(name));
+        gone.iter().for_each(|name| self.update_merged(name));
     }
 
-    /// Departures that are remembered.
-    pub fn departures(&self) -> usize {
+    /// Number of departures kept.
+    pub fn departure_count(&self) -> usize {
         self.departures.count()
     }
 
-    /// Every server that is known, leaving and silent ones too.
+    /// All known servers, including departing and silent ones.
     pub fn instances(&self) -> impl Iterator<Item = &Instance> {
         self.merged.values().map(|merged| &*merged.instance)
     }
 
-    /// The servers that may be used.
+    /// Usable servers.
     pub fn usable(&self) -> &InstanceMap {
         &self.usable
     }
 
-    /// The latest incarnation of this server.
+    /// Server with the given name, in its latest known incarnation.
     pub fn get(&self, name: &InstanceName) -> Option<&Instance> {
         self.merged.get(name).map(|merged| &*merged.instance)
     }
 
-    /// The server that has an address: of those that aren't silent the one that started last. Where
-    /// servers don't tell when they started, it is the one that began last by the replicas' word,
-    /// or that has sent fewer heartbeats where replicas don't tell ages.
-    pub fn newest_at(&self, address: SocketAddrV4) -> Option<&InstanceName> {
-        let servers = self.at_address.get(&address)?;
+    /// Server that currently uses an address: among those that aren't silent, the one that started
+    /// last. Without start times this is the one whose incarnation began last according to the
+    /// replicas, and without ages the one with the lowest sequence number.
+    pub fn current_at(&self, address: SocketAddrV4) -> Option<&InstanceName> {
+        let servers = self.by_address.get(&address)?;
         if servers.len() == 1 {
             return servers.first();
         }
@@ -175,12 +181,12 @@
         servers.iter().max_by_key(rank)
     }
 
-    fn merge(&mut self, name: &InstanceName) {
+    fn update_merged(&mut self, name: &InstanceName) {
         let earlier = self.merged.remove(name);
         if let Some(earlier) = &earlier {
-            self.leave_address(earlier.instance.report.address, name);
+            self.remove_from_address(earlier.instance.report.address, name);
         }
-        self.merge_views(name, earlier.as_ref());
+        self.merge_observations(name, earlier.as_ref());
         if !self.merged.contains_key(name) {
             self.usable.remove(name);
         }
@@ -190,20 +196,21 @@
         touched.into_iter().for_each(|address| self.refresh_usable(address));
     }
 
-    /// Makes one of what the replicas know of a server. Only the incarnation that started last
-    /// counts: a replica that still knows an earlier one says nothing of it.
-    fn merge_views(&mut self, name: &InstanceName, earlier: Option<&Merged>) {
-        let views = self.sources.values().filter_map(|known| known.get(name));
-        let newest = |view: &&Known| (view.report.started, view.report.sequence);
-        let Some(latest) = views.clone().max_by_key(newest) else { return };
+    /// Merges the replicas' observations of a server. Only those of the latest incarnation count.
+    fn merge_observations(&mut self, name: &InstanceName, earlier: Option<&Merged>) {
+        let observations = self.sources.values().filter_map(|known| known.get(name));
+        let newest =
+            |observation: &&Observation| (observation.report.started, observation.report.sequence);
+        let Some(latest) = observations.clone().max_by_key(newest) else { return };
         let report = Arc::clone(&latest.report);
-        let of_latest = views.filter(|view| view.report.started == report.started);
-        let silent = of_latest.clone().all(|view| view.silent);
-        let began = of_latest.map(|view| view.began).min().unwrap_or(latest.began);
+        let of_latest =
+            observations.filter(|observation| observation.report.started == report.started);
+        let silent = of_latest.clone().all(|observation| observation.silent);
+        let began = of_latest.map(|observation| observation.began).min().unwrap_or(latest.began);
         let id = report.id();
         let draining = report.state == InstanceState::Draining;
         let leaving = draining || self.departures.covers(&id);
-        self.at_address.entry(report.address).or_default().insert(name.clone());
+        self.by_address.entry(report.address).or_default().insert(name.clone());
         let instance = Instance { id, report, silent, leaving };
         let unchanged = earlier.filter(|earlier| *earlier.instance == instance);
         let instance =
@@ -211,36 +218,38 @@
         self.merged.insert(name.clone(), Merged { instance, began });
     }
 
-    /// Finds out which of the servers at an address may be used.
+    /// Updates which of the servers at an address is usable.
     fn refresh_usable(&mut self, address: SocketAddrV4) {
-        let newest = self.newest_at(address).cloned();
-        for name in self.at_address.get(&address).into_iter().flatten() {
+        let newest = self.current_at(address).cloned();
+        for name in self.by_address.get(&address).into_iter().flatten() {
             let merged = self.merged.get(name).filter(|known| !known.instance.leaving);
             match merged.filter(|_| newest.as_ref() == Some(name)) {
-                Some(known) => keep(&mut self.usable, &known.instance),
+                Some(known) => insert_if_changed(&mut self.usable, &known.instance),
                 None => self.usable.remove(name),
             }
         }
     }
 
-    fn leave_address(&mut self, address: SocketAddrV4, name: &InstanceName) {
-        if let Some(servers) = self.at_address.get_mut(&address) {
+    fn remove_from_address(&mut self, address: SocketAddrV4, name: &InstanceName) {
+        if let Some(servers) = self.by_address.get_mut(&address) {
             servers.remove(name);
             if servers.is_empty() {
-                self.at_address.remove(&address);
+                self.by_address.remove(&address);
             }
         }
     }
 }
 
-/// Puts a server in, unless it is there: views go on sharing what doesn't change.
-fn keep(usable: &mut InstanceMap, instance: &Arc<Instance>) {
-    let is_kept = usable.get(instance.id.name()).is_some_and(|known| Arc::ptr_eq(known, instance));
-    if !is_kept {
+/// Inserts a server unless the same reference is already there, so that views go on sharing
+/// unchanged buckets.
+fn insert_if_changed(usable: &mut InstanceMap, instance: &Arc<Instance>) {
+    let is_unchanged =
+        usable.get(instance.id.name()).is_some_and(|known| Arc::ptr_eq(known, instance));
+    if !is_unchanged {
         usable.insert(Arc::clone(instance));
     }
 }
 
-fn moment(now: Timestamp) -> Moment {
+fn signed_micros(now: Timestamp) -> SignedMicros {
     i64::try_from(now.0).unwrap_or(i64::MAX)
 }
--- a/crates/registry/src/incarnation.rs
+++ b/crates/registry/src/incarnation.rs
@@ -1,4 +1,4 @@
-//! Servers and their incarnations.
+//! Identities of servers and of their incarnations.
 
 use std::fmt;
 use std::sync::Arc;
@@ -7,17 +7,17 @@
 use minicbor::encode::{Error as EncodeError, Write};
 use minicbor::{Decode, Decoder, Encode, Encoder};
 
-/// What a server calls itself by. It may start again under the same name.
+/// Name that a server registers under and keeps when it restarts.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct InstanceName(Arc<str>);
 
 impl InstanceName {
-    /// Wraps the text.
+    /// Creates a name from its text.
     pub fn new(text: impl AsRef<str>) -> Self {
         InstanceName(Arc::from(text.as_ref()))
     }
 
-    /// The text.
+    /// Name as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -46,18 +46,18 @@
     }
 }
 
-/// When an incarnation of a server started, in milliseconds since the Unix epoch by its own clock.
+/// Start time of an incarnation, in milliseconds since the Unix epoch by the server's clock.
 ///
-/// Some servers don't tell it, and builds without it don't pass it on.
+/// Unknown for servers and builds that don't report it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 #[cbor(transparent)]
 pub struct StartTime(#[n(0)] u64);
 
 impl StartTime {
-    /// The server doesn't tell it.
+    /// Start time that was not reported.
     pub const UNKNOWN: StartTime = StartTime(0);
 
-    /// A start so many milliseconds after the Unix epoch.
+    /// Creates a start time from milliseconds since the Unix epoch.
     pub const fn from_unix_ms(milliseconds: u64) -> Self {
         StartTime(milliseconds)
     }
@@ -67,16 +67,16 @@
         self.0
     }
 
-    /// Whether it is known.
+    /// Whether the start time was reported.
     pub const fn is_known(self) -> bool {
         self.0 != 0
     }
 }
 
-/// One incarnation of a server: everything that is believed of a server is believed of one.
+/// One incarnation of a server.
 ///
-/// It never travels as a whole: messages and records hold the name where earlier builds expect
-/// it, and the start time in a field that they pass over.
+/// Not encoded as a whole: messages and records have the name where earlier builds expect it, and
+/// the start time in a separate field that those builds skip.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct InstanceId {
     name: InstanceName,
@@ -84,33 +84,33 @@
 }
 
 impl InstanceId {
-    /// The only incarnation of a server that doesn't tell when it started.
+    /// Incarnation with an unknown start time.
     pub fn new(name: impl AsRef<str>) -> Self {
         InstanceId::started_at(InstanceName::new(name), StartTime::UNKNOWN)
     }
 
-    /// The incarnation of a server that started at a time.
+    /// Incarnation that started at the given time.
     pub fn started_at(name: InstanceName, started: StartTime) -> Self {
         InstanceId { name, started }
     }
 
-    /// What the server calls itself by.
+    /// Name of the server.
     pub fn name(&self) -> &InstanceName {
         &self.name
     }
 
-    /// When the incarnation started.
+    /// Start time of the incarnation.
     pub fn started(&self) -> StartTime {
         self.started
     }
 
-    /// What the server calls itself by, as text.
+    /// Name of the server as text.
     pub fn as_str(&self) -> &str {
         self.name.as_str()
     }
 
-    /// Whether both may be the same incarnation. A start time that isn't known, as in a message of
-    /// an earlier build, fits every other.
+    /// Whether both may be the same incarnation. An unknown start time, as in messages of earlier
+    /// builds, matches any other.
     pub fn is_same(&self, other: &InstanceId) -> bool {
         let is_known = self.started.is_known() && other.started.is_known();
         self.name == other.name && (!is_known || self.started == other.started)
@@ -123,14 +123,14 @@
     }
 }
 
-/// The incarnations that a message tells of: names, and the start times that stand beside them. A
-/// build that doesn't tell start times leaves the second list out.
+/// Joins the names and start times of a message to incarnations. Earlier builds send no start
+/// times; missing ones are unknown.
 pub fn incarnations(names: Vec<InstanceName>, starts: &[StartTime]) -> Vec<InstanceId> {
     let starts = starts.iter().copied().chain(std::iter::repeat(StartTime::UNKNOWN));
     names.into_iter().zip(starts).map(|(name, start)| InstanceId::started_at(name, start)).collect()
 }
 
-/// Names and start times, for a message.
+/// Splits incarnations into the names and start times of a message.
 pub fn names_and_starts<'a>(
     instances: impl IntoIterator<Item = &'a InstanceId>,
 ) -> (Vec<InstanceName>, Vec<StartTime>) {
--- a/crates/registry/src/instance_map.rs
+++ b/crates/registry/src/instance_map.rs
@@ -1,4 +1,4 @@
-//! Servers by name, in a form of which thousands of views share nearly everything.
+//! Persistent map of servers by name, of which copies share unchanged parts.
 
 use std::hash::{BuildHasher, BuildHasherDefault, DefaultHasher};
 use std::sync::Arc;
@@ -6,15 +6,15 @@
 use crate::directory::Instance;
 use crate::incarnation::InstanceName;
 
-/// Buckets of a map. A change copies one bucket and the list of buckets: with thousands of servers
-/// that is as much work as the square root of their number, and so is finding out what differs
-/// between two maps.
+/// Number of buckets. A change copies one bucket and the list of buckets; with thousands of servers
+/// both are about as long as the square root of the number of servers. So is the comparison of two
+/// maps.
 const BUCKETS: usize = 256;
 
 type Bucket = Vec<Arc<Instance>>;
 
-/// Servers by name. A copy costs one reference; two copies share every server and every bucket in
-/// which nothing has changed between them.
+/// Map of servers by name. A copy costs one reference; two copies share all servers, and all
+/// buckets that are unchanged between them.
 #[derive(Clone, Debug)]
 pub struct InstanceMap {
     buckets: Arc<Vec<Arc<Bucket>>>,
@@ -27,12 +27,12 @@
     }
 }
 
-/// What differs between two maps.
+/// Differences between two maps.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct InstanceChanges {
-    /// Servers that are new or say something else.
+    /// Servers that were added or changed.
     pub changed: Vec<Arc<Instance>>,
-    /// Servers that aren't there any more.
+    /// Servers that were removed.
     pub removed: Vec<InstanceName>,
 }
 
@@ -41,7 +41,7 @@
     usize::try_from(hash % BUCKETS as u64).unwrap_or(0)
 }
 
-fn place_in(bucket: &Bucket, name: &InstanceName) -> Result<usize, usize> {
+fn position_in(bucket: &Bucket, name: &InstanceName) -> Result<usize, usize> {
     bucket.binary_search_by(|known| known.id.name().cmp(name))
 }
 
@@ -51,67 +51,70 @@
         self.len
     }
 
-    /// Whether there is none.
+    /// Whether the map is empty.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// The server of this name.
+    /// Server with the given name.
     pub fn get(&self, name: &InstanceName) -> Option<&Arc<Instance>> {
         let bucket = &self.buckets[bucket_of(name)];
-        place_in(bucket, name).ok().map(|place| &bucket[place])
+        position_in(bucket, name).ok().map(|index| &bucket[index])
     }
 
-    /// All servers, in no order that means anything but the same one in every process.
+    /// All servers, in an unspecified order that is the same in every process.
     pub fn iter(&self) -> impl Iterator<Item = &Arc<Instance>> {
         self.buckets.iter().flat_map(|bucket| bucket.iter())
     }
 
-    /// Puts a server in, in place of the one of its name.
+    /// Inserts a server, replacing the one with its name.
     pub fn insert(&mut self, instance: Arc<Instance>) {
         let name = instance.id.name();
         let buckets = Arc::make_mut(&mut self.buckets);
         let bucket = Arc::make_mut(&mut buckets[bucket_of(name)]);
-        match place_in(bucket, name) {
-            Ok(place) => bucket[place] = instance,
-            Err(place) => {
-                bucket.insert(place, instance);
+        match position_in(bucket, name) {
+            Ok(index) => bucket[index] = instance,
+            Err(index) => {
+                bucket.insert(index, instance);
                 self.len += 1;
             }
         }
     }
 
-    /// Takes a server out.
+    /// Removes a server.
     pub fn remove(&mut self, name: &InstanceName) {
-        let number = bucket_of(name);
-        let Ok(place) = place_in(&self.buckets[number], name) else { return };
+        let bucket_number = bucket_of(name);
+        let Ok(index) = position_in(&self.buckets[bucket_number], name) else { return };
         let buckets = Arc::make_mut(&mut self.buckets);
-        Arc::make_mut(&mut buckets[number]).remove(place);
+        Arc::make_mut(&mut buckets[bucket_number]).remove(index);
         self.len -= 1;
     }
 
-    /// Whether both are the same without looking at any server: one is a copy of the other, or both
-    /// are empty.
+    /// Whether both maps are known to be equal without comparing servers: one is an unchanged copy
+    /// of the other, or both are empty.
     pub fn is_copy_of(&self, other: &InstanceMap) -> bool {
         Arc::ptr_eq(&self.buckets, &other.buckets) || self.len + other.len == 0
     }
 
-    /// What differs from `earlier`.
+    /// Changes from `earlier` to this map.
     pub fn changes_from(&self, earlier: &InstanceMap) -> InstanceChanges {
         let mut changes = InstanceChanges::default();
         if self.is_copy_of(earlier) {
             return changes;
         }
         let pairs = self.buckets.iter().zip(earlier.buckets.iter());
-        for (bucket, former) in pairs.filter(|(bucket, former)| !Arc::ptr_eq(bucket, former)) {
-            for known in former.iter() {
-                if place_in(bucket, known.id.name()).is_err() {
+        for (bucket, earlier_bucket) in
+            pairs.filter(|(bucket, earlier_bucket)| !Arc::ptr_eq(bucket, earlier_bucket))
+        {
+            for known in earlier_bucket.iter() {
+                if position_in(bucket, known.id.name()).is_err() {
                     changes.removed.push(known.id.name().clone());
                 }
             }
             for instance in bucket.iter() {
-                let before = place_in(former, instance.id.name()).ok();
-                let is_same = before.is_some_and(|place| Arc::ptr_eq(&former[place], instance));
+                let before = position_in(earlier_bucket, instance.id.name()).ok();
+                let is_same =
+                    before.is_some_and(|index| Arc::ptr_eq(&earlier_bucket[index], instance));
                 if !is_same {
                     changes.changed.push(Arc::clone(instance));
                 }
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -1,27 +1,26 @@
 //! Servers that register themselves by heartbeat.
 //!
-//! A server may start again under its name. What is known of it is known of one incarnation
-//! ([`InstanceId`]): a later start replaces what was known, and nothing that an earlier one still
-//! says, late, revives or removes anybody.
+//! A server may restart under its name; each start is an incarnation ([`InstanceId`]). Everything
+//! known of a server applies to one incarnation: a later one replaces it, and late messages of an
+//! earlier one are ignored.
 //!
-//! Each control replica keeps what it heard itself ([`HeardInstances`]); nothing
-//! of it is durable, since a server repeats it within seconds. A router merges
-//! what several replicas heard ([`Directory`]). That a server is leaving must not
-//! be forgotten and goes through the replicated log instead; the directory is
-//! told of it and never takes such a server back.
+//! Each control replica keeps the heartbeats that it observed itself ([`HeardInstances`]), in
+//! memory only, since servers repeat them within seconds. A router merges the observations of
+//! several replicas ([`Directory`]). Departures must survive restarts and go through the replicated
+//! log instead; the directory excludes departed incarnations for good.
 //!
 //! Nothing in this crate performs I/O or reads a clock.
 
 mod departure;
 mod directory;
-mod heard;
 mod incarnation;
 mod instance_map;
+mod observed;
 mod report;
 
 pub use departure::{Departure, Departures};
 pub use directory::{Directory, Instance};
-pub use heard::{HeardInstance, HeardInstances, Intake};
 pub use incarnation::{InstanceId, InstanceName, StartTime, incarnations, names_and_starts};
 pub use instance_map::{InstanceChanges, InstanceMap};
+pub use observed::{HeardInstance, HeardInstances, Intake};
 pub use report::{InstanceReport, InstanceState, ModelHolding};
--- a/crates/registry/src/report.rs
+++ b/crates/registry/src/report.rs
@@ -1,4 +1,4 @@
-//! What a server says of itself.
+//! Heartbeats of servers.
 
 use std::net::SocketAddrV4;
 
@@ -6,80 +6,80 @@
 
 use crate::incarnation::{InstanceId, InstanceName, StartTime};
 
-/// Whether a server takes new work.
+/// Whether a server accepts new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum InstanceState {
-    /// It does.
+    /// The server accepts new requests.
     #[n(0)]
     Ready,
-    /// It is leaving.
+    /// The server is departing.
     #[n(1)]
     Draining,
 }
 
-/// A model that a server holds.
+/// Model that a server has loaded.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ModelHolding {
     /// Name of the model.
     #[n(0)]
     pub model: String,
-    /// Version of its weights.
+    /// Version of the loaded weights.
     #[n(1)]
     pub version: u64,
 }
 
-/// One heartbeat.
+/// Heartbeat of a server.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct InstanceReport {
-    /// What the server calls itself by.
+    /// Name of the server.
     #[n(0)]
     pub name: InstanceName,
-    /// The service that it belongs to.
+    /// Service that the server belongs to.
     #[n(1)]
     pub service: String,
-    /// Where it takes requests.
+    /// Address for requests.
     #[cbor(n(2), with = "juniper_catalog::address")]
     pub address: SocketAddrV4,
-    /// Its zone.
+    /// Zone of the server.
     #[n(3)]
     pub zone: String,
-    /// Requests that it works on at once.
+    /// Number of requests that the server executes concurrently.
     #[n(4)]
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether the server accepts new requests.
     #[n(5)]
     pub state: InstanceState,
-    /// Time for which it is still slow after its start, in milliseconds.
+    /// Remaining time of slow service after a start, in milliseconds.
     #[n(6)]
     pub cold_remaining_ms: u64,
-    /// Models that it holds.
+    /// Loaded models.
     #[n(7)]
     pub models: Vec<ModelHolding>,
-    /// Grows with each heartbeat of this incarnation.
+    /// Sequence number of the heartbeat within its incarnation.
     #[n(8)]
     pub sequence: u64,
-    /// When this incarnation started; unknown from an earlier build.
+    /// Start time of the incarnation; unknown in heartbeats of earlier builds.
     #[n(9)]
     #[cbor(default)]
     pub started: StartTime,
 }
 
 impl InstanceReport {
-    /// The incarnation that it is of.
+    /// Incarnation that sent the heartbeat.
     pub fn id(&self) -> InstanceId {
         InstanceId::started_at(self.name.clone(), self.started)
     }
 
-    /// Whether what is known of the server already is at least as new: of two incarnations the one
-    /// that started later counts, of two reports of one the one with the higher number. A report
-    /// that doesn't tell when its sender started is older than one that does.
-    pub fn is_overtaken_by(&self, known: &InstanceReport) -> bool {
+    /// Whether `known` is at least as recent: of two incarnations the one that started later, of
+    /// two reports of one incarnation the one with the higher sequence number. A report without a
+    /// start time is older than one with a start time.
+    pub fn is_superseded_by(&self, known: &InstanceReport) -> bool {
         (self.started, self.sequence) <= (known.started, known.sequence)
     }
 
-    /// Whether another report of the same incarnation says the same, its number and the
-    /// progress of its start left out.
-    pub fn says_the_same(&self, other: &InstanceReport) -> bool {
+    /// Whether both reports have the same content, except for the sequence number and the remaining
+    /// time of slow service.
+    pub fn has_same_content(&self, other: &InstanceReport) -> bool {
         let is_cold = |report: &InstanceReport| report.cold_remaining_ms > 0;
         self.started == other.started
             && self.service == other.service
@@ -91,9 +91,9 @@
             && is_cold(self) == is_cold(other)
     }
 
-    /// The version of `model` that the server holds, if it holds the model.
+    /// Version of `model` that the server has loaded, if any.
     pub fn version_of(&self, model: &str) -> Option<u64> {
-        let held = self.models.iter().find(|held| held.model == model);
-        held.map(|held| held.version)
+        let loaded = self.models.iter().find(|loaded| loaded.model == model);
+        loaded.map(|loaded| loaded.version)
     }
 }
--- a/crates/registry/tests/incarnations.rs
+++ b/crates/registry/tests/incarnations.rs
@@ -1,4 +1,5 @@
-//! A server that starts again under its name: nothing of before holds, and nothing late counts.
+//! Restarts of a server under its name: state of earlier incarnations is dropped, and their late
+//! messages are ignored.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
@@ -16,7 +17,7 @@
     Timestamp::ZERO.after(Duration::from_secs(seconds))
 }
 
-/// A heartbeat of the incarnation of "a" that started at `started`, zero for unknown.
+/// Heartbeat of the incarnation of "a" that started at `started`; zero for unknown.
 fn report(started: u64, sequence: u64) -> InstanceReport {
     InstanceReport {
         name: InstanceName::new("a"),
@@ -32,7 +33,7 @@
     }
 }
 
-fn heard(started: u64, sequence: u64) -> HeardInstance {
+fn observed(started: u64, sequence: u64) -> HeardInstance {
     HeardInstance { report: report(started, sequence), silent: false, age_ms: 0 }
 }
 
@@ -45,90 +46,94 @@
 }
 
 #[test]
-fn a_later_start_counts_whatever_the_number_of_its_heartbeat() {
+fn a_later_start_supersedes_an_earlier_one_whatever_the_sequence_numbers() {
     let mut known = HeardInstances::new(SILENT_AFTER);
     assert_eq!(known.hear(report(100, 40), at(0)), Intake::News);
     let former = StartTime::from_unix_ms(100);
     assert_eq!(known.hear(report(200, 1), at(1)), Intake::Restarted { former });
-    // What the earlier incarnation said last comes late.
+    // The last heartbeat of the earlier incarnation arrives late.
     let last = InstanceReport { state: InstanceState::Draining, ..report(100, 41) };
     assert_eq!(known.hear(last, at(2)), Intake::Overtaken);
-    assert_eq!(known.changes_after(0, at(2)), [HeardInstance { age_ms: 1_000, ..heard(200, 1) }]);
+    assert_eq!(
+        known.changes_after(0, at(2)),
+        [HeardInstance { age_ms: 1_000, ..observed(200, 1) }]
+    );
     assert_eq!(known.hear(report(200, 2), at(3)), Intake::Known);
 }
 
 #[test]
-fn a_heartbeat_without_a_start_time_is_of_another_writer_where_the_server_tells_its_own() {
+fn a_heartbeat_without_a_start_time_is_rejected_if_the_server_has_reported_one() {
     let mut known = HeardInstances::new(SILENT_AFTER);
     known.hear(report(100, 1), at(0));
     assert_eq!(known.hear(report(0, 99), at(1)), Intake::OtherWriter);
     assert_eq!(known.start_of(&InstanceName::new("a")), Some(StartTime::from_unix_ms(100)));
-    // A server that never told it goes on as before.
-    let mut silent = HeardInstances::new(SILENT_AFTER);
-    silent.hear(report(0, 1), at(0));
-    assert_eq!(silent.hear(report(0, 2), at(1)), Intake::Known);
+    // A server that has never reported a start time is unaffected.
+    let mut without_start = HeardInstances::new(SILENT_AFTER);
+    without_start.hear(report(0, 1), at(0));
+    assert_eq!(without_start.hear(report(0, 2), at(1)), Intake::Known);
 }
 
 #[test]
-fn a_departure_takes_away_the_incarnations_up_to_its_own_and_none_after() {
+fn a_departure_removes_its_incarnation_and_earlier_ones_only() {
     let mut directory = Directory::default();
-    directory.hear(NodeId(1), vec![heard(100, 7)], true, at(0));
-    directory.depart(&Departure::of(&id(100)), at(1));
+    directory.apply_observations(NodeId(1), vec![observed(100, 7)], true, at(0));
+    directory.record_departure(&Departure::of(&id(100)), at(1));
     assert_eq!(usable(&directory), None);
-    directory.hear(NodeId(2), vec![heard(200, 1)], false, at(2));
+    directory.apply_observations(NodeId(2), vec![observed(200, 1)], false, at(2));
     assert_eq!(usable(&directory), Some(id(200)));
-    // The departure is told again by a replica that lags, and the earlier incarnation is heard late.
-    directory.depart(&Departure::of(&id(100)), at(3));
-    directory.hear(NodeId(1), vec![heard(100, 8)], false, at(3));
+    // A lagging replica reports the departure again, and a late heartbeat of the earlier
+    // incarnation arrives.
+    directory.record_departure(&Departure::of(&id(100)), at(3));
+    directory.apply_observations(NodeId(1), vec![observed(100, 8)], false, at(3));
     assert_eq!(usable(&directory), Some(id(200)));
 }
 
 #[test]
-fn replicas_that_know_different_incarnations_are_merged_to_the_latest() {
-    let silent = |started| HeardInstance { silent: true, ..heard(started, 90) };
+fn observations_of_different_incarnations_are_merged_to_the_latest() {
+    let silent = |started| HeardInstance { silent: true, ..observed(started, 90) };
     let mut directory = Directory::default();
-    directory.hear(NodeId(1), vec![silent(100)], true, at(0));
-    directory.hear(NodeId(2), vec![heard(200, 1)], true, at(0));
-    let known = directory.get(&InstanceName::new("a")).expect("it is known");
+    directory.apply_observations(NodeId(1), vec![silent(100)], true, at(0));
+    directory.apply_observations(NodeId(2), vec![observed(200, 1)], true, at(0));
+    let known = directory.get(&InstanceName::new("a")).expect("known server");
     assert_eq!((known.id.clone(), known.silent), (id(200), false));
-    // That nobody hears the earlier one says nothing of the later one, and the other way round.
-    directory.hear(NodeId(2), vec![silent(200)], false, at(1));
-    assert!(directory.get(&InstanceName::new("a")).expect("it is known").silent);
+    // Silence of the earlier incarnation doesn't affect the later one, and vice versa.
+    directory.apply_observations(NodeId(2), vec![silent(200)], false, at(1));
+    assert!(directory.get(&InstanceName::new("a")).expect("known server").silent);
 }
 
-/// An earlier build tells no start times: what it says of a server fits the incarnation that is
-/// known, and its departures take all of them away.
+/// Earlier builds send no start times: their observations match the known incarnation, and their
+/// departures cover all incarnations.
 #[test]
-fn what_earlier_builds_tell_is_read_as_before() {
+fn messages_of_earlier_builds_keep_their_meaning() {
     let mut directory = Directory::default();
-    directory.hear(NodeId(1), vec![heard(200, 1)], true, at(0));
-    directory.hear(NodeId(2), vec![heard(0, 50)], true, at(0));
+    directory.apply_observations(NodeId(1), vec![observed(200, 1)], true, at(0));
+    directory.apply_observations(NodeId(2), vec![observed(0, 50)], true, at(0));
     assert_eq!(usable(&directory), Some(id(200)));
-    directory.depart(&Departure::of(&id(0)), at(1));
+    directory.record_departure(&Departure::of(&id(0)), at(1));
     assert_eq!(usable(&directory), None);
-    // A build that tells it takes that back for what started later.
-    directory.depart(&Departure::of(&id(100)), at(2));
+    // A departure with a start time doesn't cover incarnations that started later.
+    directory.record_departure(&Departure::of(&id(100)), at(2));
     assert_eq!(usable(&directory), Some(id(200)));
 }
 
-/// Whatever the order in which heartbeats of incarnations come and from which replica: the latest
-/// start wins, and within it the highest number.
+/// The latest start and the highest sequence number win, whatever the order of heartbeats and the
+/// replicas that receive them.
 fn the_latest_heartbeat_wins(order: Vec<(u8, u8, u8)>) -> bool {
     let mut directory = Directory::default();
-    let mut boards: Vec<HeardInstances> = vec![HeardInstances::new(SILENT_AFTER); 3];
+    let mut replicas: Vec<HeardInstances> = vec![HeardInstances::new(SILENT_AFTER); 3];
     for (replica, started, sequence) in &order {
-        let place = usize::from(*replica) % boards.len();
+        let index = usize::from(*replica) % replicas.len();
         let report = report(u64::from(*started) + 1, u64::from(*sequence));
-        boards[place].hear(report, at(0));
-        let source = NodeId(place as u64);
-        directory.hear(source, boards[place].changes_after(0, at(0)), true, at(0));
+        replicas[index].hear(report, at(0));
+        let source = NodeId(index as u64);
+        directory.apply_observations(source, replicas[index].changes_after(0, at(0)), true, at(0));
     }
     let latest = order.iter().map(|(_, started, sequence)| (*started, *sequence)).max();
     let known = directory.get(&InstanceName::new("a")).map(|known| {
         let started = known.report.started.unix_ms() - 1;
         (started as u8, known.report.sequence as u8)
     });
-    // Of heartbeats that say the same the board keeps the number without telling it.
+    // A replica doesn't report an unchanged heartbeat's sequence number.
     match (known, latest) {
         (Some((started, _)), Some((latest, _))) => started == latest,
         (known, latest) => known.is_none() == latest.is_none(),
@@ -136,45 +141,44 @@
 }
 
 #[test]
-fn heartbeats_may_come_in_any_order() {
+fn heartbeats_are_merged_in_any_order() {
     quickcheck(the_latest_heartbeat_wins as fn(Vec<(u8, u8, u8)>) -> bool);
 }
 
-/// Servers that come and go leave nothing behind: what is kept grows with the servers that there
-/// are, not with those that there were.
+/// Guards against memory use that grows with all servers that ever registered.
 #[test]
-fn servers_that_are_gone_are_forgotten() {
-    let kept_after = |rounds: u64| {
+fn removed_servers_leave_no_state() {
+    let count_after = |rounds: u64| {
         let mut directory = Directory::default();
         for round in 0..rounds {
             let now = at(round * 100);
             for number in 0..20 {
-                let mut server = heard(round + 1, 1);
+                let mut server = observed(round + 1, 1);
                 server.report.name = InstanceName::new(format!("i-{round}-{number}"));
                 server.report.address.set_port(number + 1);
-                directory.hear(NodeId(1), vec![server.clone()], false, now);
+                directory.apply_observations(NodeId(1), vec![server.clone()], false, now);
                 server.silent = true;
-                directory.hear(NodeId(1), vec![server], false, now);
+                directory.apply_observations(NodeId(1), vec![server], false, now);
             }
-            directory.forget_gone(now);
+            directory.expire_silent(now);
         }
         directory.instances().count()
     };
-    assert_eq!([10, 20, 40].map(kept_after), [20; 3]);
+    assert_eq!([10, 20, 40].map(count_after), [20; 3]);
 }
 
 #[test]
-fn departures_of_servers_without_a_trace_are_forgotten() {
-    let kept_after = |thousands: u64| {
+fn departures_of_servers_without_a_trace_expire() {
+    let count_after = |thousands: u64| {
         let mut directory = Directory::default();
         for number in 0..thousands * 1_000 {
             let id = InstanceId::new(format!("i-{number}"));
-            // 200 a second.
-            directory.depart(&Departure::of(&id), Timestamp::from_millis(number * 5));
+            // 200 departures per second.
+            directory.record_departure(&Departure::of(&id), Timestamp::from_millis(number * 5));
         }
-        directory.departures()
+        directory.departure_count()
     };
-    let kept = [100, 200, 400].map(kept_after);
-    // 120 s of them at most twice over.
+    let kept = [100, 200, 400].map(count_after);
+    // At most twice the departures of the 120 s retention.
     assert!(kept.iter().all(|kept| *kept <= 48_000), "{kept:?}");
 }
--- a/crates/registry/tests/instance_map.rs
+++ b/crates/registry/tests/instance_map.rs
@@ -1,4 +1,4 @@
-//! Maps of servers: views share what doesn't change, and a difference costs what differs.
+//! Maps of servers: copies share unchanged servers, and changes are found between them.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -28,8 +28,8 @@
     }))
 }
 
-/// Applies what differs to a copy of the earlier map.
-fn differences_lead_from_one_map_to_the_other(
+/// Applying the changes to a copy of the earlier map yields the later one.
+fn changes_turn_the_earlier_map_into_the_later_one(
     before: Vec<(u8, u8)>,
     edits: Vec<(u8, Option<u8>)>,
 ) -> bool {
@@ -53,22 +53,24 @@
     let mut patched = earlier;
     changes.removed.iter().for_each(|name| patched.remove(name));
     changes.changed.into_iter().for_each(|instance| patched.insert(instance));
-    let is_model = |map: &InstanceMap| {
+    let matches_model = |map: &InstanceMap| {
         let slots = |number: &u8| map.get(&name(u16::from(*number))).map(|it| it.report.slots);
         let known = model.iter().all(|(number, known)| slots(number) == Some(u32::from(*known)));
         known && map.len() == model.len() && map.iter().count() == model.len()
     };
-    is_model(&later) && is_model(&patched) && patched.changes_from(&later).removed.is_empty()
+    matches_model(&later)
+        && matches_model(&patched)
+        && patched.changes_from(&later).removed.is_empty()
 }
 
 #[test]
-fn differences_are_whole() {
-    let property = differences_lead_from_one_map_to_the_other;
+fn changes_are_complete() {
+    let property = changes_turn_the_earlier_map_into_the_later_one;
     quickcheck(property as fn(Vec<(u8, u8)>, Vec<(u8, Option<u8>)>) -> bool);
 }
 
 #[test]
-fn one_change_among_thousands_is_one_difference() {
+fn one_change_among_thousands_is_reported_as_one() {
     for count in [1_000, 2_000, 4_000] {
         let earlier: InstanceMap = (0..count).map(|number| server(number, 4)).collect();
         let mut later = earlier.clone();
--- a/crates/registry/tests/registry.rs
+++ b/crates/registry/tests/registry.rs
@@ -1,4 +1,4 @@
-//! Heartbeats: late, lost and from several replicas.
+//! Heartbeats that are late, lost or observed by several replicas.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::sync::Arc;
@@ -31,27 +31,27 @@
     }
 }
 
-/// The departure of a server that doesn't tell when it started.
-fn left(id: &str) -> Departure {
+/// Departure of a server with an unknown start time.
+fn departure(id: &str) -> Departure {
     Departure::of(&InstanceId::new(id))
 }
 
-fn heard(id: &str, sequence: u64, silent: bool) -> HeardInstance {
+fn observed(id: &str, sequence: u64, silent: bool) -> HeardInstance {
     HeardInstance { report: report(id, sequence), silent, age_ms: 0 }
 }
 
-/// What is heard but for ages, which have a test of their own.
-fn without_age(heard: Vec<HeardInstance>) -> Vec<HeardInstance> {
-    heard.into_iter().map(|instance| HeardInstance { age_ms: 0, ..instance }).collect()
+/// Clears the ages, which a separate test checks.
+fn without_age(observed: Vec<HeardInstance>) -> Vec<HeardInstance> {
+    observed.into_iter().map(|instance| HeardInstance { age_ms: 0, ..instance }).collect()
 }
 
 #[test]
-fn a_heartbeat_that_was_overtaken_changes_nothing() {
+fn an_outdated_heartbeat_changes_nothing() {
     let mut known = HeardInstances::new(SILENT_AFTER);
     assert_eq!(known.hear(report("a", 3), at(0)), Intake::News);
     let late = InstanceReport { state: InstanceState::Draining, ..report("a", 2) };
     assert_eq!(known.hear(late, at(1)), Intake::Overtaken);
-    assert_eq!(without_age(known.changes_after(0, at(7))), [heard("a", 3, false)]);
+    assert_eq!(without_age(known.changes_after(0, at(7))), [observed("a", 3, false)]);
     assert_eq!(known.hear(report("a", 4), at(1)), Intake::Known);
     let renewed = ModelHolding { model: "m".to_owned(), version: 2 };
     let renewed = InstanceReport { models: vec![renewed], ..report("a", 5) };
@@ -59,77 +59,78 @@
 }
 
 #[test]
-fn silence_is_told_once_and_ends_with_the_next_heartbeat() {
+fn silence_is_reported_once_and_ends_with_the_next_heartbeat() {
     let mut known = HeardInstances::new(SILENT_AFTER);
     known.hear(report("a", 1), at(0));
     assert_eq!(known.expire(at(4)), []);
     let before = known.revision();
     assert_eq!(known.expire(at(5)), [InstanceId::new("a")]);
     assert_eq!(known.expire(at(6)), []);
-    assert_eq!(without_age(known.changes_after(before, at(7))), [heard("a", 1, true)]);
+    assert_eq!(without_age(known.changes_after(before, at(7))), [observed("a", 1, true)]);
     assert_eq!(known.hear(report("a", 2), at(7)), Intake::News);
-    assert_eq!(without_age(known.changes_after(before, at(7))), [heard("a", 2, false)]);
+    assert_eq!(without_age(known.changes_after(before, at(7))), [observed("a", 2, false)]);
 }
 
 #[test]
-fn a_server_is_silent_only_when_all_replicas_that_know_it_say_so() {
+fn a_server_is_silent_only_if_all_replicas_that_know_it_report_so() {
     let mut directory = Directory::default();
-    directory.hear(NodeId(1), vec![heard("a", 9, false)], true, at(0));
-    directory.hear(NodeId(2), vec![heard("a", 15, true)], true, at(0));
+    directory.apply_observations(NodeId(1), vec![observed("a", 9, false)], true, at(0));
+    directory.apply_observations(NodeId(2), vec![observed("a", 15, true)], true, at(0));
     assert!(directory.instances().all(|instance| !instance.silent));
-    directory.hear(NodeId(1), vec![heard("a", 16, true)], false, at(0));
+    directory.apply_observations(NodeId(1), vec![observed("a", 16, true)], false, at(0));
     assert!(directory.instances().all(|instance| instance.silent));
 }
 
 #[test]
-fn a_server_that_left_is_never_taken_back() {
+fn a_departed_server_is_never_added_again() {
     let mut directory = Directory::default();
-    directory.hear(NodeId(1), vec![heard("a", 1, false)], true, at(0));
-    directory.depart(&left("a"), at(0));
-    directory.hear(NodeId(2), vec![heard("a", 7, false)], true, at(0));
+    directory.apply_observations(NodeId(1), vec![observed("a", 1, false)], true, at(0));
+    directory.record_departure(&departure("a"), at(0));
+    directory.apply_observations(NodeId(2), vec![observed("a", 7, false)], true, at(0));
     assert!(directory.instances().all(|instance| instance.leaving));
 }
 
 #[test]
-fn a_restarted_server_takes_the_place_of_its_earlier_life() {
+fn a_server_replaces_the_earlier_one_at_its_address() {
     let mut directory = Directory::default();
-    directory.hear(NodeId(1), vec![heard("old", 40, false)], true, at(0));
-    directory.hear(NodeId(1), vec![heard("new", 1, false)], false, at(0));
+    directory.apply_observations(NodeId(1), vec![observed("old", 40, false)], true, at(0));
+    directory.apply_observations(NodeId(1), vec![observed("new", 1, false)], false, at(0));
     let address = report("new", 1).address;
-    assert_eq!(directory.newest_at(address), Some(&InstanceName::new("new")));
+    assert_eq!(directory.current_at(address), Some(&InstanceName::new("new")));
 }
 
 #[test]
-fn what_a_replica_that_left_knew_is_void() {
+fn observations_of_a_removed_replica_are_dropped() {
     let mut directory = Directory::default();
-    directory.hear(NodeId(1), vec![heard("a", 1, false)], true, at(0));
-    directory.hear(NodeId(2), vec![heard("b", 1, false)], true, at(0));
-    directory.keep_sources(&[NodeId(2)]);
+    directory.apply_observations(NodeId(1), vec![observed("a", 1, false)], true, at(0));
+    directory.apply_observations(NodeId(2), vec![observed("b", 1, false)], true, at(0));
+    directory.retain_sources(&[NodeId(2)]);
     let ids: Vec<&str> = directory.instances().map(|known| known.id.as_str()).collect();
     assert_eq!(ids, ["b"]);
-    directory.hear(NodeId(2), Vec::new(), true, at(0));
+    directory.apply_observations(NodeId(2), Vec::new(), true, at(0));
     assert_eq!(directory.instances().count(), 0);
 }
 
 #[test]
-fn a_life_is_as_old_as_its_first_heartbeat_and_the_number_of_them_tell() {
+fn the_age_of_an_incarnation_follows_from_its_first_heartbeat_and_sequence_number() {
     let mut known = HeardInstances::new(SILENT_AFTER);
     known.hear(report("young", 1), at(10));
     known.hear(report("old", 21), at(12));
-    let ages: Vec<u64> = known.changes_after(0, at(13)).iter().map(|heard| heard.age_ms).collect();
-    // "old" comes first by name: 20 heartbeats of a second each before, and a second since.
+    let ages: Vec<u64> =
+        known.changes_after(0, at(13)).iter().map(|server| server.age_ms).collect();
+    // "old" sorts first: 20 earlier heartbeats of a second each, and a second since.
     assert_eq!(ages, [21_000, 3_000]);
-    // Later heartbeats don't make it younger.
+    // Later heartbeats don't lower the age.
     known.hear(report("young", 2), at(15));
     assert_eq!(known.changes_after(0, at(15))[1].age_ms, 5_000);
 }
 
-/// A cut held the heartbeat back. Its sender has crashed since, and another life has begun at the
-/// address and has registered with another replica.
+/// A partition delays a heartbeat until its sender has crashed and another server has registered at
+/// the address with another replica.
 #[test]
-fn a_late_heartbeat_of_a_life_that_has_ended_revives_nobody() {
+fn a_late_heartbeat_of_a_crashed_server_does_not_replace_its_successor() {
     let address = report("new", 1).address;
-    let aged = |id, sequence, age_ms| HeardInstance { age_ms, ..heard(id, sequence, false) };
+    let aged = |id, sequence, age_ms| HeardInstance { age_ms, ..observed(id, sequence, false) };
     let orders: [&[(u64, HeardInstance)]; 2] = [
         &[(1, aged("new", 2, 2_000)), (2, aged("old", 21, 20_000))],
         &[(2, aged("old", 21, 20_000)), (1, aged("new", 2, 2_000))],
@@ -137,45 +138,45 @@
     for order in orders {
         let mut directory = Directory::default();
         for (node, instance) in order {
-            directory.hear(NodeId(*node), vec![instance.clone()], true, at(30));
+            directory.apply_observations(NodeId(*node), vec![instance.clone()], true, at(30));
         }
-        assert_eq!(directory.newest_at(address), Some(&InstanceName::new("new")));
+        assert_eq!(directory.current_at(address), Some(&InstanceName::new("new")));
     }
 }
 
-/// A life that looks younger than it is gives way once it is silent.
+/// A silent server gives up its address even if its incarnation looks younger than it is.
 #[test]
-fn a_life_that_is_silent_has_its_address_no_more() {
+fn a_silent_server_does_not_keep_its_address() {
     let address = report("new", 1).address;
     let mut directory = Directory::default();
-    directory.hear(NodeId(1), vec![heard("lives", 5, false)], true, at(1));
-    directory.hear(NodeId(2), vec![heard("stale", 1, false)], true, at(2));
-    assert_eq!(directory.newest_at(address), Some(&InstanceName::new("stale")));
-    directory.hear(NodeId(2), vec![heard("stale", 1, true)], false, at(8));
-    assert_eq!(directory.newest_at(address), Some(&InstanceName::new("lives")));
+    directory.apply_observations(NodeId(1), vec![observed("live", 5, false)], true, at(1));
+    directory.apply_observations(NodeId(2), vec![observed("stale", 1, false)], true, at(2));
+    assert_eq!(directory.current_at(address), Some(&InstanceName::new("stale")));
+    directory.apply_observations(NodeId(2), vec![observed("stale", 1, true)], false, at(8));
+    assert_eq!(directory.current_at(address), Some(&InstanceName::new("live")));
 }
 
-/// Thousands of servers are pushed as changes of a few: what didn't change isn't copied.
+/// Guards against copying all of thousands of servers when a few change.
 #[test]
-fn servers_that_did_not_change_are_shared_between_views() {
+fn unchanged_servers_are_shared_between_views() {
     let elsewhere = |id: &str, sequence: u64, port: u16| {
-        let mut heard = heard(id, sequence, false);
-        heard.report.address.set_port(port);
-        heard
+        let mut server = observed(id, sequence, false);
+        server.report.address.set_port(port);
+        server
     };
     let mut directory = Directory::default();
     let all = vec![elsewhere("a", 1, 1), elsewhere("b", 1, 2), elsewhere("c", 1, 3)];
-    directory.hear(NodeId(1), all.clone(), true, at(0));
+    directory.apply_observations(NodeId(1), all.clone(), true, at(0));
     let before = directory.usable().clone();
-    // Another replica knows the same, and one server says something new.
-    directory.hear(NodeId(2), all, true, at(1));
+    // Another replica pushes the same servers, and one server changes.
+    directory.apply_observations(NodeId(2), all, true, at(1));
     let mut changed = elsewhere("b", 2, 2);
     changed.report.slots += 1;
-    directory.hear(NodeId(1), vec![changed], false, at(2));
+    directory.apply_observations(NodeId(1), vec![changed], false, at(2));
     let after = directory.usable();
     let is_shared = |name: &str| {
         let instance = |of: &juniper_registry::InstanceMap| {
-            Arc::clone(of.get(&InstanceName::new(name)).expect("it is known"))
+            Arc::clone(of.get(&InstanceName::new(name)).expect("known server"))
         };
         Arc::ptr_eq(&instance(&before), &instance(after))
     };
@@ -183,7 +184,7 @@
     let changes = after.changes_from(&before);
     let changed: Vec<&str> = changes.changed.iter().map(|known| known.id.as_str()).collect();
     assert_eq!((changed, changes.removed.len()), (vec!["b"], 0));
-    // One that leaves is usable no more, whatever it says.
-    directory.depart(&left("a"), at(3));
+    // A departed server isn't usable any more.
+    directory.record_departure(&departure("a"), at(3));
     assert_eq!(directory.usable().len(), 2);
 }
