--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answers of the gateway's own.
+//! Responses that the gateway generates itself.
 
 use std::time::Duration;
 
@@ -8,20 +8,20 @@
 use crate::body::AnswerBody;
 use crate::dialect::Dialect;
 
-/// Pause asked of a caller while the node knows no configuration.
-const START_PAUSE: Duration = Duration::from_millis(400);
+/// `Retry-After` while no configuration is known.
+const STARTING_RETRY_AFTER: Duration = Duration::from_millis(400);
 
-/// Pause asked of a caller while the node can't confirm its configuration.
-const UNCONFIRMED_PAUSE: Duration = Duration::from_millis(500);
+/// `Retry-After` while the configuration can't be confirmed.
+const UNCONFIRMED_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Why the gateway itself answers.
+/// Reason for which the gateway answers a request itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum OwnAnswer {
-    /// The request can't be read.
+    /// The request can't be parsed.
     Malformed,
     /// The key is unknown.
     UnknownKey,
-    /// No route takes the request.
+    /// No route matches the request.
     NoRoute,
     /// The body is too large.
     TooLarge,
@@ -29,22 +29,25 @@
     Starting,
     /// The configuration can't be confirmed.
     Unconfirmed,
-    /// No server can take the request. It has not run; it may come back after the pause.
+    /// No server is available. The request has not run and may be retried after the duration.
     NoServer(Duration),
-    /// The servers are full. It has not run; it may come back after the pause.
+    /// All servers are full. The request has not run and may be retried after the duration.
     Full(Duration),
-    /// Too much waits at the servers. It has not run; it may come back after the pause.
+    /// The queues of the servers are too long. The request has not run and may be retried after the
+    /// duration.
     Overloaded(Duration),
-    /// Servers have got what they take from all routers together. It has not run; it may come back
-    /// after the pause.
-    ServersUsedUp(Duration),
-    /// Every server asked for a pause. It has not run; it may come back after the pause.
-    ServersResting(Duration),
-    /// The tenant's limit is reached. It has not run; it may come back after the pause.
+    /// All servers have reached their advertised limits. The request has not run and may be retried
+    /// after the duration.
+    ServersAtLimit(Duration),
+    /// All servers are backing off. The request has not run and may be retried after the duration.
+    ServersBackingOff(Duration),
+    /// The tenant's limit is reached. The request has not run and may be retried after the
+    /// duration.
     OverLimit(Duration),
-    /// No time was left to send it. It has not run.
+    /// Too little time was left to send the request, which has not run.
     TooLate,
-    /// Servers ended under this very request, so it is sent to none. It may have run before.
+    /// Servers crashed under the same request, so it isn't sent to any server. It may have run
+    /// before.
     Quarantined,
     /// The server failed; the request may have run.
     ServerFailed,
@@ -65,17 +68,17 @@
             | OwnAnswer::NoServer(_)
             | OwnAnswer::Full(_)
             | OwnAnswer::Overloaded(_)
-            | OwnAnswer::ServersUsedUp(_)
-            | OwnAnswer::ServersResting(_)
+            | OwnAnswer::ServersAtLimit(_)
+            | OwnAnswer::ServersBackingOff(_)
             | OwnAnswer::TooLate => StatusCode::SERVICE_UNAVAILABLE,
-            // No promise, since it has run, and no time to come back. A 4xx would say that it is
-            // not allowed, which it is.
+            // Not 503, which would state that the request has not run and may be retried, and not
+            // 4xx, since the caller is allowed to send it.
             OwnAnswer::Quarantined | OwnAnswer::ServerFailed => StatusCode::BAD_GATEWAY,
             OwnAnswer::DeadlinePassed => StatusCode::GATEWAY_TIMEOUT,
         }
     }
 
-    /// The reason for logs and counters.
+    /// Value of `reason` in logs, metrics and the body of the answer.
     pub(crate) fn reason(self) -> &'static str {
         match self {
             OwnAnswer::Malformed => "malformed",
@@ -87,8 +90,8 @@
             OwnAnswer::NoServer(_) => "no_server",
             OwnAnswer::Full(_) => "full",
             OwnAnswer::Overloaded(_) => "overloaded",
-            OwnAnswer::ServersUsedUp(_) => "servers_used_up",
-            OwnAnswer::ServersResting(_) => "servers_resting",
+            OwnAnswer::ServersAtLimit(_) => "servers_used_up",
+            OwnAnswer::ServersBackingOff(_) => "servers_resting",
             OwnAnswer::OverLimit(_) => "over_limit",
             OwnAnswer::TooLate => "too_late",
             OwnAnswer::Quarantined => "quarantined",
@@ -99,19 +102,19 @@
 
     fn retry_after(self) -> Option<Duration> {
         match self {
-            OwnAnswer::Starting => Some(START_PAUSE),
-            OwnAnswer::Unconfirmed => Some(UNCONFIRMED_PAUSE),
-            OwnAnswer::NoServer(pause)
-            | OwnAnswer::Full(pause)
-            | OwnAnswer::Overloaded(pause)
-            | OwnAnswer::ServersUsedUp(pause)
-            | OwnAnswer::ServersResting(pause)
-            | OwnAnswer::OverLimit(pause) => Some(pause),
+            OwnAnswer::Starting => Some(STARTING_RETRY_AFTER),
+            OwnAnswer::Unconfirmed => Some(UNCONFIRMED_RETRY_AFTER),
+            OwnAnswer::NoServer(retry_after)
+            | OwnAnswer::Full(retry_after)
+            | OwnAnswer::Overloaded(retry_after)
+            | OwnAnswer::ServersAtLimit(retry_after)
+            | OwnAnswer::ServersBackingOff(retry_after)
+            | OwnAnswer::OverLimit(retry_after) => Some(retry_after),
             _ => None,
         }
     }
 
-    /// The answer to the request with this id, if it has one.
+    /// Builds the response; `id` is the caller's request id, if one could be parsed.
     pub(crate) fn response(
         self,
         dialect: &dyn Dialect,
@@ -122,8 +125,8 @@
         *response.status_mut() = self.status();
         let headers = response.headers_mut();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-        if let Some(pause) = self.retry_after() {
-            insert_text(headers, RETRY_AFTER, &format!("{:.3}", pause.as_secs_f64()));
+        if let Some(retry_after) = self.retry_after() {
+            insert_header(headers, RETRY_AFTER, &format!("{:.3}", retry_after.as_secs_f64()));
         }
         if let Some(id) = id {
             dialect.write_own_answer(headers, id);
@@ -132,7 +135,7 @@
     }
 }
 
-fn insert_text(headers: &mut hyper::HeaderMap, name: HeaderName, text: &str) {
+fn insert_header(headers: &mut hyper::HeaderMap, name: HeaderName, text: &str) {
     if let Ok(value) = HeaderValue::from_str(text) {
         headers.insert(name, value);
     }
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One sending of a request to one server.
+//! One attempt to have a request answered by one server.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,20 +18,20 @@
 use crate::gateway::Gateway;
 use crate::pool::{ConnectError, ServerConnection, is_refused};
 
-/// Rank of requests that can't be in time any more; the last that servers know.
+/// Priority of requests that can no longer meet their objective; the lowest that servers know.
 const LATE_PRIORITY: u8 = 9;
 
-/// Statuses that promise that a request has not run.
-const PROMISES: [StatusCode; 4] = [
+/// Statuses by which a server states that it has not run the request.
+const NOT_RUN_STATUSES: [StatusCode; 4] = [
     StatusCode::REQUEST_TIMEOUT,
     StatusCode::MISDIRECTED_REQUEST,
     StatusCode::TOO_MANY_REQUESTS,
     StatusCode::SERVICE_UNAVAILABLE,
 ];
 
-/// Whether the status promises that a request has not run.
-pub(crate) fn is_promise(status: StatusCode) -> bool {
-    PROMISES.contains(&status)
+/// Whether the status states that the request has not run.
+pub(crate) fn is_not_run_status(status: StatusCode) -> bool {
+    NOT_RUN_STATUSES.contains(&status)
 }
 
 /// Why an attempt brought no answer.
@@ -40,40 +40,43 @@
     /// Nothing was sent.
     #[error("not sent: {0}")]
     NotSent(ConnectError),
-    /// Nothing was sent, since the server has asked for a pause meanwhile.
-    #[error("not sent: the server rests for {0:?}")]
-    Resting(Duration),
+    /// Nothing was sent, since the server requested a backoff in the meantime.
+    #[error("not sent: the server is backing off for {0:?}")]
+    BackingOff(Duration),
     /// The server stated that it did not run the request.
-    #[error("the server did not run it")]
+    #[error("the server did not run the request")]
     NotRun,
-    /// Another server has the address.
-    #[error("another server has the address")]
-    OtherServer,
-    /// The server has no weights of the version that it was thought to have.
+    /// Another server now has the address.
+    #[error("another server now has the address")]
+    WrongServer,
+    /// The server no longer has weights of the expected version.
     #[error("the server has no weights of version {0}")]
-    OtherVersion(u64),
+    WrongVersion(u64),
     /// The connection broke; the request may have run.
-    #[error("the connection broke: {0}")]
+    #[error("the connection to the server broke: {0}")]
     Broken(hyper::Error),
-    /// What came is no answer to this request; it may have run.
-    #[error("what came is no answer to the request")]
-    NoAnswer,
-    /// No answer came in time; the request may have run.
+    /// The answer doesn't belong to this request, which may have run.
+    #[error("the answer has a wrong request id or no valid seal")]
+    InvalidAnswer,
+    /// The server didn't answer within the timeout; the request may have run.
     #[error("no answer in time")]
-    Silent,
+    Timeout,
 }
 
 impl AttemptError {
     pub(crate) fn may_have_run(&self) -> bool {
-        matches!(self, AttemptError::Broken(_) | AttemptError::NoAnswer | AttemptError::Silent)
+        matches!(
+            self,
+            AttemptError::Broken(_) | AttemptError::InvalidAnswer | AttemptError::Timeout
+        )
     }
 
     /// Whether nothing was sent.
     pub(crate) fn is_unsent(&self) -> bool {
-        matches!(self, AttemptError::NotSent(_) | AttemptError::Resting(_))
+        matches!(self, AttemptError::NotSent(_) | AttemptError::BackingOff(_))
     }
 
-    /// Whether nobody listens at the server's address.
+    /// Whether the server's address refused the connection.
     pub(crate) fn is_refused(&self) -> bool {
         matches!(self, AttemptError::NotSent(ConnectError::Connect(error)) if is_refused(error))
     }
@@ -81,21 +84,21 @@
     fn outcome(&self) -> Outcome {
         match self {
             AttemptError::NotSent(ConnectError::Exhausted) | AttemptError::NotRun => Outcome::Full,
-            // A kept connection that the server has closed tells nothing of new ones.
+            // A reused connection that the server has closed doesn't show that new ones fail.
             AttemptError::NotSent(ConnectError::Handshake(_)) => Outcome::Broken,
             AttemptError::NotSent(_) => Outcome::Unreachable,
-            AttemptError::Resting(_) => Outcome::Cancelled,
-            AttemptError::OtherServer => Outcome::Replaced,
-            AttemptError::OtherVersion(version) => Outcome::OtherWeights(*version),
-            AttemptError::Broken(_) | AttemptError::NoAnswer | AttemptError::Silent => {
+            AttemptError::BackingOff(_) => Outcome::Cancelled,
+            AttemptError::WrongServer => Outcome::Replaced,
+            AttemptError::WrongVersion(version) => Outcome::OtherWeights(*version),
+            AttemptError::Broken(_) | AttemptError::InvalidAnswer | AttemptError::Timeout => {
                 Outcome::Broken
             }
         }
     }
 }
 
-/// A request under way on a server. Dropping it closes the connection, so that
-/// the server stops working on it.
+/// A request in flight at a server. Dropping it closes the connection, so that the server stops
+/// work on the request.
 pub(crate) struct Attempt {
     gateway: Arc<Gateway>,
     pub instance: InstanceId,
@@ -103,22 +106,22 @@
     pub sent_at: Timestamp,
     connection: Option<ServerConnection>,
     ticket: Option<Ticket>,
-    /// Names the request for the other routers, if they are told of it.
-    told: Option<u16>,
-    /// Idle time after which the server closes the connection, if it tells.
-    stated_idle: Option<Duration>,
-    may_keep: bool,
-    begun: Instant,
-    /// Time without the head of an answer that is unusual.
-    unusual_silence: Duration,
+    /// Number of the request in this router's dispatch reports, if it was reported.
+    report_number: Option<u16>,
+    /// Idle time after which the server closes the connection, if stated.
+    server_idle_timeout: Option<Duration>,
+    is_reusable: bool,
+    started: Instant,
+    /// Time without an answer after which the server counts as failing.
+    answer_timeout: Duration,
     has_head: bool,
 }
 
 impl Drop for Attempt {
-    /// The caller has left. A server that was silent for unusually long until then
-    /// counts as failing: it may swallow the next requests too.
+    /// Ends the attempt of a caller that has left. A server that didn't answer within the timeout
+    /// counts as failing, since it may not answer the next requests either.
     fn drop(&mut self) {
-        let is_silent = !self.has_head && self.begun.elapsed() >= self.unusual_silence;
+        let is_silent = !self.has_head && self.started.elapsed() >= self.answer_timeout;
         self.close(if is_silent { Outcome::Broken } else { Outcome::Cancelled });
     }
 }
@@ -129,31 +132,31 @@
         if let Some(ticket) = self.ticket.take() {
             let now = self.gateway.now();
             self.gateway.placement().end(ticket, outcome, now);
-            if let Some(number) = self.told.take() {
-                self.gateway.news.push_end(number);
+            if let Some(number) = self.report_number.take() {
+                self.gateway.updates.push_completion(number);
             }
         }
         if outcome == Outcome::Unreachable {
-            self.gateway.news.push_reachability(&self.instance, false);
+            self.gateway.updates.push_reachability(&self.instance, false);
         }
     }
 
-    /// The attempt has failed; its connection is closed.
+    /// Ends a failed attempt and closes its connection.
     pub(crate) fn fail(mut self, outcome: Outcome) {
         self.close(outcome);
     }
 
-    /// The answer was read to its end; the connection is kept for the next request.
+    /// Ends an attempt whose answer was read completely, and returns the connection to the pool.
     pub(crate) fn finish(mut self, outcome: Outcome) {
-        let connection = self.connection.take().filter(|_| self.may_keep);
+        let connection = self.connection.take().filter(|_| self.is_reusable);
         if let Some(connection) = connection {
-            self.gateway.pool.keep(&self.instance, connection, self.stated_idle);
+            self.gateway.pool.put_back(&self.instance, connection, self.server_idle_timeout);
         }
         self.close(outcome);
     }
 
-    /// The server has begun to answer.
-    pub(crate) fn first_output(&mut self) {
+    /// Records that the server has begun to answer.
+    pub(crate) fn record_first_output(&mut self) {
         if let Some(ticket) = &mut self.ticket {
             let now = self.gateway.now();
             self.gateway.placement().first_output(ticket, now);
@@ -161,26 +164,25 @@
     }
 }
 
-/// An answer whose head has come.
+/// An answer whose head has arrived.
 pub(crate) struct Answered {
     pub attempt: Attempt,
     pub response: Response<Incoming>,
 }
 
-/// Sends the request to the chosen server and waits for the head of its answer
-/// until `until`.
+/// Sends the request to the chosen server and waits until `until` for the head of the answer.
 pub(crate) async fn send(
     gateway: &Arc<Gateway>,
     call: &Call,
     choice: &Choice,
     last_event: Option<u64>,
-    until: Instant,
+    deadline: Instant,
 ) -> Result<Answered, AttemptError> {
     let now = gateway.now();
     let ticket = gateway.placement().begin(choice, call.has_prompt(), now);
-    let told = gateway.news.push_sighting(choice);
-    if told.is_none() {
-        gateway.metrics.sightings_left_out.inc();
+    let report_number = gateway.updates.push_dispatch(choice);
+    if report_number.is_none() {
+        gateway.metrics.dropped_dispatch_reports.inc();
     }
     let mut attempt = Attempt {
         gateway: Arc::clone(gateway),
@@ -188,14 +190,14 @@
         sent_at: now,
         connection: None,
         ticket: Some(ticket),
-        told,
-        stated_idle: None,
-        may_keep: false,
-        begun: Instant::now(),
-        unusual_silence: call.unusual_silence(),
+        report_number,
+        server_idle_timeout: None,
+        is_reusable: false,
+        started: Instant::now(),
+        answer_timeout: call.answer_timeout(),
         has_head: false,
     };
-    match exchange(gateway, call, choice, last_event, until, &mut attempt).await {
+    match exchange(gateway, call, choice, last_event, deadline, &mut attempt).await {
         Ok(response) => Ok(Answered { attempt, response }),
         Err(error) => {
             attempt.fail(error.outcome());
@@ -209,91 +211,92 @@
     call: &Call,
     choice: &Choice,
     last_event: Option<u64>,
-    until: Instant,
+    deadline: Instant,
     attempt: &mut Attempt,
 ) -> Result<Response<Incoming>, AttemptError> {
     let limit = gateway.connection_limit(&call.view, &call.service);
-    let opening = gateway.pool.connect(&choice.instance, choice.address, limit);
-    let connection = opening.await.map_err(AttemptError::NotSent)?;
+    let connecting = gateway.pool.connect(&choice.instance, choice.address, limit);
+    let connection = connecting.await.map_err(AttemptError::NotSent)?;
     if !connection.reused {
         gateway.metrics.connections.inc();
     }
     let connection = attempt.connection.insert(connection);
-    // An answer to another request may have asked for it while this one waited for its connection.
-    if let Some(rest) = gateway.placement().rest_left(&choice.instance, gateway.now()) {
-        return Err(AttemptError::Resting(rest));
+    // The answer to another request may have requested a backoff while this request waited for its
+    // connection.
+    if let Some(backoff) = gateway.placement().rest_left(&choice.instance, gateway.now()) {
+        return Err(AttemptError::BackingOff(backoff));
     }
-    let request = request(gateway, call, choice, last_event);
+    let request = build_request(gateway, call, choice, last_event);
     let sending = connection.sender.try_send_request(request);
-    let mut response = match timeout_at(until, sending).await {
-        Err(_) => return Err(AttemptError::Silent),
-        Ok(Err(error)) => return Err(sending_failed(error)),
+    let mut response = match timeout_at(deadline, sending).await {
+        Err(_) => return Err(AttemptError::Timeout),
+        Ok(Err(error)) => return Err(send_error(error)),
         Ok(Ok(response)) => response,
     };
     attempt.has_head = true;
-    attempt.stated_idle = stated_idle(response.headers());
-    attempt.may_keep = !closes(response.headers());
+    attempt.server_idle_timeout = server_idle_timeout(response.headers());
+    attempt.is_reusable = !requests_close(response.headers());
     strip_hop_headers(response.headers_mut());
     let (head, body) = response.into_parts();
     let facts = gateway.dialect.read_answer(&head, &call.facts.id, &choice.instance);
     if let Some(version) = facts.version {
         gateway.placement().saw_version(&choice.instance, version);
     }
-    gateway.note_stated_limit(&choice.instance, &facts, attempt.sent_at, call.id());
-    gateway.note_notice(&choice.instance, &facts, call.id());
-    check(&facts, head.status, choice.version)?;
+    gateway.observe_limit(&choice.instance, &facts, attempt.sent_at, call.id());
+    gateway.observe_notice(&choice.instance, &facts, call.id());
+    check_answer(&facts, head.status, choice.version)?;
     Ok(Response::from_parts(head, body))
 }
 
-/// A request that comes back was not sent.
-fn sending_failed(mut error: TrySendError<Request<WholeBody>>) -> AttemptError {
+/// Hyper returns the message if the request was not sent.
+fn send_error(mut error: TrySendError<Request<WholeBody>>) -> AttemptError {
     match error.take_message() {
-        Some(_unsent) => AttemptError::NotSent(ConnectError::Handshake(error.into_error())),
+        Some(_request) => AttemptError::NotSent(ConnectError::Handshake(error.into_error())),
         None => AttemptError::Broken(error.into_error()),
     }
 }
 
-/// Whether the answer may be passed on.
-fn check(
+/// Checks whether the answer may be relayed to the caller.
+fn check_answer(
     facts: &AnswerFacts,
     status: StatusCode,
     expected_version: u64,
 ) -> Result<(), AttemptError> {
     if facts.is_other_server {
-        return Err(AttemptError::OtherServer);
+        return Err(AttemptError::WrongServer);
     }
     if facts.is_other_version {
-        return Err(AttemptError::OtherVersion(expected_version));
+        return Err(AttemptError::WrongVersion(expected_version));
     }
     if facts.not_run && !status.is_success() {
         return Err(AttemptError::NotRun);
     }
     if !facts.is_own || (status.is_success() && !facts.is_sealed) {
-        return Err(AttemptError::NoAnswer);
+        return Err(AttemptError::InvalidAnswer);
     }
     Ok(())
 }
 
-/// Rank of a request at a server. One that can't be in time even at the best server gives way to
-/// those that can: if it went first, they would be late too.
-pub(crate) fn rank(call: &Call, choice: &Choice) -> u8 {
+/// Priority of the request at the chosen server. A request that can't meet its objective even at
+/// the best server yields to those that still can.
+pub(crate) fn effective_priority(call: &Call, choice: &Choice) -> u8 {
     if choice.is_late { LATE_PRIORITY } else { call.priority }
 }
 
-fn request(
+fn build_request(
     gateway: &Gateway,
     call: &Call,
     choice: &Choice,
     last_event: Option<u64>,
 ) -> Request<WholeBody> {
     let mut headers = call.headers.clone();
-    // Parts that other weights have made are never found under this name.
-    let sharing = format!("{}.w{}", call.sharing, choice.version);
+    // Cache entries computed with other weights must not match.
+    let sharing = format!("{}.w{}", call.sharing_scope, choice.version);
     let facts = AttemptFacts {
         instance: &choice.instance,
         deadline: call.time_left(),
         tenant: call.tenant.as_deref(),
-        priority: rank(call, choice),
+        priority: effective_priority(call, choice),
         sharing: &sharing,
         last_event,
         has_prompt: call.has_prompt(),
@@ -309,7 +312,7 @@
     request
 }
 
-/// Headers that concern one connection only.
+/// Headers that apply to a single connection (hop-by-hop).
 const HOP_HEADERS: [&str; 8] = [
     "connection",
     "keep-alive",
@@ -321,28 +324,28 @@
     "upgrade",
 ];
 
-/// Removes the headers that concern one connection only, and those that it names.
+/// Removes hop-by-hop headers, and those that `Connection` lists.
 pub(crate) fn strip_hop_headers(headers: &mut HeaderMap) {
-    let named: Vec<String> = headers
+    let listed: Vec<String> = headers
         .get_all(CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .map(|name| name.trim().to_ascii_lowercase())
         .collect();
-    for name in named.iter().map(String::as_str).chain(HOP_HEADERS) {
+    for name in listed.iter().map(String::as_str).chain(HOP_HEADERS) {
         headers.remove(name);
     }
 }
 
-fn closes(headers: &HeaderMap) -> bool {
+fn requests_close(headers: &HeaderMap) -> bool {
     let close = |value: &HeaderValue| value.as_bytes().eq_ignore_ascii_case(b"close");
     headers.get_all(CONNECTION).iter().any(close)
 }
 
-/// Idle time after which the server closes the connection, if it tells.
-fn stated_idle(headers: &HeaderMap) -> Option<Duration> {
-    let stated = headers.get("keep-alive")?.to_str().ok()?;
-    let seconds = stated.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
+/// Idle time after which the server closes the connection, from its `Keep-Alive` header.
+fn server_idle_timeout(headers: &HeaderMap) -> Option<Duration> {
+    let header = headers.get("keep-alive")?.to_str().ok()?;
+    let seconds = header.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
     seconds.trim().parse().ok().map(Duration::from_secs)
 }
--- a/crates/gateway/src/body.rs
+++ b/crates/gateway/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers to callers.
+//! Bodies of responses to callers and of requests to servers.
 
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -8,54 +8,54 @@
 use hyper::body::{Body, Frame, SizeHint};
 use tokio::sync::mpsc;
 
-/// Pieces that wait for a caller who reads slowly.
-const QUEUED_PIECES: usize = 4;
+/// Chunks queued for a caller that reads slowly.
+const QUEUED_CHUNKS: usize = 4;
 
-/// The answer can't be completed; the connection is broken off, so that the
-/// caller doesn't take it for whole.
+/// The rest of the body is unavailable. The connection is aborted, so that the caller doesn't take
+/// the body for complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the answer can't be completed")]
-pub struct Incomplete;
+#[error("the rest of the answer is unavailable")]
+pub struct IncompleteBody;
 
-/// Where pieces of an answer come from.
-pub type PieceSender = mpsc::Sender<Result<Bytes, Incomplete>>;
+/// Sender of the chunks of a response body.
+pub type ChunkSender = mpsc::Sender<Result<Bytes, IncompleteBody>>;
 
-/// Body of an answer.
+/// Body of a response to a caller.
 pub enum AnswerBody {
-    /// All of it.
+    /// Complete body; `None` once it has been sent.
     Whole(Option<Bytes>),
-    /// Pieces as they come.
-    Pieces(mpsc::Receiver<Result<Bytes, Incomplete>>),
+    /// Body sent in chunks as they arrive.
+    Chunks(mpsc::Receiver<Result<Bytes, IncompleteBody>>),
 }
 
 impl AnswerBody {
-    /// A whole body.
+    /// Creates a complete body.
     pub fn whole(bytes: impl Into<Bytes>) -> Self {
         AnswerBody::Whole(Some(bytes.into()))
     }
 
-    /// A body whose pieces come from the sender.
-    pub fn pieces() -> (PieceSender, Self) {
-        let (sender, receiver) = mpsc::channel(QUEUED_PIECES);
-        (sender, AnswerBody::Pieces(receiver))
+    /// Creates a body that is fed by the returned sender.
+    pub fn chunks() -> (ChunkSender, Self) {
+        let (sender, receiver) = mpsc::channel(QUEUED_CHUNKS);
+        (sender, AnswerBody::Chunks(receiver))
     }
 }
 
 impl Body for AnswerBody {
     type Data = Bytes;
-    type Error = Incomplete;
+    type Error = IncompleteBody;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Incomplete>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, IncompleteBody>>> {
         match self.get_mut() {
             AnswerBody::Whole(bytes) => {
                 let bytes = bytes.take().filter(|bytes| !bytes.is_empty());
                 Poll::Ready(bytes.map(|bytes| Ok(Frame::data(bytes))))
             }
-            AnswerBody::Pieces(receiver) => {
-                receiver.poll_recv(context).map(|piece| piece.map(|piece| piece.map(Frame::data)))
+            AnswerBody::Chunks(receiver) => {
+                receiver.poll_recv(context).map(|chunk| chunk.map(|chunk| chunk.map(Frame::data)))
             }
         }
     }
@@ -63,7 +63,7 @@
     fn is_end_stream(&self) -> bool {
         match self {
             AnswerBody::Whole(bytes) => bytes.as_ref().is_none_or(Bytes::is_empty),
-            AnswerBody::Pieces(_) => false,
+            AnswerBody::Chunks(_) => false,
         }
     }
 
@@ -72,12 +72,12 @@
             AnswerBody::Whole(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64))
             }
-            AnswerBody::Pieces(_) => SizeHint::default(),
+            AnswerBody::Chunks(_) => SizeHint::default(),
         }
     }
 }
 
-/// A body of a request to a server, which is always whole.
+/// Body of a request to a server, always complete.
 pub struct WholeBody(pub Bytes);
 
 impl Body for WholeBody {
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -1,4 +1,4 @@
-//! One request, from its head to the head of its answer.
+//! Handling of one request, from its head to the head of its answer.
 
 use std::sync::{Arc, OnceLock};
 use std::time::Duration;
@@ -21,59 +21,59 @@
 use crate::dialect::CallFacts;
 use crate::finish::own_answer;
 use crate::gateway::Gateway;
-use crate::limits::Charged;
+use crate::limits::GrantedCharge;
 use crate::relay;
-use crate::retry::{Progress, RetryQuestion};
+use crate::retry::{Progress, RetryCheck};
 use crate::search::ServerSearch;
-use crate::starting::MAX_BODY_BYTES;
+use crate::startup::MAX_BODY_BYTES;
 
-/// Time of a caller that states no deadline.
-const USUAL_DEADLINE: Duration = Duration::from_secs(30);
+/// Deadline of a caller that states none.
+const DEFAULT_DEADLINE: Duration = Duration::from_secs(30);
 
-/// Time by which the gateway answers before the caller gives up.
+/// Time reserved for the gateway's answer to reach the caller before its deadline.
 const ANSWER_MARGIN: Duration = Duration::from_millis(20);
 
-/// Silence of a server, relative to the objective, after which a request that
-/// may be repeated is sent to another one.
-const SILENCE_FACTOR: f64 = 2.0;
+/// Answer timeout relative to the objective, after which a retryable request is sent to another
+/// server.
+const TIMEOUT_FACTOR: f64 = 2.0;
 
-/// The same for a prompt. A server that is only busy would have read part of it
-/// for nothing, and one without power is noticed by the connection.
-const PROMPT_SILENCE_FACTOR: f64 = 3.2;
+/// Answer timeout of a prompt relative to the objective. Longer than for other requests: a busy
+/// server's prefill would be wasted, and a server without power is noticed by the connection.
+const PROMPT_TIMEOUT_FACTOR: f64 = 3.2;
 
-/// Shortest silence that is unusual.
-const LEAST_SILENCE: Duration = Duration::from_millis(500);
+/// Shortest answer timeout.
+const MIN_ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Pause asked of a caller when no server may be used.
-pub(crate) const NO_SERVER_PAUSE: Duration = Duration::from_millis(500);
+/// `Retry-After` when no server is available.
+pub(crate) const NO_SERVER_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Tenants whose cached parts are shared with others.
-const SHARED: &str = "shared";
+/// Sharing scope of tenants that share cached prefixes with each other.
+const SHARED_SCOPE: &str = "shared";
 
-/// A request that was matched with a route.
+/// A caller's request that was matched with a route.
 pub(crate) struct Call {
     pub view: Arc<FleetView>,
     pub facts: CallFacts,
     pub route: Route,
     pub service: String,
     pub tenant: Option<String>,
-    /// What was counted against the tenant's limit.
-    pub charged: Option<Charged>,
+    /// Charge against the tenant's limit.
+    pub granted_charge: Option<GrantedCharge>,
     pub priority: u8,
-    /// Names the callers among whom cached parts are shared.
-    pub sharing: String,
+    /// Name of the group of callers that share cached prefixes.
+    pub sharing_scope: String,
     pub method: Method,
     pub uri: Uri,
-    /// The caller's headers, without those of its connection.
+    /// The caller's headers, without hop-by-hop headers.
     pub headers: HeaderMap,
     pub body: Bytes,
-    /// Names the content, once that was asked for.
+    /// Fingerprint of the content, computed at first use.
     fingerprint: OnceLock<RequestFingerprint>,
     pub arrived: Instant,
     pub deadline: Instant,
-    /// The same on the clock that counts suspensions: the caller's time went on.
-    ends_at: BootInstant,
-    /// Age of what was known of the configuration when the request came.
+    /// The deadline on the clock that counts suspensions, during which the caller's time goes on.
+    boot_deadline: BootInstant,
+    /// Age of the configuration when the request arrived.
     pub config_age: Duration,
 }
 
@@ -86,39 +86,39 @@
         Duration::from_millis(self.route.objective_ms)
     }
 
-    /// Tokens of the prompt and the most that are generated, for limits; `None` without a prompt.
+    /// Tokens of the prompt and maximum of tokens generated, for limits; `None` without a prompt.
     fn tokens(facts: &CallFacts) -> Option<u64> {
         let prompt = facts.prompt.as_ref()?;
         Some(u64::from(prompt.tokens) + u64::from(prompt.output_tokens))
     }
 
-    /// Silence of a server after which it has probably lost the request.
-    pub(crate) fn unusual_silence(&self) -> Duration {
+    /// Time without an answer after which the request is assumed to be lost.
+    pub(crate) fn answer_timeout(&self) -> Duration {
         let factor = match self.has_prompt() {
-            true => PROMPT_SILENCE_FACTOR,
-            false => SILENCE_FACTOR,
+            true => PROMPT_TIMEOUT_FACTOR,
+            false => TIMEOUT_FACTOR,
         };
-        self.objective().mul_f64(factor).max(LEAST_SILENCE)
+        self.objective().mul_f64(factor).max(MIN_ANSWER_TIMEOUT)
     }
 
-    /// Longest pause within an answer that is still in time, if it is a stream.
-    pub(crate) fn max_pause(&self) -> Option<Duration> {
+    /// Longest gap between two events of a stream that is still in time.
+    pub(crate) fn max_gap(&self) -> Option<Duration> {
         self.route.max_pause_ms.map(Duration::from_millis)
     }
 
-    /// The id for logs.
+    /// Request id for logs.
     pub(crate) fn id(&self) -> &str {
         self.facts.id.to_str().unwrap_or("-")
     }
 
-    /// Time that is left to the caller, also after a suspension.
+    /// Time left to the caller, also correct after a suspension.
     pub(crate) fn time_left(&self) -> Duration {
         let awake = self.deadline.saturating_duration_since(Instant::now());
-        awake.min(self.ends_at.since(BootInstant::now()))
+        awake.min(self.boot_deadline.since(BootInstant::now()))
     }
 
-    /// Names the content of the request. Worked out when it is first asked for: when the request
-    /// has ended, or before it is sent while any request is suspected of ending servers.
+    /// Fingerprint of the request's content. Computed at first use: when the request ends, or
+    /// before it is sent while any request is suspected of crashing servers.
     pub(crate) fn fingerprint(&self, key: &FingerprintKey) -> RequestFingerprint {
         *self.fingerprint.get_or_init(|| {
             key.fingerprint(&RequestContent {
@@ -131,19 +131,19 @@
         })
     }
 
-    /// Whether the rules of the route allow another sending.
-    pub(crate) fn may_repeat(&self, progress: Progress) -> bool {
-        let question = RetryQuestion {
+    /// Whether the route's rules allow another attempt.
+    pub(crate) fn may_retry(&self, progress: Progress) -> bool {
+        let check = RetryCheck {
             progress,
             repeatable: self.route.is_repeatable(),
             max_attempts: self.route.max_attempts,
         };
-        question.is_allowed()
+        check.is_allowed()
     }
 }
 
 /// Answers one request. `None` means that the caller has left.
-pub(crate) async fn answer(
+pub(crate) async fn answer_request(
     gateway: &Arc<Gateway>,
     request: Request<Incoming>,
 ) -> Option<Response<AnswerBody>> {
@@ -151,9 +151,9 @@
     let (head, body) = request.into_parts();
     let facts = match gateway.dialect.read_call(&head) {
         Ok(facts) => facts,
-        Err(fault) => {
-            log::warn!("event=request_refused request=- reason=malformed fault=\"{fault}\"");
-            gateway.metrics.own_answer(None, OwnAnswer::Malformed);
+        Err(error) => {
+            log::warn!("event=request_refused request=- reason=malformed fault=\"{error}\"");
+            gateway.metrics.count_own_answer(None, OwnAnswer::Malformed);
             return Some(OwnAnswer::Malformed.response(&*gateway.dialect, None));
         }
     };
@@ -161,22 +161,22 @@
     match admit(gateway, head, body, facts, arrived).await {
         Ok(Some(call)) => Some(serve(gateway, call).await),
         Ok(None) => None,
-        Err(own) => {
-            let shown = id.to_str().unwrap_or("-");
-            let (reason, status) = (own.reason(), own.status().as_u16());
+        Err(answer) => {
+            let request_id = id.to_str().unwrap_or("-");
+            let (reason, status) = (answer.reason(), answer.status().as_u16());
             let age_ms = gateway.feed.age().map_or(-1, |age| age.as_millis() as i64);
             log::info!(
-                "event=request_refused request={shown} reason={reason} status={status} \
+                "event=request_refused request={request_id} reason={reason} status={status} \
                  catalog={} age_ms={age_ms}",
                 gateway.feed.latest().catalog_version()
             );
-            gateway.metrics.own_answer(None, own);
-            Some(own.response(&*gateway.dialect, Some(&id)))
+            gateway.metrics.count_own_answer(None, answer);
+            Some(answer.response(&*gateway.dialect, Some(&id)))
         }
     }
 }
 
-/// Matches the request with a route and checks its key and its body. `Ok(None)`
+/// Matches the request with a route and checks its key, its body and its tenant's limit. `Ok(None)`
 /// means that the caller has left.
 async fn admit(
     gateway: &Arc<Gateway>,
@@ -185,11 +185,11 @@
     facts: CallFacts,
     arrived: Instant,
 ) -> Result<Option<Call>, OwnAnswer> {
-    let wait = facts.deadline.unwrap_or(USUAL_DEADLINE);
+    let timeout = facts.deadline.unwrap_or(DEFAULT_DEADLINE);
     let body = match gateway.has_started() {
         true => RequestBody::Unread(body),
-        false => match wait_for_start(gateway, &head.headers, body, arrived, wait).await? {
-            Some(bytes) => RequestBody::Read(bytes),
+        false => match wait_for_start(gateway, &head.headers, body, arrived, timeout).await? {
+            Some(bytes) => RequestBody::Buffered(bytes),
             None => return Ok(None),
         },
     };
@@ -197,48 +197,51 @@
     let (Some(index), Some(age)) = (view.catalog.clone(), gateway.feed.age()) else {
         return Err(OwnAnswer::Starting);
     };
-    let is_certain = age < gateway.settings.certain_age_limit();
-    let place = index.route_at(host_of(&head.headers), head.uri.path());
-    let Some(route) = place.and_then(|place| index.route(place)) else {
-        return Err(if is_certain { OwnAnswer::NoRoute } else { OwnAnswer::Unconfirmed });
+    let may_reject = age < gateway.settings.rejection_age_limit();
+    let position = index.route_at(host_of(&head.headers), head.uri.path());
+    let Some(route) = position.and_then(|position| index.route(position)) else {
+        return Err(if may_reject { OwnAnswer::NoRoute } else { OwnAnswer::Unconfirmed });
     };
     let tenant = match index.access(route, facts.key.as_deref()) {
         KeyAccess::Tenant(tenant) if age < gateway.settings.key_age_limit() => Some(tenant),
         KeyAccess::Tenant(_) => return Err(OwnAnswer::Unconfirmed),
         KeyAccess::Open => None,
-        KeyAccess::Denied if is_certain => return Err(OwnAnswer::UnknownKey),
+        KeyAccess::Denied if may_reject => return Err(OwnAnswer::UnknownKey),
         KeyAccess::Denied => return Err(OwnAnswer::Unconfirmed),
     };
-    let wait = wait.min(Duration::from_millis(route.timeout_ms));
-    let deadline = arrived + wait.saturating_sub(ANSWER_MARGIN);
-    let ends_at = BootInstant::now() + deadline.saturating_duration_since(Instant::now());
+    let timeout = timeout.min(Duration::from_millis(route.timeout_ms));
+    let deadline = arrived + timeout.saturating_sub(ANSWER_MARGIN);
+    let boot_deadline = BootInstant::now() + deadline.saturating_duration_since(Instant::now());
     let limit = index.catalog().limits.body_bytes;
     let body = match body {
         RequestBody::Unread(body) => read_body(&head.headers, body, limit, deadline).await?,
-        RequestBody::Read(bytes) if bytes.len() as u64 > limit => return Err(OwnAnswer::TooLarge),
-        RequestBody::Read(bytes) => Some(bytes),
+        RequestBody::Buffered(bytes) if bytes.len() as u64 > limit => {
+            return Err(OwnAnswer::TooLarge);
+        }
+        RequestBody::Buffered(bytes) => Some(bytes),
     };
     let Some(body) = body else { return Ok(None) };
     let isolated = tenant.filter(|tenant| tenant.isolated);
     let mut headers = head.headers;
     strip_hop_headers(&mut headers);
     headers.remove(CONTENT_LENGTH);
-    let charged = match tenant {
+    let granted_charge = match tenant {
         Some(tenant) => {
-            let shown = facts.id.to_str().unwrap_or("-");
+            let request_id = facts.id.to_str().unwrap_or("-");
             let (version, tokens) = (index.catalog().version, Call::tokens(&facts));
-            gateway.charge(shown, tenant, version, tokens).await?
+            gateway.charge(request_id, tenant, version, tokens).await?
         }
         None => None,
     };
-    let service = gateway.pick_service(route).ok_or(OwnAnswer::NoServer(NO_SERVER_PAUSE))?;
+    let service = gateway.pick_service(route).ok_or(OwnAnswer::NoServer(NO_SERVER_RETRY_AFTER))?;
     Ok(Some(Call {
         facts,
         service,
         tenant: tenant.map(|tenant| tenant.name.clone()),
-        charged,
+        granted_charge,
         priority: tenant.and_then(|tenant| tenant.priority).unwrap_or(route.priority),
-        sharing: isolated.map_or_else(|| SHARED.to_owned(), |tenant| format!("t-{}", tenant.name)),
+        sharing_scope: isolated
+            .map_or_else(|| SHARED_SCOPE.to_owned(), |tenant| format!("t-{}", tenant.name)),
         method: head.method,
         uri: head.uri,
         headers,
@@ -246,57 +249,57 @@
         fingerprint: OnceLock::new(),
         arrived,
         deadline,
-        ends_at,
+        boot_deadline,
         config_age: age,
         route: route.clone(),
         view,
     }))
 }
 
-/// The host that was asked for, without a port.
+/// Host that the request names, without the port.
 fn host_of(headers: &HeaderMap) -> &str {
     let host = headers.get(HOST).and_then(|host| host.to_str().ok()).unwrap_or("");
     host.split(':').next().unwrap_or(host)
 }
 
-/// The body of a request.
+/// Body of a caller's request.
 enum RequestBody {
     Unread(Incoming),
-    /// It was read while the request waited for the gateway's start.
-    Read(Bytes),
+    /// Read while the request waited for the gateway's start.
+    Buffered(Bytes),
 }
 
-/// Reads the body of a request that came before the first confirmation, and waits for that.
-/// `Ok(None)` means that the caller has left.
+/// Reads the body of a request that arrived before the configuration was first confirmed, and waits
+/// for the confirmation. `Ok(None)` means that the caller has left.
 async fn wait_for_start(
     gateway: &Gateway,
     headers: &HeaderMap,
     body: Incoming,
     arrived: Instant,
-    wait: Duration,
+    timeout: Duration,
 ) -> Result<Option<Bytes>, OwnAnswer> {
-    let _place = gateway.starting.enter().ok_or(OwnAnswer::Starting)?;
-    let deadline = arrived + wait.saturating_sub(ANSWER_MARGIN);
-    let read = read_body(headers, body, MAX_BODY_BYTES, deadline).await;
-    // Longer bodies may be allowed; that isn't known yet.
-    let read = read.map_err(|_| OwnAnswer::Starting)?;
+    let _permit = gateway.startup.try_enter().ok_or(OwnAnswer::Starting)?;
+    let deadline = arrived + timeout.saturating_sub(ANSWER_MARGIN);
+    let body = read_body(headers, body, MAX_BODY_BYTES, deadline).await;
+    // The configuration may allow longer bodies, but isn't known yet.
+    let body = body.map_err(|_| OwnAnswer::Starting)?;
     if !gateway.wait_for_start(arrived, deadline).await {
         return Err(OwnAnswer::Starting);
     }
     log::info!("event=start_awaited waited_ms={}", arrived.elapsed().as_millis());
-    Ok(read)
+    Ok(body)
 }
 
-/// Reads a body whole. `Ok(None)` means that the caller has left.
+/// Reads a complete body. `Ok(None)` means that the caller has left.
 async fn read_body(
     headers: &HeaderMap,
     body: Incoming,
     limit: u64,
     deadline: Instant,
 ) -> Result<Option<Bytes>, OwnAnswer> {
-    let stated = headers.get(CONTENT_LENGTH).and_then(|length| length.to_str().ok());
-    let stated = stated.and_then(|length| length.parse::<u64>().ok());
-    if stated.is_some_and(|length| length > limit) {
+    let content_length = headers.get(CONTENT_LENGTH).and_then(|length| length.to_str().ok());
+    let content_length = content_length.and_then(|length| length.parse::<u64>().ok());
+    if content_length.is_some_and(|length| length > limit) {
         return Err(OwnAnswer::TooLarge);
     }
     let limit = usize::try_from(limit).unwrap_or(usize::MAX);
@@ -310,16 +313,16 @@
     }
 }
 
-/// Sends the request to servers until one answers or none may be asked any more.
+/// Sends the request to servers until one answers or no other may be tried.
 async fn serve(gateway: &Arc<Gateway>, call: Call) -> Response<AnswerBody> {
     let now = gateway.now();
-    gateway.budget().record_request(&call.service, now);
+    gateway.retry_budget().record_request(&call.service, now);
     let mut search = ServerSearch::new(gateway, &call);
     match search.run(call.facts.last_event).await {
         Ok(answered) => {
             let progress = search.progress;
-            relay::pass_on(Arc::clone(gateway), call, answered, progress).await
+            relay::relay_answer(Arc::clone(gateway), call, answered, progress).await
         }
-        Err(own) => own_answer(gateway, &call, own, search.progress),
+        Err(answer) => own_answer(gateway, &call, answer, search.progress),
     }
 }
--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -1,4 +1,4 @@
-//! Requests that end the servers that run them, as the gateway sees them.
+//! Reports evidence of crashes to the crash watch and checks requests for quarantine.
 
 use std::net::SocketAddr;
 
@@ -10,8 +10,13 @@
 use crate::gateway::Gateway;
 
 impl Gateway {
-    /// The connection of a request broke before the server's answer was whole.
-    pub(crate) fn note_cut(&self, call: &Call, instance: &InstanceId, sent_at: Timestamp) {
+    /// Records that the connection of a request broke before the answer was complete.
+    pub(crate) fn record_interrupted(
+        &self,
+        call: &Call,
+        instance: &InstanceId,
+        sent_at: Timestamp,
+    ) {
         let fingerprint = call.fingerprint(&self.settings.fingerprint_key);
         log::info!(
             "event=request_cut request={} instance={instance} fingerprint={fingerprint}",
@@ -19,28 +24,29 @@
         );
         let view = self.feed.latest();
         let known = view.instances.get(instance.name()).filter(|known| known.id == *instance);
-        // One that isn't known is leaving or has left: its end says nothing of the request.
+        // An unknown server is departing or has departed, so its end isn't evidence against the
+        // request.
         if let Some(known) = known {
             let address = SocketAddr::V4(known.report.address);
             self.crashes.note_cut(instance, address, fingerprint, sent_at);
         }
     }
 
-    /// Nobody listens at the server's address any more.
-    pub(crate) fn note_refused(&self, instance: &InstanceId) {
+    /// Records that the server's address refuses connections.
+    pub(crate) fn record_refused(&self, instance: &InstanceId) {
         self.crashes.note_ended(instance, CrashProof::Refused);
     }
 
-    /// A server has answered the request whole.
-    pub(crate) fn note_answered(&self, call: &Call) {
+    /// Records that a server has answered the request completely.
+    pub(crate) fn record_completed(&self, call: &Call) {
         let fingerprint = call.fingerprint(&self.settings.fingerprint_key);
         self.crashes.note_answered(call.id(), fingerprint);
     }
 
-    /// Whether the request must be sent to no server.
+    /// Whether the request is quarantined and must not be sent to any server.
     pub(crate) fn is_quarantined(&self, call: &Call) -> bool {
-        let name = || call.fingerprint(&self.settings.fingerprint_key);
-        let quarantined = self.crashes.quarantined(name);
+        let fingerprint_of = || call.fingerprint(&self.settings.fingerprint_key);
+        let quarantined = self.crashes.quarantined(fingerprint_of);
         if let Some(fingerprint) = quarantined {
             log::info!("event=quarantined request={} fingerprint={fingerprint}", call.id());
         }
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -1,4 +1,4 @@
-//! What headers say, in the words of whoever the gateway serves.
+//! Translation between HTTP headers and the gateway's own types.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -9,90 +9,91 @@
 use juniper_placement::Prompt;
 use juniper_registry::InstanceId;
 
-/// What a caller's request says of itself.
+/// Contents of the head of a caller's request.
 #[derive(Clone, Debug)]
 pub struct CallFacts {
-    /// The caller's id of the request, handed on unchanged.
+    /// The caller's id of the request, passed on unchanged.
     pub id: HeaderValue,
-    /// Time that the caller waits.
+    /// Time for which the caller waits for the answer.
     pub deadline: Option<Duration>,
-    /// The key that it presents.
+    /// API key that the caller presents.
     pub key: Option<String>,
-    /// The prompt, if it states one.
+    /// The prompt, if the request describes one.
     pub prompt: Option<Prompt>,
-    /// The last event of a stream that the caller has.
+    /// Number of the last stream event that the caller has received.
     pub last_event: Option<u64>,
 }
 
-/// Why a request can't be read.
+/// Why the head of a request can't be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CallFault {
-    /// It has no id.
+    /// The id is missing.
     #[error("the request has no id")]
     NoId,
-    /// A header has no value that can be read.
-    #[error("header {0} can't be read")]
+    /// The header with this name has no valid value.
+    #[error("header {0} has no valid value")]
     Header(&'static str),
 }
 
-/// What is told to a server beside the caller's own request.
+/// Contents of the headers that the gateway adds to a request to a server.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptFacts<'a> {
-    /// The life of the server that it is meant for.
+    /// Incarnation of the chosen server.
     pub instance: &'a InstanceId,
-    /// Time that is left.
+    /// Time left for the answer.
     pub deadline: Duration,
     /// The caller's tenant.
     pub tenant: Option<&'a str>,
-    /// Rank, 0 first.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Names the callers among whom cached parts are shared.
+    /// Name of the group of callers that share cached prefixes.
     pub sharing: &'a str,
-    /// The last event that the caller has, if the stream is to go on after it.
+    /// Number of the last event that the caller has received, after which the stream has to
+    /// continue.
     pub last_event: Option<u64>,
-    /// Whether the request states a prompt.
+    /// Whether the request describes a prompt.
     pub has_prompt: bool,
-    /// Version of the weights that it must run under; zero for any.
+    /// Version of the weights to run with; zero for any version.
     pub version: u64,
-    /// A server or store that should have kept more of the prompt.
+    /// Server or store that is expected to have more of the prompt's prefix cached.
     pub source: Option<SocketAddrV4>,
-    /// A store that should get the prompt's parts once they are read.
+    /// Store to which the prompt's prefix segments are copied after the prefill.
     pub store: Option<SocketAddrV4>,
 }
 
-/// What a server's answer says of itself.
+/// Contents of the head of a server's answer.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AnswerFacts {
-    /// It answers this very request.
+    /// Whether the answer belongs to this request.
     pub is_own: bool,
-    /// It is signed by the server.
+    /// Whether the server's seal (authentication tag) is valid.
     pub is_sealed: bool,
-    /// The server states that the request did not run.
+    /// Whether the server states that it has not run the request.
     pub not_run: bool,
-    /// The server states that it is another one than was meant.
+    /// Whether the server states that it isn't the one that was meant.
     pub is_other_server: bool,
-    /// The server states that its weights are of another version than was meant.
+    /// Whether the server states that its weights are of another version than expected.
     pub is_other_version: bool,
-    /// Version of the weights that it was made with.
+    /// Version of the weights that produced the answer.
     pub version: Option<u64>,
-    /// The requests that the server takes from all routers together.
+    /// Limit that the server advertises for all routers together.
     pub stated_limit: StatedLimit,
-    /// What the server asks of this router.
+    /// Backoff or departure that the server announces to this router.
     pub notice: ServerNotice,
 }
 
-/// Reads and writes headers.
+/// Reads and writes the headers of one protocol between callers, gateway and servers.
 pub trait Dialect: Send + Sync + 'static {
-    /// Reads a caller's request.
+    /// Parses the head of a caller's request.
     ///
     /// # Errors
-    /// Fails when the request has to be refused for what its head says.
+    /// Fails when a required header is missing or invalid.
     fn read_call(&self, head: &request::Parts) -> Result<CallFacts, CallFault>;
 
-    /// Turns the caller's headers into those for a server.
+    /// Turns the caller's headers into those of a request to a server.
     fn write_attempt(&self, headers: &mut HeaderMap, facts: &AttemptFacts<'_>);
 
-    /// Reads what `instance` answered to the request with this id.
+    /// Parses the head of the answer of `instance` to the request with this id.
     fn read_answer(
         &self,
         head: &response::Parts,
@@ -100,6 +101,7 @@
         instance: &InstanceId,
     ) -> AnswerFacts;
 
-    /// Marks an answer of the gateway's own as one to the request with this id.
+    /// Adds the headers of a response that the gateway generates itself for the request with this
+    /// id.
     fn write_own_answer(&self, headers: &mut HeaderMap, id: &HeaderValue);
 }
--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/events.rs
@@ -1,38 +1,38 @@
-//! Whole events of a stream.
+//! Splits a server-sent event stream into complete events.
 //!
-//! A server may stop in the middle of an event. Only whole events are passed on,
-//! so that a stream can go on with the next one from another server.
+//! A server may stop in the middle of an event. Only complete events are passed on, so that another
+//! server can continue the stream with the next one.
 
 use bytes::{Bytes, BytesMut};
 
-/// Longest event that is waited for, in bytes.
+/// Maximum size of an event, in bytes.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// An event is too long to be taken for one.
+/// An event exceeds the maximum size.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("an event is longer than {MAX_EVENT_BYTES} bytes")]
+#[error("event exceeds {MAX_EVENT_BYTES} bytes")]
 pub struct EventTooLong;
 
-/// Cuts a stream of bytes into whole events.
+/// Splits a byte stream into complete events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     pending: BytesMut,
 }
 
-/// A whole event.
+/// A complete event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// Its bytes, the empty line at its end included.
+    /// Bytes of the event, including the empty line that ends it.
     pub bytes: Bytes,
-    /// Its number, if it has one.
+    /// Value of the event's `id` field, if it is a number.
     pub id: Option<u64>,
 }
 
 impl EventSplitter {
-    /// Takes bytes in and returns the events that are whole now.
+    /// Appends bytes and returns the events that are now complete.
     ///
     /// # Errors
-    /// Fails when an event doesn't end.
+    /// Fails when the pending event exceeds the maximum size.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<Event>, EventTooLong> {
         self.pending.extend_from_slice(bytes);
         let mut events = Vec::new();
@@ -47,24 +47,24 @@
         }
     }
 
-    /// Whether the stream stands between two events.
+    /// Whether no partial event is pending.
     pub fn is_between_events(&self) -> bool {
         self.pending.is_empty()
     }
 }
 
-/// Place after the empty line that ends the first event.
+/// Position after the empty line that ends the first event.
 fn end_of_event(bytes: &[u8]) -> Option<usize> {
     let mut line_start = 0;
-    for (place, byte) in bytes.iter().enumerate() {
+    for (position, byte) in bytes.iter().enumerate() {
         if *byte != b'\n' {
             continue;
         }
-        let line = &bytes[line_start..place];
+        let line = &bytes[line_start..position];
         if line.is_empty() || line == b"\r" {
-            return Some(place + 1);
+            return Some(position + 1);
         }
-        line_start = place + 1;
+        line_start = position + 1;
     }
     None
 }
--- a/crates/gateway/src/finish.rs
+++ b/crates/gateway/src/finish.rs
@@ -1,4 +1,4 @@
-//! The end of a request: its line in the log, and the gateway's own answers.
+//! End of a request: its log line, and answers of the gateway itself.
 
 use hyper::Response;
 use juniper_registry::InstanceId;
@@ -8,13 +8,13 @@
 use crate::call::Call;
 use crate::gateway::Gateway;
 use crate::retry::Progress;
-use crate::stream::StreamCounts;
+use crate::stream::StreamStats;
 
-/// Gives up on the request with an answer of the gateway's own.
+/// Ends the request with an answer of the gateway itself.
 pub(crate) fn own_answer(
     gateway: &Gateway,
     call: &Call,
-    own: OwnAnswer,
+    answer: OwnAnswer,
     progress: Progress,
 ) -> Response<AnswerBody> {
     log::info!(
@@ -22,36 +22,38 @@
          may_have_run={} unreachable={} took_ms={}",
         call.id(),
         call.route.name,
-        own.reason(),
-        own.status().as_u16(),
+        answer.reason(),
+        answer.status().as_u16(),
         progress.sent,
         progress.may_have_run,
         progress.unreachable,
         call.arrived.elapsed().as_millis()
     );
-    if let Some(charged) = call.charged.as_ref().filter(|_| progress.may_have_run == 0) {
-        gateway.give_back(charged);
+    if let Some(granted_charge) =
+        call.granted_charge.as_ref().filter(|_| progress.may_have_run == 0)
+    {
+        gateway.refund(granted_charge);
     }
-    gateway.metrics.own_answer(Some(call.route.kind), own);
-    own.response(&*gateway.dialect, Some(&call.facts.id))
+    gateway.metrics.count_own_answer(Some(call.route.kind), answer);
+    answer.response(&*gateway.dialect, Some(&call.facts.id))
 }
 
-/// Logs how a request that a server answered has ended.
+/// Logs the end of a request that was sent to a server.
 pub(crate) fn log_done(
     call: &Call,
     status: u16,
     outcome: &str,
     instance: &str,
     progress: Progress,
-    stream: Option<&StreamCounts>,
+    stream: Option<&StreamStats>,
 ) {
-    let counts = stream.map(|counts| {
+    let stats = stream.map(|stats| {
         format!(
             " first_ms={} events={} resumed={} longest_pause_ms={}",
-            counts.first.map_or(-1, |first| first.as_millis() as i64),
-            counts.events,
-            counts.resumed,
-            counts.longest_pause.as_millis()
+            stats.first_event.map_or(-1, |first| first.as_millis() as i64),
+            stats.events,
+            stats.resumed,
+            stats.longest_gap.as_millis()
         )
     });
     log::info!(
@@ -63,42 +65,42 @@
         progress.may_have_run,
         progress.unreachable,
         call.arrived.elapsed().as_millis(),
-        counts.unwrap_or_default()
+        stats.unwrap_or_default()
     );
 }
 
-/// Tells of a caller that leaves while a server's answer is waited for: hyper then
-/// drops what waits, and nobody else would write a line.
-pub(crate) struct Unanswered<'a> {
+/// Logs a caller that leaves before a server has answered: hyper then drops the request's future,
+/// and no other code would log it.
+pub(crate) struct PendingAnswer<'a> {
     gateway: &'a Gateway,
     call: &'a Call,
     instance: &'a InstanceId,
     progress: Progress,
-    is_over: bool,
+    has_ended: bool,
 }
 
-impl<'a> Unanswered<'a> {
-    /// The request waits for this server from now on.
-    pub(crate) fn by(
+impl<'a> PendingAnswer<'a> {
+    /// Starts the wait for the answer of `instance`.
+    pub(crate) fn start(
         gateway: &'a Gateway,
         call: &'a Call,
         instance: &'a InstanceId,
         progress: Progress,
     ) -> Self {
-        Unanswered { gateway, call, instance, progress, is_over: false }
+        PendingAnswer { gateway, call, instance, progress, has_ended: false }
     }
 
-    /// The wait has ended with an answer or a failure.
+    /// Ends the wait after an answer or a failure, so that nothing is logged.
     pub(crate) fn end(mut self) {
-        self.is_over = true;
+        self.has_ended = true;
     }
 }
 
-impl Drop for Unanswered<'_> {
+impl Drop for PendingAnswer<'_> {
     fn drop(&mut self) {
-        if !self.is_over {
+        if !self.has_ended {
             log_done(self.call, 0, "caller_left", self.instance.as_str(), self.progress, None);
-            self.gateway.metrics.left_unanswered(self.call.route.kind);
+            self.gateway.metrics.count_caller_left(self.call.route.kind);
         }
     }
 }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! What every request of the gateway needs.
+//! State shared by all requests of a gateway.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -15,53 +15,53 @@
 use tokio::time::{MissedTickBehavior, interval, sleep};
 
 use crate::dialect::Dialect;
-use crate::life::Stop;
+use crate::lifecycle::ShutdownPhase;
 use crate::limits::Limits;
 use crate::lock::lock;
 use crate::metrics::Metrics;
-use crate::news::NewsQueue;
 use crate::pool::Pool;
 use crate::settings::GatewaySettings;
-use crate::starting::StartQueue;
+use crate::startup::StartupQueue;
+use crate::updates::UpdateQueue;
 
-/// Part of a server's connections that all routers together open. The rest is
-/// for health checks and orders, and for routers that have just started.
-const CONNECTION_PART: f64 = 0.7;
+/// Share of a server's connections that all routers together may open. The rest is left to health
+/// checks, orders and routers that have just started.
+const CONNECTION_SHARE: f64 = 0.7;
 
-/// Connections to a server that states no bound.
-const USUAL_CONNECTIONS: u32 = 64;
+/// Connections to a server whose service configures no maximum.
+const DEFAULT_CONNECTION_LIMIT: u32 = 64;
 
-/// Part of the speed of a link that a move has, on average: ways between zones
-/// are half as fast, and moves wait for one another.
-const LINK_PART: f64 = 0.5;
+/// Average share of a link's bandwidth that a KV transfer gets: links between zones are half as
+/// fast, and transfers queue.
+const LINK_SHARE: f64 = 0.5;
 
-/// Shortest time between two views that are taken over. While weights are rolled out, views
-/// change dozens of times a second, and each is in proportion to the number of servers.
-const TAKE_OVER_PAUSE: Duration = Duration::from_millis(30);
+/// Minimum time between two updates of the placement. During a rollout of new weights views change
+/// dozens of times per second, and the cost of an update grows with the number of servers.
+const MIN_VIEW_INTERVAL: Duration = Duration::from_millis(30);
 
-/// Time between two looks for idle connections to close.
-const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval between two sweeps of idle connections.
+const IDLE_SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What every request needs.
+/// State shared by all requests.
 pub(crate) struct Gateway {
     pub settings: GatewaySettings,
     pub dialect: Box<dyn Dialect>,
     pub feed: Feed,
     pub pool: Pool,
     pub metrics: Metrics,
-    pub stop: watch::Receiver<Stop>,
-    /// What the other routers haven't been told yet.
-    pub news: NewsQueue,
-    /// Requests that wait for the first confirmation.
-    pub starting: StartQueue,
-    /// Limits of tenants.
+    pub shutdown: watch::Receiver<ShutdownPhase>,
+    /// Updates not yet published to the other routers.
+    pub updates: UpdateQueue,
+    /// Requests that wait for the first confirmed configuration.
+    pub startup: StartupQueue,
+    /// Tenants' limits.
     pub limits: Limits,
-    /// Requests under which servers ended.
+    /// Evidence of requests that crash servers.
     pub crashes: Arc<CrashWatch>,
-    /// Counts the views of the fleet that the placement has taken over.
-    pub views_taken: watch::Sender<u64>,
+    /// Number of fleet views that the placement has applied.
+    pub applied_views: watch::Sender<u64>,
     placement: Mutex<Placement>,
-    budget: Mutex<RetryBudget>,
+    retry_budget: Mutex<RetryBudget>,
     splits: Mutex<HashMap<String, WeightedSplit>>,
 }
 
@@ -71,74 +71,75 @@
         dialect: Box<dyn Dialect>,
         feed: Feed,
         metrics: Metrics,
-        stop: watch::Receiver<Stop>,
+        shutdown: watch::Receiver<ShutdownPhase>,
     ) -> Self {
         Gateway {
             placement: Mutex::new(Placement::new(settings.zone.clone())),
-            budget: Mutex::new(RetryBudget::new(settings.retry)),
+            retry_budget: Mutex::new(RetryBudget::new(settings.retry)),
             splits: Mutex::default(),
-            news: NewsQueue::default(),
-            starting: StartQueue::default(),
+            updates: UpdateQueue::default(),
+            startup: StartupQueue::default(),
             limits: Limits::default(),
             pool: Pool::default(),
             crashes: Arc::new(CrashWatch::new(feed.clone(), metrics.crashes.clone())),
-            views_taken: watch::Sender::new(0),
+            applied_views: watch::Sender::new(0),
             settings,
             dialect,
             feed,
             metrics,
-            stop,
+            shutdown,
         }
     }
 
-    /// The time as the pure crates see it.
+    /// Time since the feed was started, as `Timestamp`.
     pub(crate) fn now(&self) -> Timestamp {
         Timestamp::ZERO.after(self.feed.started().elapsed())
     }
 
-    /// The servers. The guard must not be held across an await.
+    /// Locks the placement. The guard must not be held across an await.
     pub(crate) fn placement(&self) -> MutexGuard<'_, Placement> {
         lock(&self.placement)
     }
 
-    /// The retry budget. The guard must not be held across an await.
-    pub(crate) fn budget(&self) -> MutexGuard<'_, RetryBudget> {
-        lock(&self.budget)
+    /// Locks the retry budget. The guard must not be held across an await.
+    pub(crate) fn retry_budget(&self) -> MutexGuard<'_, RetryBudget> {
+        lock(&self.retry_budget)
     }
 
-    /// Whether callers may be sent here.
+    /// Whether the gateway accepts new callers.
     pub(crate) fn is_ready(&self) -> bool {
         let age = self.feed.age();
         let is_current = age.is_some_and(|age| age < self.settings.ready_age_limit());
-        *self.stop.borrow() == Stop::Running && self.has_started() && is_current
+        *self.shutdown.borrow() == ShutdownPhase::Running && self.has_started() && is_current
     }
 
-    /// The service that takes the next request of the route.
+    /// Picks the service for the next request of the route.
     pub(crate) fn pick_service(&self, route: &Route) -> Option<String> {
         let mut splits = lock(&self.splits);
         if !splits.contains_key(&route.name) {
             splits.insert(route.name.clone(), WeightedSplit::default());
         }
-        let place = splits.get_mut(&route.name)?.pick(&route.split)?;
-        route.split.get(place).map(|part| part.service.clone())
+        let position = splits.get_mut(&route.name)?.pick(&route.split)?;
+        route.split.get(position).map(|part| part.service.clone())
     }
 
-    /// Most connections that this node may have open to one server of the service.
+    /// Maximum number of connections that this router may open to one server of the service.
     pub(crate) fn connection_limit(&self, view: &FleetView, service: &str) -> u32 {
         let service = view.catalog.as_ref().and_then(|index| index.service(service));
-        let stated = service.map_or(0, |service| service.max_connections);
-        if stated == 0 {
-            return USUAL_CONNECTIONS;
+        let configured = service.map_or(0, |service| service.max_connections);
+        if configured == 0 {
+            return DEFAULT_CONNECTION_LIMIT;
         }
-        // One at least; a higher floor would add up to more than the server accepts.
-        let for_requests = (f64::from(stated) * CONNECTION_PART) as u32;
+        // At least one; a higher minimum would let routers together exceed what the server accepts.
+        let for_requests = (f64::from(configured) * CONNECTION_SHARE) as u32;
         FleetShare::even(self.feed.routers()).of_count(for_requests)
     }
 
-    /// Takes over what the feed publishes, and closes idle connections, for ever.
+    /// Applies each view that the feed publishes, and sweeps idle connections. Runs until the feed
+    /// ends.
     pub(crate) async fn follow_feed(self: Arc<Self>) {
         let mut view = self.feed.view();
-        let mut sweep = interval(SWEEP_INTERVAL);
+        let mut sweep = interval(IDLE_SWEEP_INTERVAL);
         sweep.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
@@ -147,15 +148,15 @@
                         return;
                     }
                     let latest = Arc::clone(&view.borrow_and_update());
-                    self.take_over(&latest);
-                    sleep(TAKE_OVER_PAUSE).await;
+                    self.apply_view(&latest);
+                    sleep(MIN_VIEW_INTERVAL).await;
                 }
                 _ = sweep.tick() => self.sweep(),
             }
         }
     }
 
-    fn take_over(&self, view: &FleetView) {
+    fn apply_view(&self, view: &FleetView) {
         let mut placement = self.placement();
         placement.set_instances(&view.instances);
         placement.set_profiles(service_profiles(view));
@@ -165,7 +166,7 @@
         }
         drop(placement);
         self.crashes.take_over(view);
-        self.views_taken.send_modify(|taken| *taken += 1);
+        self.applied_views.send_modify(|count| *count += 1);
     }
 
     fn sweep(&self) {
@@ -176,7 +177,7 @@
     }
 }
 
-/// What moves of memory cost at each service with model engines.
+/// Cost of KV transfers and cache size of each service with model engines.
 fn service_profiles(view: &FleetView) -> HashMap<String, ServiceProfile> {
     let Some(index) = &view.catalog else { return HashMap::new() };
     let services = &index.catalog().services;
@@ -184,7 +185,7 @@
     let stores: Vec<_> = stores.map(|store| store.address).collect();
     let engines = services.iter().filter_map(|service| {
         let engine = service.engine.as_ref()?;
-        let bits_per_ms = engine.link_mbps * 1_000.0 * LINK_PART;
+        let bits_per_ms = engine.link_mbps * 1_000.0 * LINK_SHARE;
         let bits = engine.token_bytes as f64 * 8.0;
         let move_ms = if bits_per_ms > 0.0 { bits / bits_per_ms } else { 0.0 };
         let (cache_tokens, stores) = (engine.cache_tokens, stores.clone());
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,20 +1,21 @@
-//! The router of generic services.
+//! Router for callers' requests.
 //!
-//! A caller's request is matched with a route of the configuration in force,
-//! sent to the server that the placement chooses, and its answer passed on. What
-//! headers say is the business of a [`Dialect`]; everything else is the same
-//! wherever the gateway runs.
+//! Each request is matched with a route of the configuration in force and sent to the server that
+//! the placement chooses, whose answer is relayed to the caller. A [`Dialect`] defines the headers;
+//! the rest doesn't depend on the environment.
 //!
-//! - `face` accepts connections, `call` takes one request from its head to its
-//!   answer, `search` looks for a server, `attempt` is one sending to one server.
-//! - `crashes` hands what is seen of servers that end to the crash watch.
-//! - `relay` passes whole answers on, `stream` streams; `finish` logs how requests end.
-//! - `pool` holds connections to servers, `probe` finds out when lost ones are back.
-//! - `limits` counts requests against the limits of their tenants.
-//! - `server_limits` hears what servers take from all routers together.
-//! - `starting` has requests wait that come before the gateway can serve.
-//! - `news` tells other routers where prompts were sent and which servers are down.
-//! - `life` starts, drains and stops the whole.
+//! - `listener` accepts connections, `call` handles one request up to the head of its answer,
+//!   `search` looks for a server, `attempt` sends the request to one server.
+//! - `crashes` reports evidence of crashes to the crash watch.
+//! - `relay` passes on buffered answers, `stream` passes on streams; `finish` logs the end of
+//!   requests.
+//! - `pool` keeps connections to servers, `probe` checks when unreachable servers are back.
+//! - `limits` charges requests against their tenants' limits.
+//! - `server_limits` enforces limits that servers advertise for all routers together.
+//! - `notices` observes servers' backoffs and departures.
+//! - `startup` holds requests that arrive before the gateway has a configuration.
+//! - `updates` exchanges dispatch reports and server state with other routers.
+//! - `lifecycle` starts, drains and stops the gateway.
 
 mod answer;
 mod attempt;
@@ -23,14 +24,13 @@
 mod crashes;
 mod dialect;
 mod events;
-mod face;
 mod finish;
 mod gateway;
-mod life;
+mod lifecycle;
 mod limits;
+mod listener;
 mod lock;
 mod metrics;
-mod news;
 mod notices;
 mod pool;
 mod probe;
@@ -39,10 +39,11 @@
 mod search;
 mod server_limits;
 mod settings;
-mod starting;
+mod startup;
 mod stream;
+mod updates;
 
 pub use dialect::{AnswerFacts, AttemptFacts, CallFacts, CallFault, Dialect};
 pub use events::{Event, EventSplitter, EventTooLong};
-pub use life::{GatewayError, Listeners, Stop, run};
+pub use lifecycle::{GatewayError, Listeners, ShutdownPhase, run};
 pub use settings::GatewaySettings;
--- a/crates/gateway/src/life.rs
+++ b/crates/gateway/src/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Starts, drains and stops a gateway.
+//! Start, drain and stop of a gateway.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,32 +13,31 @@
 use tokio::time::{sleep, timeout};
 
 use crate::dialect::Dialect;
-use crate::face::{serve_callers, serve_metrics, serve_readiness};
 use crate::gateway::Gateway;
+use crate::listener::{serve_callers, serve_metrics, serve_readiness};
 use crate::metrics::Metrics;
-use crate::news;
 use crate::probe::probe_unreachable;
 use crate::settings::GatewaySettings;
+use crate::updates;
 
-/// Time for which new connections are taken after the stop began. Those who hand
-/// out connections ask for readiness every second and leave a node out after two
-/// answers that aren't good.
-const LEAVE_TIME: Duration = Duration::from_millis(2_600);
+/// Time for which new connections are still accepted after the shutdown began. Load balancers check
+/// readiness every second and remove a router after two failed checks.
+const DRAIN_TIME: Duration = Duration::from_millis(2_600);
 
-/// Part of the grace after which what is still open is broken off.
-const GRACE_PART: f64 = 0.92;
+/// Share of the grace period after which open requests are aborted.
+const GRACE_SHARE: f64 = 0.92;
 
-/// Time between two looks at the readiness for the log.
+/// Interval between two checks of the readiness for the log.
 const READINESS_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How far a planned stop has come.
+/// Phase of a planned shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Stop {
-    /// There is none.
+pub enum ShutdownPhase {
+    /// No shutdown has begun.
     Running,
-    /// Not ready any more; everything that comes is still served, and each
-    /// connection ends with its answer.
-    Leaving,
+    /// Readiness checks fail; new requests are still served, and each connection is closed after
+    /// its answer.
+    Draining,
     /// Idle connections are closed.
     ClosingConnections,
 }
@@ -49,17 +48,17 @@
     /// A listener could not be opened.
     #[error("can't listen on {address}: {source}")]
     Listen {
-        /// Where.
+        /// Address to listen on.
         address: SocketAddr,
-        /// Why.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The counters could not be registered.
+    /// The metrics could not be registered.
     #[error("can't register metrics: {0}")]
     Metrics(#[from] prometheus::Error),
 }
 
-/// The sockets that a gateway listens on.
+/// Sockets that a gateway listens on.
 pub struct Listeners {
     callers: TcpListener,
     readiness: Option<TcpListener>,
@@ -67,12 +66,12 @@
 }
 
 impl Listeners {
-    /// Takes over sockets that are bound already.
+    /// Uses sockets that are already bound.
     pub fn bound(callers: TcpListener, readiness: TcpListener) -> Self {
         Listeners { callers, readiness: Some(readiness), metrics: None }
     }
 
-    /// Opens the sockets for callers and, where wanted, readiness and metrics.
+    /// Opens the sockets for callers and, if given, for readiness and metrics.
     ///
     /// # Errors
     /// Fails when one of them can't be opened.
@@ -83,8 +82,8 @@
     ) -> Result<Self, GatewayError> {
         Ok(Listeners {
             callers: listen(callers).await?,
-            readiness: listen_if(readiness).await?,
-            metrics: listen_if(metrics).await?,
+            readiness: listen_optional(readiness).await?,
+            metrics: listen_optional(metrics).await?,
         })
     }
 }
@@ -93,36 +92,37 @@
     TcpListener::bind(address).await.map_err(|source| GatewayError::Listen { address, source })
 }
 
-async fn listen_if(address: Option<SocketAddr>) -> Result<Option<TcpListener>, GatewayError> {
+async fn listen_optional(address: Option<SocketAddr>) -> Result<Option<TcpListener>, GatewayError> {
     match address {
         Some(address) => listen(address).await.map(Some),
         None => Ok(None),
     }
 }
 
-/// Tells when everything that was tracked has ended.
+/// Handle that counts as open until it is dropped, like each of its clones. The receiver of
+/// [`ConnectionTracker::new`] completes once none is open.
 #[derive(Clone)]
-pub(crate) struct Tracker {
+pub(crate) struct ConnectionTracker {
     _open: mpsc::Sender<()>,
 }
 
-impl Tracker {
+impl ConnectionTracker {
     fn new() -> (Self, mpsc::Receiver<()>) {
         let (sender, receiver) = mpsc::channel(1);
-        (Tracker { _open: sender }, receiver)
+        (ConnectionTracker { _open: sender }, receiver)
     }
 
-    /// Something is open until what is returned is dropped.
-    pub(crate) fn track(&self) -> Tracker {
+    /// Returns a handle that counts as open until it is dropped.
+    pub(crate) fn track(&self) -> ConnectionTracker {
         self.clone()
     }
 }
 
-/// Runs a gateway until `stop` completes and everything under way has ended, or
-/// the grace is over.
+/// Runs a gateway until `stop` completes and all requests in flight have ended, or the grace period
+/// is over.
 ///
 /// # Errors
-/// Fails when it can't start.
+/// Fails when the metrics can't be registered.
 pub async fn run(
     settings: GatewaySettings,
     dialect: impl Dialect,
@@ -131,53 +131,53 @@
     stop: impl Future<Output = ()>,
 ) -> Result<(), GatewayError> {
     let grace = settings.grace;
-    let (phase, phases) = watch::channel(Stop::Running);
+    let (phase, phase_receiver) = watch::channel(ShutdownPhase::Running);
     let node = settings.node.clone();
-    let gateway = Gateway::new(settings, Box::new(dialect), feed, Metrics::new()?, phases);
+    let gateway = Gateway::new(settings, Box::new(dialect), feed, Metrics::new()?, phase_receiver);
     let gateway = Arc::new(gateway);
-    let (tracker, mut open) = Tracker::new();
+    let (tracker, mut open) = ConnectionTracker::new();
     let Listeners { callers, readiness, metrics } = listeners;
     let accepting = tokio::spawn(serve_callers(Arc::clone(&gateway), callers, tracker));
-    let helpers = start_helpers(&gateway, readiness, metrics);
+    let background_tasks = spawn_background_tasks(&gateway, readiness, metrics);
     log::info!("event=gateway_started node={node}");
     stop.await;
     log::info!("event=gateway_leaving node={node}");
-    phase.send_replace(Stop::Leaving);
-    sleep(LEAVE_TIME).await;
-    phase.send_replace(Stop::ClosingConnections);
-    // Nothing new is taken from here on. The task holds a tracker too.
+    phase.send_replace(ShutdownPhase::Draining);
+    sleep(DRAIN_TIME).await;
+    phase.send_replace(ShutdownPhase::ClosingConnections);
+    // From here on no connection is accepted. The task also holds a tracker.
     accepting.abort();
-    let left = grace.mul_f64(GRACE_PART).saturating_sub(LEAVE_TIME);
-    let is_done = timeout(left, open.recv()).await.is_ok();
-    log::info!("event=gateway_stopped node={node} drained={is_done}");
-    helpers.iter().for_each(JoinHandle::abort);
+    let remaining = grace.mul_f64(GRACE_SHARE).saturating_sub(DRAIN_TIME);
+    let is_drained = timeout(remaining, open.recv()).await.is_ok();
+    log::info!("event=gateway_stopped node={node} drained={is_drained}");
+    background_tasks.iter().for_each(JoinHandle::abort);
     Ok(())
 }
 
-/// Starts what runs beside the serving of callers.
-fn start_helpers(
+/// Spawns the tasks that run besides the serving of callers.
+fn spawn_background_tasks(
     gateway: &Arc<Gateway>,
     readiness: Option<TcpListener>,
     metrics: Option<TcpListener>,
 ) -> Vec<JoinHandle<()>> {
-    let mut helpers = vec![
+    let mut background_tasks = vec![
         tokio::spawn(Arc::clone(gateway).follow_feed()),
-        tokio::spawn(news::share(Arc::clone(gateway))),
+        tokio::spawn(updates::exchange(Arc::clone(gateway))),
         tokio::spawn(Arc::clone(&gateway.crashes).run()),
         tokio::spawn(probe_unreachable(Arc::clone(gateway))),
         tokio::spawn(log_readiness(Arc::clone(gateway))),
         tokio::spawn(log_suspensions()),
     ];
     if let Some(listener) = readiness {
-        helpers.push(tokio::spawn(serve_readiness(Arc::clone(gateway), listener)));
+        background_tasks.push(tokio::spawn(serve_readiness(Arc::clone(gateway), listener)));
     }
     if let Some(listener) = metrics {
-        helpers.push(tokio::spawn(serve_metrics(Arc::clone(gateway), listener)));
+        background_tasks.push(tokio::spawn(serve_metrics(Arc::clone(gateway), listener)));
     }
-    helpers
+    background_tasks
 }
 
-/// Logs when callers may be sent here and when not any more.
+/// Logs each change of the readiness.
 async fn log_readiness(gateway: Arc<Gateway>) {
     let mut ready = false;
     loop {
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -1,5 +1,6 @@
-//! Limits over all routers: each request of a tenant that has one is counted by the replica that owns
-//! its account before it is sent to a server, or by this router alone while no owner can be asked.
+//! Limits over all routers. Each request of a tenant with a limit is charged to the tenant's
+//! account before it is sent to a server: by the replica that owns the account, or by this router
+//! alone while no owner answers.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -15,28 +16,28 @@
 use crate::gateway::Gateway;
 use crate::lock::lock;
 
-/// Longest wait for an owner's answer. A round trip between zones takes 2 to 3 ms; a replica that
-/// needs more than this has lost power, is frozen, or has much to do.
-pub(crate) const ANSWER_LIMIT: Duration = Duration::from_millis(60);
+/// Timeout for an owner's answer. A round trip between zones takes 2 to 3 ms; a replica that
+/// exceeds this has lost power, is frozen or is overloaded.
+pub(crate) const OWNER_TIMEOUT: Duration = Duration::from_millis(60);
 
-/// The same while this router doesn't know what the tenant uses at all routers, and so not its own
-/// share. It has just started then, often together with many others that ask the same replicas.
-const FIRST_ANSWER_LIMIT: Duration = Duration::from_millis(500);
+/// Timeout while this router doesn't know the tenant's usage at all routers, and so not its own
+/// share. It has then just started, often together with many others that ask the same replicas.
+const FIRST_OWNER_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Time for which an owner that didn't answer isn't asked again.
-const SILENT_OWNER_PAUSE: Duration = Duration::from_millis(300);
+const SILENT_OWNER_BACKOFF: Duration = Duration::from_millis(300);
 
-/// Replicas that are asked for one request: the owner, and the next one if that owns nothing.
-const MAX_ASKED: usize = 2;
+/// Replicas asked for one request: the owner, and the next one if the first isn't the owner.
+const MAX_OWNERS_ASKED: usize = 2;
 
-/// What was counted for a request.
+/// A charge that was admitted.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct Charged(pub(crate) LimitCharge);
+pub(crate) struct GrantedCharge(pub(crate) LimitCharge);
 
 /// Who decided on a charge, for logs and metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DecidedBy {
-    /// The replica that owns the limit.
+    /// The replica that owns the account.
     Owner,
     /// This router, within its share.
     Share,
@@ -51,28 +52,28 @@
     }
 }
 
-/// What this router needs for limits.
+/// State of limits at this router.
 #[derive(Default)]
 pub(crate) struct Limits {
     local: Mutex<LocalLimits>,
-    /// When an account's owner was last asked without an answer, for a short while.
-    silent: Mutex<HashMap<String, Instant>>,
+    /// Accounts whose owner didn't answer, with the time of the last such request.
+    silent_owners: Mutex<HashMap<String, Instant>>,
 }
 
 impl Limits {
-    fn is_silent(&self, account: &str) -> bool {
-        let silent = lock(&self.silent);
-        silent.get(account).is_some_and(|since| since.elapsed() < SILENT_OWNER_PAUSE)
+    fn is_owner_silent(&self, account: &str) -> bool {
+        let silent = lock(&self.silent_owners);
+        silent.get(account).is_some_and(|since| since.elapsed() < SILENT_OWNER_BACKOFF)
     }
 
-    fn note_silent(&self, account: &str) {
-        let mut silent = lock(&self.silent);
-        silent.retain(|_, since| since.elapsed() < SILENT_OWNER_PAUSE);
+    fn mark_silent(&self, account: &str) {
+        let mut silent = lock(&self.silent_owners);
+        silent.retain(|_, since| since.elapsed() < SILENT_OWNER_BACKOFF);
         silent.insert(account.to_owned(), Instant::now());
     }
 }
 
-fn request(charge: &LimitCharge) -> ChargeRequest<'_> {
+fn charge_request(charge: &LimitCharge) -> ChargeRequest<'_> {
     ChargeRequest {
         account: &charge.account,
         limit: RateLimit { per_second: charge.per_second, burst: charge.burst },
@@ -83,7 +84,7 @@
     }
 }
 
-fn verdict(answer: ChargeAnswer) -> Verdict {
+fn to_verdict(answer: ChargeAnswer) -> Verdict {
     let fleet_per_second = answer.fleet_per_second;
     match answer.refused_for_ms {
         None => Verdict::Admitted { fleet_per_second },
@@ -94,23 +95,24 @@
 }
 
 impl Gateway {
-    /// Counts a request of `tenant` that states `tokens`. `None` if the tenant has no limit.
+    /// Charges a request with `tokens` to the account of `tenant`. `None` if the tenant has no
+    /// limit.
     ///
     /// # Errors
-    /// The answer to a request beyond the limit.
+    /// Fails with the answer for the caller if the request exceeds the limit.
     pub(crate) async fn charge(
         &self,
         id: &str,
         tenant: &Tenant,
         version: u64,
         tokens: Option<u64>,
-    ) -> Result<Option<Charged>, OwnAnswer> {
+    ) -> Result<Option<GrantedCharge>, OwnAnswer> {
         let Some(limit) = &tenant.limit else { return Ok(None) };
         let charge = charge_of(tenant, limit, version, tokens);
-        let wait = self.answer_limit(&charge.account);
+        let wait = self.owner_timeout(&charge.account);
         let (verdict, by) = self.decide(&charge, wait).await;
         let Verdict::Refused { pause, fleet_per_second } = verdict else {
-            return Ok(Some(Charged(charge)));
+            return Ok(Some(GrantedCharge(charge)));
         };
         log::info!(
             "event=limit_reached request={id} tenant={} decided_by={} units={} limit_per_s={:.0} \
@@ -121,17 +123,17 @@
             limit.per_second,
             pause.as_millis()
         );
-        self.metrics.over_limit(&tenant.name, by);
+        self.metrics.count_over_limit(&tenant.name, by);
         Err(OwnAnswer::OverLimit(pause))
     }
 
-    /// Decides on a charge: the owner if it answers within `wait`, or else this router.
+    /// Decides on a charge: the owner does if it answers within `wait`, otherwise this router.
     pub(crate) async fn decide(
         &self,
         charge: &LimitCharge,
         wait: Duration,
     ) -> (Verdict, DecidedBy) {
-        let answered = match self.limits.is_silent(&charge.account) {
+        let answered = match self.limits.is_owner_silent(&charge.account) {
             true => None,
             false => self.ask_owner(charge, wait).await,
         };
@@ -139,32 +141,33 @@
         let mut local = lock(&self.limits.local);
         match answered {
             Some(answer) => {
-                let verdict = verdict(answer);
-                local.heard(&request(charge), &verdict, now);
+                let verdict = to_verdict(answer);
+                local.heard(&charge_request(charge), &verdict, now);
                 (verdict, DecidedBy::Owner)
             }
             None => {
                 let routers = self.feed.routers();
-                let verdict = local.decide(&request(charge), routers, now, rand::random());
+                let verdict = local.decide(&charge_request(charge), routers, now, rand::random());
                 (verdict, DecidedBy::Share)
             }
         }
     }
 
-    /// How long the owner's answer is worth waiting for.
-    fn answer_limit(&self, account: &str) -> Duration {
+    /// Timeout for the owner's answer.
+    fn owner_timeout(&self, account: &str) -> Duration {
         match lock(&self.limits.local).knows(account, self.now()) {
-            true => ANSWER_LIMIT,
-            false => FIRST_ANSWER_LIMIT,
+            true => OWNER_TIMEOUT,
+            false => FIRST_OWNER_TIMEOUT,
         }
     }
 
-    /// The owner's answer, if one answers in time.
+    /// Asks the account's owner. `None` if no owner answers in time.
     async fn ask_owner(&self, charge: &LimitCharge, wait: Duration) -> Option<ChargeAnswer> {
-        for rank in 0..MAX_ASKED {
+        for rank in 0..MAX_OWNERS_ASKED {
             match timeout(wait, self.feed.charge(charge.clone(), rank)).await {
                 Ok(Ok(answer)) => return Some(answer),
-                // It may be cut off from the other replicas; the next one owns the limit then.
+                // It may be partitioned from the other replicas, in which case the next one owns
+                // the account.
                 Ok(Err(ChargeError::NotOwner(_))) => {}
                 Ok(Err(error)) => {
                     log::debug!(
@@ -175,7 +178,7 @@
                 }
                 Err(_) => {
                     log::info!("event=limit_owner_silent account={:?}", charge.account);
-                    self.limits.note_silent(&charge.account);
+                    self.limits.mark_silent(&charge.account);
                     return None;
                 }
             }
@@ -183,17 +186,17 @@
         None
     }
 
-    /// Counts a request once more that may run a second time. It isn't refused any more.
-    pub(crate) async fn charge_again(&self, charged: &Charged) {
-        let charge = LimitCharge { is_certain: true, ..charged.0.clone() };
-        self.decide(&charge, self.answer_limit(&charge.account)).await;
+    /// Charges a request again that may run a second time. It is never refused.
+    pub(crate) async fn charge_retry(&self, granted_charge: &GrantedCharge) {
+        let charge = LimitCharge { is_certain: true, ..granted_charge.0.clone() };
+        self.decide(&charge, self.owner_timeout(&charge.account)).await;
     }
 
-    /// Takes back what was counted for a request that no server has run.
-    pub(crate) fn give_back(&self, charged: &Charged) {
-        let LimitCharge { account, units, .. } = charged.0.clone();
+    /// Refunds the charge of a request that no server has run.
+    pub(crate) fn refund(&self, granted_charge: &GrantedCharge) {
+        let LimitCharge { account, units, .. } = granted_charge.0.clone();
         let feed = self.feed.clone();
-        // The answer to the caller doesn't wait for it.
+        // The caller's answer doesn't wait for the refund.
         tokio::spawn(async move { feed.give_back(account, units).await });
     }
 }
--- a/crates/gateway/src/face.rs
+++ b/crates/gateway/src/listener.rs
@@ -1,4 +1,4 @@
-//! Connections of callers, and the addresses for readiness and metrics.
+//! HTTP listeners for callers, readiness checks and metrics.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -17,26 +17,29 @@
 use crate::body::AnswerBody;
 use crate::call;
 use crate::gateway::Gateway;
-use crate::life::{Stop, Tracker};
+use crate::lifecycle::{ConnectionTracker, ShutdownPhase};
 
-/// Pause after the listener failed, for example for want of file descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after `accept` failed, for example for lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Idle time of a caller's connection while no configuration states one.
+/// Idle timeout of callers' connections while no configuration is known.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// By how much a connection may be idle longer than callers are told.
-const IDLE_SLACK: Duration = Duration::from_millis(1_000);
+/// Time by which the actual idle timeout exceeds the configured one.
+const IDLE_TIMEOUT_SLACK: Duration = Duration::from_millis(1_000);
 
-/// Least read buffer that hyper takes, in bytes.
+/// Smallest read buffer that hyper accepts, in bytes.
 const MIN_BUFFER_BYTES: usize = 8 << 10;
 
-/// Longest time for one question for readiness or metrics. They are answered one
-/// after the other.
-const PLAIN_TIMEOUT: Duration = Duration::from_millis(500);
+/// Timeout of a connection for readiness or metrics. These are served one after the other.
+const INTERNAL_REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Accepts connections of callers, for ever.
-pub(crate) async fn serve_callers(gateway: Arc<Gateway>, listener: TcpListener, open: Tracker) {
+/// Accepts connections of callers and serves each in a task of its own.
+pub(crate) async fn serve_callers(
+    gateway: Arc<Gateway>,
+    listener: TcpListener,
+    open: ConnectionTracker,
+) {
     loop {
         let Some(stream) = accept(&listener).await else { continue };
         let (gateway, tracked) = (Arc::clone(&gateway), open.track());
@@ -54,77 +57,77 @@
         Ok((stream, _)) => Some(stream),
         Err(error) => {
             log::warn!("event=accept_failed reason=\"{error}\"");
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             None
         }
     }
 }
 
 async fn serve_caller(gateway: &Arc<Gateway>, stream: TcpStream) {
-    // A connection without it works too, only slower.
+    // Without it the connection is only slower.
     let _ = stream.set_nodelay(true);
     let service = service_fn(|request| {
         let gateway = Arc::clone(gateway);
-        async move { answer(&gateway, request).await }
+        async move { handle_request(&gateway, request).await }
     });
     let (idle_timeout, buffer_bytes) = connection_bounds(gateway);
     let mut builder = http1::Builder::new();
     builder.timer(TokioTimer::new()).header_read_timeout(idle_timeout).max_buf_size(buffer_bytes);
     let connection = builder.serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
-    let mut stop = gateway.stop.clone();
+    let mut shutdown = gateway.shutdown.clone();
     tokio::select! {
-        ended = connection.as_mut() => return note_end(ended),
-        () = wait_for(&mut stop, Stop::ClosingConnections) => {}
+        result = connection.as_mut() => return log_connection_end(result),
+        () = wait_for_phase(&mut shutdown, ShutdownPhase::ClosingConnections) => {}
     }
     connection.as_mut().graceful_shutdown();
-    note_end(connection.await);
+    log_connection_end(connection.await);
 }
 
-fn note_end(ended: Result<(), hyper::Error>) {
-    if let Err(error) = ended {
+fn log_connection_end(result: Result<(), hyper::Error>) {
+    if let Err(error) = result {
         log::debug!("event=caller_connection_ended reason=\"{error}\"");
     }
 }
 
-/// Completes once the stop has come to `phase`.
-async fn wait_for(stop: &mut watch::Receiver<Stop>, phase: Stop) {
-    if stop.wait_for(|reached| *reached >= phase).await.is_err() {
+/// Waits until the shutdown has reached `phase`.
+async fn wait_for_phase(shutdown: &mut watch::Receiver<ShutdownPhase>, phase: ShutdownPhase) {
+    if shutdown.wait_for(|reached| *reached >= phase).await.is_err() {
         std::future::pending::<()>().await;
     }
 }
 
-/// How long a connection may be idle or take for a head, and its buffer in bytes.
+/// Idle timeout, which also bounds the time for a request head, and buffer size in bytes.
 fn connection_bounds(gateway: &Gateway) -> (Duration, usize) {
     let view = gateway.feed.latest();
     let Some(index) = &view.catalog else {
-        return (DEFAULT_IDLE_TIMEOUT + IDLE_SLACK, MIN_BUFFER_BYTES * 2);
+        return (DEFAULT_IDLE_TIMEOUT + IDLE_TIMEOUT_SLACK, MIN_BUFFER_BYTES * 2);
     };
     let limits = index.catalog().limits;
     let idle_ms = limits.idle_timeout_ms.max(limits.header_timeout_ms);
     let buffer_bytes = (limits.header_bytes as usize).max(MIN_BUFFER_BYTES);
-    (Duration::from_millis(idle_ms) + IDLE_SLACK, buffer_bytes)
+    (Duration::from_millis(idle_ms) + IDLE_TIMEOUT_SLACK, buffer_bytes)
 }
 
-/// The caller has left, so there is nobody to answer.
+/// The caller has left, so there is no one to answer.
 #[derive(Debug, thiserror::Error)]
 #[error("the caller has left")]
 struct CallerLeft;
 
-async fn answer(
+async fn handle_request(
     gateway: &Arc<Gateway>,
     request: Request<Incoming>,
 ) -> Result<Response<AnswerBody>, CallerLeft> {
-    let mut response = call::answer(gateway, request).await.ok_or(CallerLeft)?;
-    if *gateway.stop.borrow() != Stop::Running {
+    let mut response = call::answer_request(gateway, request).await.ok_or(CallerLeft)?;
+    if *gateway.shutdown.borrow() != ShutdownPhase::Running {
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
     Ok(response)
 }
 
-/// Answers questions for readiness: 200 while callers may be sent here.
+/// Serves readiness checks: 200 while the gateway accepts new callers, 503 otherwise.
 pub(crate) async fn serve_readiness(gateway: Arc<Gateway>, listener: TcpListener) {
-    serve_plain(listener, move || {
+    serve_internal(listener, move || {
         let status = match gateway.is_ready() {
             true => StatusCode::OK,
             false => StatusCode::SERVICE_UNAVAILABLE,
@@ -134,15 +137,15 @@
     .await;
 }
 
-/// Tells the counters.
+/// Serves the metrics in Prometheus text format.
 pub(crate) async fn serve_metrics(gateway: Arc<Gateway>, listener: TcpListener) {
-    serve_plain(listener, move || {
+    serve_internal(listener, move || {
         let metrics = &gateway.metrics;
         let age = gateway.feed.age().map_or(-1, |age| age.as_millis() as i64);
         metrics.catalog_age_ms.set(age);
         let limited = gateway.placement().limited_servers();
-        let resting = gateway.placement().resting_servers(gateway.now());
-        metrics.resting_servers.set(i64::try_from(resting).unwrap_or(i64::MAX));
+        let backing_off = gateway.placement().resting_servers(gateway.now());
+        metrics.backing_off_servers.set(i64::try_from(backing_off).unwrap_or(i64::MAX));
         metrics.limited_servers.set(i64::try_from(limited).unwrap_or(i64::MAX));
         metrics.catalog_version.set(gateway.feed.latest().catalog_version() as i64);
         (StatusCode::OK, Bytes::from(metrics.text()))
@@ -150,8 +153,8 @@
     .await;
 }
 
-/// Answers every request alike.
-async fn serve_plain(listener: TcpListener, answer: impl Fn() -> (StatusCode, Bytes)) {
+/// Answers each request with what `answer` returns.
+async fn serve_internal(listener: TcpListener, answer: impl Fn() -> (StatusCode, Bytes)) {
     let answer = &answer;
     loop {
         let Some(stream) = accept(&listener).await else { continue };
@@ -164,7 +167,7 @@
         let mut builder = http1::Builder::new();
         builder.timer(TokioTimer::new()).header_read_timeout(DEFAULT_IDLE_TIMEOUT);
         let connection = builder.keep_alive(false).serve_connection(TokioIo::new(stream), service);
-        let served = tokio::time::timeout(PLAIN_TIMEOUT, connection).await;
+        let served = tokio::time::timeout(INTERNAL_REQUEST_TIMEOUT, connection).await;
         if !matches!(served, Ok(Ok(()))) {
             log::debug!("event=plain_connection_failed");
         }
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and latencies of a gateway, in Prometheus text form.
+//! Metrics of a gateway, in Prometheus text format.
 
 use std::collections::BTreeSet;
 use std::sync::Mutex;
@@ -18,66 +18,67 @@
 use crate::limits::DecidedBy;
 use crate::lock::lock;
 
-/// Upper bounds of times, in seconds.
+/// Upper bounds of the latency buckets, in seconds.
 const TIME_BUCKETS: [f64; 11] = [0.02, 0.05, 0.1, 0.15, 0.3, 0.5, 0.8, 1.2, 2.0, 4.0, 10.0];
 
-/// Tenants with counters of their own; the others are counted together. A few of thousands
-/// reach their limits at a time.
+/// Maximum number of tenants with a counter of their own; the others share one. Few of thousands of
+/// tenants reach their limits at a time.
 const MAX_COUNTED_TENANTS: usize = 32;
 
-/// What tenants without a counter of their own are shown as.
+/// Label of the tenants that share a counter.
 const OTHER_TENANTS: &str = "(others)";
 
-/// The counters.
+/// Metrics of a gateway.
 pub(crate) struct Metrics {
     registry: Registry,
     /// Requests by kind of route, outcome and reason.
     requests: IntCounterVec,
-    /// Sendings that came to nothing, by reason.
+    /// Failed attempts, by reason.
     attempts_failed: IntCounterVec,
-    /// Requests beyond their tenant's limit, by tenant and by who decided.
+    /// Requests over their tenant's limit, by tenant and by who decided.
     over_limit: IntCounterVec,
-    /// Tenants that have a counter of their own.
+    /// Tenants with a counter of their own.
     limited_tenants: Mutex<BTreeSet<String>>,
-    /// Repeats that the budget didn't allow.
+    /// Retries refused by the retry budget.
     pub budget_spent: IntCounter,
-    /// Sightings that the other routers weren't told of.
-    pub sightings_left_out: IntCounter,
-    /// Batches of what other routers told that this one was too slow to take in.
-    pub news_missed: IntCounter,
-    /// Servers that counted as unreachable because other routers said so.
-    pub servers_reported: IntCounter,
-    /// Answers in which servers stated what they take from all routers, by whether it could be read.
-    pub stated_limits: IntCounterVec,
-    /// Answers that asked for a pause or told of a departure, by what and by whether it could be read.
+    /// Dispatch reports not published to the other routers.
+    pub dropped_dispatch_reports: IntCounter,
+    /// Batches of other routers' updates lost because this router was too slow.
+    pub missed_update_batches: IntCounter,
+    /// Servers considered unreachable because of other routers' reports.
+    pub servers_reported_unreachable: IntCounter,
+    /// Answers that advertised a limit, by whether it could be parsed.
+    pub advertised_limits: IntCounterVec,
+    /// Answers that requested a backoff or announced a departure, by kind and by whether it could
+    /// be parsed.
     notices: IntCounterVec,
-    /// Requests that were to go to servers with such a limit, by outcome and by who decided.
+    /// Charges against advertised limits, by outcome and by who decided.
     server_charges: IntCounterVec,
-    /// Servers that state such a limit.
+    /// Servers that advertise a limit.
     pub limited_servers: IntGauge,
-    /// Servers that asked this router for a pause that isn't over.
-    pub resting_servers: IntGauge,
-    /// Servers that ended under requests, and quarantines.
+    /// Servers that are backing off.
+    pub backing_off_servers: IntGauge,
+    /// Crashes of servers under requests, and quarantines.
     pub crashes: CrashMetrics,
     /// New connections to servers.
     pub connections: IntCounter,
-    /// Connections of callers.
+    /// Open connections of callers.
     pub callers: IntGauge,
     /// Time to the answer, or to the first event of a stream, by kind of route.
     answer_seconds: HistogramVec,
-    /// Longest pause between two events of a stream.
-    pub pause_seconds: Histogram,
-    /// Prompt tokens that a server should have kept.
-    pub kept_tokens: IntCounter,
-    /// Prompt tokens that a server had to read.
-    pub missed_tokens: IntCounter,
+    /// Longest gap between two events of a stream.
+    pub gap_seconds: Histogram,
+    /// Prompt tokens expected in the chosen server's cache.
+    pub cached_tokens: IntCounter,
+    /// Prompt tokens that the chosen server had to compute.
+    pub prefill_tokens: IntCounter,
     /// Version of the configuration in force.
     pub catalog_version: IntGauge,
-    /// Milliseconds since the configuration was confirmed; -1 for never.
+    /// Milliseconds since the configuration was last confirmed; -1 if it never was.
     pub catalog_age_ms: IntGauge,
 }
 
-fn kind_text(kind: RouteKind) -> &'static str {
+fn kind_label(kind: RouteKind) -> &'static str {
     match kind {
         RouteKind::Repeatable => "repeatable",
         RouteKind::AtMostOnce => "at_most_once",
@@ -86,7 +87,7 @@
 }
 
 impl Metrics {
-    /// Registers every counter.
+    /// Registers all metrics.
     pub(crate) fn new() -> Result<Self, prometheus::Error> {
         let registry = Registry::new();
         let name = |name: &str| format!("juniper_gateway_{name}");
@@ -113,9 +114,9 @@
             &["kind"],
         )?;
         registry.register(Box::new(answer_seconds.clone()))?;
-        let pause_seconds =
+        let gap_seconds =
             Histogram::with_opts(times("pause_seconds", "Longest pause in a stream."))?;
-        registry.register(Box::new(pause_seconds.clone()))?;
+        registry.register(Box::new(gap_seconds.clone()))?;
         Ok(Metrics {
             requests: counters(
                 "requests_total",
@@ -134,13 +135,13 @@
             )?,
             limited_tenants: Mutex::default(),
             limited_servers: gauge("limited_servers", "Servers that state what they take.")?,
-            resting_servers: gauge("resting_servers", "Servers that asked for a pause.")?,
+            backing_off_servers: gauge("resting_servers", "Servers that asked for a pause.")?,
             server_charges: counters(
                 "server_charges_total",
                 "Requests for servers that state what they take, by outcome and who decided.",
                 &["outcome", "decided_by"],
             )?,
-            stated_limits: counters(
+            advertised_limits: counters(
                 "stated_limits_total",
                 "Answers in which servers stated what they take from all routers.",
                 &["readable"],
@@ -151,15 +152,15 @@
                 &["notice", "readable"],
             )?,
             crashes: CrashMetrics::new("juniper_gateway", &registry)?,
-            sightings_left_out: counter(
+            dropped_dispatch_reports: counter(
                 "sightings_left_out_total",
                 "Prompts that the other routers weren't told of.",
             )?,
-            news_missed: counter(
+            missed_update_batches: counter(
                 "router_news_missed_total",
                 "Batches of what other routers told that came too fast.",
             )?,
-            servers_reported: counter(
+            servers_reported_unreachable: counter(
                 "servers_reported_unreachable_total",
                 "Servers left alone because other routers can't reach them.",
             )?,
@@ -167,23 +168,23 @@
             connections: counter("server_connections_total", "New connections to servers.")?,
             callers: gauge("caller_connections", "Connections of callers.")?,
             answer_seconds,
-            pause_seconds,
-            kept_tokens: counter("kept_tokens_total", "Prompt tokens that should be kept.")?,
-            missed_tokens: counter("missed_tokens_total", "Prompt tokens that had to be read.")?,
+            gap_seconds,
+            cached_tokens: counter("kept_tokens_total", "Prompt tokens that should be kept.")?,
+            prefill_tokens: counter("missed_tokens_total", "Prompt tokens that had to be read.")?,
             catalog_version: gauge("catalog_version", "Version of the configuration.")?,
             catalog_age_ms: gauge("catalog_age_ms", "Age of the configuration; -1 for never.")?,
             registry,
         })
     }
 
-    /// The gateway itself answered.
-    pub(crate) fn own_answer(&self, kind: Option<RouteKind>, own: OwnAnswer) {
-        let kind = kind.map_or("none", kind_text);
-        self.requests.with_label_values(&[kind, "own_answer", own.reason()]).inc();
+    /// Counts a request that the gateway itself answered.
+    pub(crate) fn count_own_answer(&self, kind: Option<RouteKind>, answer: OwnAnswer) {
+        let kind = kind.map_or("none", kind_label);
+        self.requests.with_label_values(&[kind, "own_answer", answer.reason()]).inc();
     }
 
-    /// A request lay beyond its tenant's limit.
-    pub(crate) fn over_limit(&self, tenant: &str, by: DecidedBy) {
+    /// Counts a request over its tenant's limit.
+    pub(crate) fn count_over_limit(&self, tenant: &str, by: DecidedBy) {
         let mut known = lock(&self.limited_tenants);
         if known.len() < MAX_COUNTED_TENANTS && !known.contains(tenant) {
             known.insert(tenant.to_owned());
@@ -192,56 +193,56 @@
         self.over_limit.with_label_values(&[shown, by.as_str()]).inc();
     }
 
-    /// It was decided whether a request may go to a server that states what it takes.
-    pub(crate) fn server_charged(&self, verdict: &Verdict, by: DecidedBy) {
+    /// Counts a decision on a charge against an advertised limit.
+    pub(crate) fn count_server_charge(&self, verdict: &Verdict, by: DecidedBy) {
         let outcome = if verdict.is_admitted() { "admitted" } else { "refused" };
         self.server_charges.with_label_values(&[outcome, by.as_str()]).inc();
     }
 
-    /// An answer asked for something, which could be read or not.
-    pub(crate) fn noticed(&self, notice: &str, is_readable: bool) {
+    /// Counts an answer with a notice, by whether the notice could be parsed.
+    pub(crate) fn count_notice(&self, notice: &str, is_readable: bool) {
         let readable = if is_readable { "yes" } else { "no" };
         self.notices.with_label_values(&[notice, readable]).inc();
     }
 
-    /// The caller left before any server had answered.
-    pub(crate) fn left_unanswered(&self, kind: RouteKind) {
-        self.requests.with_label_values(&[kind_text(kind), "caller_left", "no_answer"]).inc();
+    /// Counts a caller that left before a server had answered.
+    pub(crate) fn count_caller_left(&self, kind: RouteKind) {
+        self.requests.with_label_values(&[kind_label(kind), "caller_left", "no_answer"]).inc();
     }
 
-    /// A server's answer was passed on whole.
-    pub(crate) fn answered(&self, kind: RouteKind, status: StatusCode, took: Duration) {
-        let kind = kind_text(kind);
+    /// Counts a server's answer that was relayed completely.
+    pub(crate) fn count_answered(&self, kind: RouteKind, status: StatusCode, took: Duration) {
+        let kind = kind_label(kind);
         let reason = if status.is_success() { "success" } else { "server_status" };
         self.requests.with_label_values(&[kind, "answered", reason]).inc();
         self.answer_seconds.with_label_values(&[kind]).observe(took.as_secs_f64());
     }
 
-    /// A stream has ended.
-    pub(crate) fn streamed(&self, outcome: &str, first: Option<Duration>) {
-        let kind = kind_text(RouteKind::Stream);
+    /// Counts a stream that has ended.
+    pub(crate) fn count_stream(&self, outcome: &str, first: Option<Duration>) {
+        let kind = kind_label(RouteKind::Stream);
         self.requests.with_label_values(&[kind, outcome, "stream"]).inc();
         if let Some(first) = first {
             self.answer_seconds.with_label_values(&[kind]).observe(first.as_secs_f64());
         }
     }
 
-    /// A sending came to nothing.
-    pub(crate) fn attempt_failed(&self, error: &AttemptError) {
+    /// Counts a failed attempt.
+    pub(crate) fn count_failed_attempt(&self, error: &AttemptError) {
         let reason = match error {
             AttemptError::NotSent(_) => "not_sent",
-            AttemptError::Resting(_) => "resting",
+            AttemptError::BackingOff(_) => "resting",
             AttemptError::NotRun => "not_run",
-            AttemptError::OtherServer => "other_server",
-            AttemptError::OtherVersion(_) => "other_version",
+            AttemptError::WrongServer => "other_server",
+            AttemptError::WrongVersion(_) => "other_version",
             AttemptError::Broken(_) => "broken",
-            AttemptError::NoAnswer => "no_answer",
-            AttemptError::Silent => "silent",
+            AttemptError::InvalidAnswer => "no_answer",
+            AttemptError::Timeout => "silent",
         };
         self.attempts_failed.with_label_values(&[reason]).inc();
     }
 
-    /// Everything as text.
+    /// All metrics in Prometheus text format.
     pub(crate) fn text(&self) -> Vec<u8> {
         let mut text = Vec::new();
         if let Err(error) = TextEncoder::new().encode(&self.registry.gather(), &mut text) {
--- a/crates/gateway/src/notices.rs
+++ b/crates/gateway/src/notices.rs
@@ -1,4 +1,4 @@
-//! What servers ask of this router in their answers: a pause, or nothing new since they leave.
+//! Notices that servers give this router in their answers: backoffs and departures.
 
 use juniper_limits::{ServerNotice, StatedDeparture, StatedPause};
 use juniper_protocol::message::ServerNoticeNews;
@@ -8,31 +8,31 @@
 use crate::dialect::AnswerFacts;
 use crate::gateway::Gateway;
 
-/// Servers that one line names at most.
-const MAX_SHOWN: usize = 8;
+/// Maximum number of servers named in one log line.
+const MAX_LOGGED_SERVERS: usize = 8;
 
 impl Gateway {
-    /// Notes what an answer of `instance` asks for. An answer too many, to another request, tells it
-    /// of the server as well; one of another server doesn't.
-    pub(crate) fn note_notice(&self, instance: &InstanceId, facts: &AnswerFacts, request: &str) {
+    /// Records the notices in an answer of `instance`, also if the answer belongs to another
+    /// request, but not if it is of another server.
+    pub(crate) fn observe_notice(&self, instance: &InstanceId, facts: &AnswerFacts, request: &str) {
         if facts.is_other_server {
             return;
         }
         let ServerNotice { pause, departure } = facts.notice;
-        let pause_ms = self.note_pause(instance, pause, request);
-        let is_leaving = self.note_departure(instance, departure, request);
+        let pause_ms = self.observe_backoff(instance, pause, request);
+        let is_leaving = self.observe_departure(instance, departure, request);
         if pause_ms > 0 || is_leaving {
             let (instance, started) = (instance.name().clone(), instance.started());
-            self.news.push_notice(ServerNoticeNews { instance, started, pause_ms, is_leaving });
+            self.updates.push_notice(ServerNoticeNews { instance, started, pause_ms, is_leaving });
         }
     }
 
-    /// Returns the milliseconds that the others are to be told of.
-    fn note_pause(&self, instance: &InstanceId, pause: StatedPause, request: &str) -> u64 {
+    /// Returns the backoff to publish, in milliseconds; zero for none.
+    fn observe_backoff(&self, instance: &InstanceId, pause: StatedPause, request: &str) -> u64 {
         match pause {
             StatedPause::Nothing => 0,
             StatedPause::For(pause) => {
-                self.metrics.noticed("pause", true);
+                self.metrics.count_notice("pause", true);
                 let is_longer = self.placement().asked_to_pause(instance, pause, self.now());
                 let pause_ms = u64::try_from(pause.as_millis()).unwrap_or(u64::MAX);
                 log::info!(
@@ -41,19 +41,20 @@
                 );
                 if is_longer { pause_ms } else { 0 }
             }
-            StatedPause::Unreadable(fault) => {
-                self.metrics.noticed("pause", false);
+            StatedPause::Unreadable(error) => {
+                self.metrics.count_notice("pause", false);
                 log::warn!(
                     "event=server_pause_unreadable request={request} instance={instance} \
-                     reason=\"{fault}\""
+                     reason=\"{error}\""
                 );
                 0
             }
         }
     }
 
-    /// Returns whether the others are to be told. All answers of a server that leaves say so.
-    fn note_departure(
+    /// Returns whether to publish the departure. All answers of a departing server announce it, but
+    /// only the first is published.
+    fn observe_departure(
         &self,
         instance: &InstanceId,
         departure: StatedDeparture,
@@ -62,7 +63,7 @@
         match departure {
             StatedDeparture::Nothing => false,
             StatedDeparture::Leaving => {
-                self.metrics.noticed("departure", true);
+                self.metrics.count_notice("departure", true);
                 let is_new = self.placement().heard_leaving(instance, self.now());
                 if is_new {
                     log::info!("event=server_leaving_heard request={request} instance={instance}");
@@ -70,26 +71,26 @@
                 is_new
             }
             StatedDeparture::Unreadable => {
-                self.metrics.noticed("departure", false);
+                self.metrics.count_notice("departure", false);
                 log::warn!("event=server_leaving_unreadable request={request} instance={instance}");
                 false
             }
         }
     }
 
-    /// Logs which servers the choices for a request pass over, and why.
-    pub(crate) fn log_passed_over(&self, call: &Call) {
-        let over = self.placement().passed_over(&call.service, self.now());
-        if over.is_empty() {
+    /// Logs which servers are excluded from the choice for a request, and why.
+    pub(crate) fn log_excluded_servers(&self, call: &Call) {
+        let excluded = self.placement().passed_over(&call.service, self.now());
+        if excluded.is_empty() {
             return;
         }
-        let shown = over.iter().take(MAX_SHOWN);
+        let shown = excluded.iter().take(MAX_LOGGED_SERVERS);
         let shown: Vec<String> =
             shown.map(|(instance, reason)| format!("{instance}:{}", reason.as_str())).collect();
         log::info!(
             "event=servers_passed_over request={} count={} servers={}",
             call.id(),
-            over.len(),
+            excluded.len(),
             shown.join(",")
         );
     }
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -18,38 +18,38 @@
 use crate::body::WholeBody;
 use crate::lock::lock;
 
-/// Time within which a connection must stand: many round trips between zones.
+/// Timeout for opening a connection: many round trips between zones.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// A server that acknowledges no byte for this long is cut off.
-const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_millis(1_500);
+/// Time without an acknowledgement of sent data after which a connection is closed.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Silence after which a server is probed, and the pause between probes; the least
-/// that the system takes.
-const PROBE_AFTER: Duration = Duration::from_secs(1);
+/// Idle time before the first TCP keepalive probe, and interval between probes; the shortest that
+/// the system accepts.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Probes without an answer after which the server is cut off.
-const PROBES: u32 = 2;
+/// Number of unanswered keepalive probes after which a connection is closed.
+const KEEPALIVE_PROBES: u32 = 2;
 
-/// Longest idle time of a kept connection, unless the server states a shorter one.
-const MAX_IDLE: Duration = Duration::from_secs(4);
+/// Longest idle time of a pooled connection, unless the server states a shorter one.
+const MAX_IDLE_TIME: Duration = Duration::from_secs(4);
 
-/// Time by which a connection is given up before the server would close it.
+/// Time by which a pooled connection expires before the server would close it.
 const IDLE_MARGIN: Duration = Duration::from_millis(900);
 
-/// Read buffer of a connection, in bytes; the least that hyper takes.
+/// Read buffer of a connection, in bytes; the smallest that hyper accepts.
 const BUFFER_BYTES: usize = 8 << 10;
 
-/// Why there is no connection. Nothing was sent.
+/// Why no connection could be provided. Nothing was sent.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ConnectError {
-    #[error("no connection in time")]
+    #[error("connection timed out")]
     Timeout,
-    #[error("can't connect: {0}")]
+    #[error("connection failed: {0}")]
     Connect(#[from] io::Error),
-    #[error("can't start HTTP: {0}")]
+    #[error("HTTP connection failed: {0}")]
     Handshake(#[from] hyper::Error),
-    #[error("all connections that this node may open are in use")]
+    #[error("connection limit of this router reached")]
     Exhausted,
 }
 
@@ -64,52 +64,54 @@
 
 impl Drop for ServerConnection {
     fn drop(&mut self) {
-        // Ends the task that owns the socket, so that the server notices at once.
+        // The task owns the socket; aborting it closes the socket, which the server notices at
+        // once.
         self.task.abort();
     }
 }
 
-struct Idle {
+struct IdleConnection {
     connection: ServerConnection,
-    /// On the clock that counts suspensions: the server's idle time goes on in them.
-    until: BootInstant,
+    /// Expiry on the clock that counts suspensions, in which the server's idle time goes on.
+    expires_at: BootInstant,
 }
 
-/// Has the system notice a server that is cut off or without power, also while it
-/// owes an answer and nothing is sent.
-fn watch_peer(stream: &TcpStream) -> io::Result<()> {
+/// Sets timeouts by which the system notices a server that is partitioned or without power, also
+/// while nothing is sent because an answer is pending.
+fn set_peer_timeouts(stream: &TcpStream) -> io::Result<()> {
     let socket = SockRef::from(stream);
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_LIMIT))?;
-    let probes = TcpKeepalive::new().with_time(PROBE_AFTER).with_interval(PROBE_AFTER);
-    socket.set_tcp_keepalive(&probes.with_retries(PROBES))
+    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))?;
+    let probes =
+        TcpKeepalive::new().with_time(KEEPALIVE_INTERVAL).with_interval(KEEPALIVE_INTERVAL);
+    socket.set_tcp_keepalive(&probes.with_retries(KEEPALIVE_PROBES))
 }
 
-/// Whether the failure shows that nobody listens at the address.
+/// Whether the address refused the connection.
 pub(crate) fn is_refused(error: &io::Error) -> bool {
     error.kind() == io::ErrorKind::ConnectionRefused
 }
 
-/// What came of an attempt to open a connection that is closed at once.
+/// Outcome of a probe of an address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Reached {
-    /// It stood.
-    Yes,
-    /// Nobody listens.
+pub(crate) enum ProbeOutcome {
+    /// The connection was established.
+    Connected,
+    /// No process listens at the address.
     Refused,
-    /// Nothing came, or another failure.
-    No,
+    /// The attempt timed out or failed otherwise.
+    Failed,
 }
 
-/// Tries to open a connection to the address.
-pub(crate) async fn try_connect(address: SocketAddrV4) -> Reached {
+/// Opens a connection to the address and closes it at once.
+pub(crate) async fn probe_address(address: SocketAddrV4) -> ProbeOutcome {
     match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
-        Ok(Ok(_)) => Reached::Yes,
-        Ok(Err(error)) if is_refused(&error) => Reached::Refused,
-        Ok(Err(_)) | Err(_) => Reached::No,
+        Ok(Ok(_)) => ProbeOutcome::Connected,
+        Ok(Err(error)) if is_refused(&error) => ProbeOutcome::Refused,
+        Ok(Err(_)) | Err(_) => ProbeOutcome::Failed,
     }
 }
 
-/// Counts of open connections by server.
+/// Number of open connections by server.
 type OpenCounts = Arc<Mutex<HashMap<InstanceId, u32>>>;
 
 struct OpenGuard {
@@ -129,16 +131,16 @@
     }
 }
 
-/// Idle connections by server, and how many are open.
+/// Idle connections and number of open connections by server.
 #[derive(Default)]
 pub(crate) struct Pool {
-    idle: Mutex<HashMap<InstanceId, Vec<Idle>>>,
+    idle: Mutex<HashMap<InstanceId, Vec<IdleConnection>>>,
     open: OpenCounts,
 }
 
 impl Pool {
-    /// A connection to the server: the one that was idle for the shortest time, or a new one if
-    /// fewer than `limit` are open.
+    /// Returns a connection to the server: the most recently used idle one, or a new one if fewer
+    /// than `limit` are open.
     pub(crate) async fn connect(
         &self,
         instance: &InstanceId,
@@ -149,16 +151,16 @@
             return Ok(connection);
         }
         let open = self.count_open(instance, limit).ok_or(ConnectError::Exhausted)?;
-        let opening = TcpStream::connect(address);
+        let connecting = TcpStream::connect(address);
         let stream =
-            timeout(CONNECT_TIMEOUT, opening).await.map_err(|_| ConnectError::Timeout)??;
+            timeout(CONNECT_TIMEOUT, connecting).await.map_err(|_| ConnectError::Timeout)??;
         stream.set_nodelay(true)?;
-        watch_peer(&stream)?;
+        set_peer_timeouts(&stream)?;
         let mut builder = http1::Builder::new();
         builder.max_buf_size(BUFFER_BYTES);
         let (sender, connection) = builder.handshake(TokioIo::new(stream)).await?;
         let task = tokio::spawn(async move {
-            // Whoever waits for the answer is told of the error.
+            // The error is also reported to the sender of the request.
             let _ = connection.await;
         });
         Ok(ServerConnection { sender, reused: false, task: task.abort_handle(), _open: open })
@@ -176,10 +178,10 @@
 
     fn take_idle(&self, instance: &InstanceId) -> Option<ServerConnection> {
         let mut idle = lock(&self.idle);
-        let kept = idle.get_mut(instance)?;
+        let pooled = idle.get_mut(instance)?;
         let now = BootInstant::now();
-        while let Some(Idle { mut connection, until }) = kept.pop() {
-            if now < until && connection.sender.is_ready() {
+        while let Some(IdleConnection { mut connection, expires_at }) = pooled.pop() {
+            if now < expires_at && connection.sender.is_ready() {
                 connection.reused = true;
                 return Some(connection);
             }
@@ -187,33 +189,36 @@
         None
     }
 
-    /// Keeps a connection whose answer was read to its end. `stated` is the idle time
-    /// after which the server closes it, if the server tells.
-    pub(crate) fn keep(
+    /// Returns a connection to the pool after its answer was read completely. `server_timeout` is
+    /// the idle time after which the server closes it, if stated.
+    pub(crate) fn put_back(
         &self,
         instance: &InstanceId,
         connection: ServerConnection,
-        stated: Option<Duration>,
+        server_timeout: Option<Duration>,
     ) {
         if connection.sender.is_closed() {
             return;
         }
-        let idle = stated.map_or(MAX_IDLE, |idle| idle.saturating_sub(IDLE_MARGIN).min(MAX_IDLE));
+        let idle = server_timeout
+            .map_or(MAX_IDLE_TIME, |idle| idle.saturating_sub(IDLE_MARGIN).min(MAX_IDLE_TIME));
         if idle.is_zero() {
             return;
         }
-        let until = BootInstant::now() + idle;
-        lock(&self.idle).entry(instance.clone()).or_default().push(Idle { connection, until });
+        let expires_at = BootInstant::now() + idle;
+        lock(&self.idle)
+            .entry(instance.clone())
+            .or_default()
+            .push(IdleConnection { connection, expires_at });
     }
 
-    /// Closes connections that have been idle for long, and those to servers that
-    /// aren't used any more.
+    /// Closes connections whose idle time is over, and those to servers no longer in use.
     pub(crate) fn sweep(&self, is_used: impl Fn(&InstanceId) -> bool) {
         let now = BootInstant::now();
         let mut idle = lock(&self.idle);
-        idle.retain(|instance, kept| {
-            kept.retain(|idle| now < idle.until && !idle.connection.sender.is_closed());
-            !kept.is_empty() && is_used(instance)
+        idle.retain(|instance, pooled| {
+            pooled.retain(|idle| now < idle.expires_at && !idle.connection.sender.is_closed());
+            !pooled.is_empty() && is_used(instance)
         });
     }
 }
--- a/crates/gateway/src/probe.rs
+++ b/crates/gateway/src/probe.rs
@@ -1,5 +1,5 @@
-//! Probes servers that could not be connected to, so that no request has to find out
-//! when they are back.
+//! Probes of servers that could not be reached, so that no request has to find out when they are
+//! back.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -9,17 +9,17 @@
 use tokio::time::{MissedTickBehavior, interval};
 
 use crate::gateway::Gateway;
-use crate::pool::{Reached, try_connect};
+use crate::pool::{ProbeOutcome, probe_address};
 
-/// Pause between two looks for probes that are due.
-const LOOK_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval between two checks for probes that are due.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Probes what is due, for ever.
+/// Sends probes as they become due. Never returns.
 pub(crate) async fn probe_unreachable(gateway: Arc<Gateway>) {
-    let mut looks = interval(LOOK_INTERVAL);
-    looks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut checks = interval(CHECK_INTERVAL);
+    checks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
-        looks.tick().await;
+        checks.tick().await;
         let due = gateway.placement().take_due_probes(gateway.now());
         for (instance, address) in due {
             tokio::spawn(probe(Arc::clone(&gateway), instance, address));
@@ -28,14 +28,14 @@
 }
 
 async fn probe(gateway: Arc<Gateway>, instance: InstanceId, address: SocketAddrV4) {
-    let reached = try_connect(address).await;
-    match reached {
-        Reached::Yes => {
+    let outcome = probe_address(address).await;
+    match outcome {
+        ProbeOutcome::Connected => {
             log::info!("event=server_reached instance={instance} address={address}");
             gateway.placement().reached(&instance);
         }
-        Reached::Refused => gateway.note_refused(&instance),
-        Reached::No => {}
+        ProbeOutcome::Refused => gateway.record_refused(&instance),
+        ProbeOutcome::Failed => {}
     }
-    gateway.news.push_reachability(&instance, reached == Reached::Yes);
+    gateway.updates.push_reachability(&instance, outcome == ProbeOutcome::Connected);
 }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -1,4 +1,4 @@
-//! Passes a server's answer on.
+//! Relays a server's answer to the caller.
 
 use std::sync::Arc;
 
@@ -14,8 +14,8 @@
 use tokio::time::timeout_at;
 
 use crate::answer::OwnAnswer;
-use crate::attempt::{Answered, Attempt, is_promise};
-use crate::body::{AnswerBody, Incomplete, PieceSender};
+use crate::attempt::{Answered, Attempt, is_not_run_status};
+use crate::body::{AnswerBody, ChunkSender, IncompleteBody};
 use crate::call::Call;
 use crate::finish::{log_done, own_answer};
 use crate::gateway::Gateway;
@@ -23,40 +23,40 @@
 use crate::search::ServerSearch;
 use crate::stream;
 
-/// Largest answer that is read whole before it is passed on, in bytes. One that
-/// breaks off can then be asked for again.
-const MAX_WHOLE_BYTES: usize = 256 << 10;
+/// Largest answer that is buffered before it is passed on, in bytes. If a buffered answer breaks
+/// off, the request can be retried.
+const MAX_BUFFERED_BYTES: usize = 256 << 10;
 
-/// Why the body of an answer did not come whole.
+/// Why the body of an answer is incomplete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub(crate) enum BodyEnd {
-    #[error("the answer broke off")]
+pub(crate) enum BodyError {
+    #[error("the answer ended early")]
     Broken,
-    #[error("the answer stalled")]
+    #[error("no data within the timeout")]
     Stalled,
     #[error("the deadline passed")]
     Deadline,
     #[error("the caller left")]
     CallerLeft,
     #[error("events are missing")]
-    Gap,
+    MissingEvents,
 }
 
-/// Passes the answer on whose head has come.
-pub(crate) async fn pass_on(
+/// Relays an answer whose head has arrived.
+pub(crate) async fn relay_answer(
     gateway: Arc<Gateway>,
     call: Call,
     answered: Answered,
     progress: Progress,
 ) -> Response<AnswerBody> {
     if call.route.kind == RouteKind::Stream && answered.response.status().is_success() {
-        return stream::begin(gateway, call, answered, progress);
+        return stream::start(gateway, call, answered, progress);
     }
-    whole(gateway, call, answered, progress).await
+    relay_buffered(gateway, call, answered, progress).await
 }
 
-/// Reads an answer whole and passes it on, or asks another server if it breaks off.
-async fn whole(
+/// Buffers an answer and passes it on, or retries at another server if it breaks off.
+async fn relay_buffered(
     gateway: Arc<Gateway>,
     call: Call,
     mut answered: Answered,
@@ -64,16 +64,16 @@
 ) -> Response<AnswerBody> {
     loop {
         let Answered { mut attempt, response } = answered;
-        attempt.first_output();
+        attempt.record_first_output();
         let (head, body) = response.into_parts();
         let instance = attempt.instance.clone();
-        match read_whole(&call, &head, body).await {
-            Ok(Read::Whole(bytes)) => {
+        match buffer_body(&call, &head, body).await {
+            Ok(BufferedBody::Complete(bytes)) => {
                 attempt.finish(outcome_of(&head));
                 if !head.status.is_server_error() {
-                    gateway.note_answered(&call);
+                    gateway.record_completed(&call);
                 }
-                return finished(
+                return finish_answer(
                     &gateway,
                     &call,
                     head,
@@ -82,47 +82,48 @@
                     progress,
                 );
             }
-            Ok(Read::Long(begun, rest)) => {
-                let (pieces, body) = AnswerBody::pieces();
-                let response = finished(&gateway, &call, head, body, &instance, progress);
-                tokio::spawn(pass_pieces(gateway, call, attempt, begun, rest, pieces));
+            Ok(BufferedBody::TooLong(beginning, rest)) => {
+                let (chunks, body) = AnswerBody::chunks();
+                let response = finish_answer(&gateway, &call, head, body, &instance, progress);
+                tokio::spawn(relay_chunks(gateway, call, attempt, beginning, rest, chunks));
                 return response;
             }
-            Err(end) => {
+            Err(error) => {
                 log::info!(
-                    "event=answer_cut request={} instance={instance} reason=\"{end}\"",
+                    "event=answer_cut request={} instance={instance} reason=\"{error}\"",
                     call.id()
                 );
                 let sent_at = attempt.sent_at;
                 attempt.fail(Outcome::Broken);
-                if end == BodyEnd::Broken {
-                    gateway.note_cut(&call, &instance, sent_at);
+                if error == BodyError::Broken {
+                    gateway.record_interrupted(&call, &instance, sent_at);
                 }
                 progress.may_have_run += 1;
-                answered = match ask_again(&gateway, &call, &mut progress, instance, end).await {
-                    Ok(answered) => answered,
-                    Err(own) => return own_answer(&gateway, &call, own, progress),
-                };
+                answered =
+                    match retry_elsewhere(&gateway, &call, &mut progress, instance, error).await {
+                        Ok(answered) => answered,
+                        Err(answer) => return own_answer(&gateway, &call, answer, progress),
+                    };
             }
         }
     }
 }
 
-/// Asks another server after the answer of `failed` has ended early.
-async fn ask_again(
+/// Retries the request at another server after the answer of `failed` has broken off.
+async fn retry_elsewhere(
     gateway: &Arc<Gateway>,
     call: &Call,
     progress: &mut Progress,
     failed: InstanceId,
-    end: BodyEnd,
+    error: BodyError,
 ) -> Result<Answered, OwnAnswer> {
-    if !matches!(end, BodyEnd::Broken | BodyEnd::Stalled) {
+    if !matches!(error, BodyError::Broken | BodyError::Stalled) {
         return Err(OwnAnswer::DeadlinePassed);
     }
-    let mut search = ServerSearch::new(gateway, call).after(*progress, failed);
-    let again = search.run(None).await;
+    let mut search = ServerSearch::new(gateway, call).continue_from(*progress, failed);
+    let result = search.run(None).await;
     *progress = search.progress;
-    again
+    result
 }
 
 fn outcome_of(head: &Parts) -> Outcome {
@@ -132,54 +133,58 @@
     }
 }
 
-enum Read {
-    Whole(Bytes),
-    /// What was read so far of an answer that is too long to be kept.
-    Long(Bytes, Incoming),
+enum BufferedBody {
+    Complete(Bytes),
+    /// First part of an answer that exceeds the buffer, and the body with the rest.
+    TooLong(Bytes, Incoming),
 }
 
-async fn read_whole(call: &Call, head: &Parts, mut body: Incoming) -> Result<Read, BodyEnd> {
+async fn buffer_body(
+    call: &Call,
+    head: &Parts,
+    mut body: Incoming,
+) -> Result<BufferedBody, BodyError> {
     let mut bytes = BytesMut::new();
     loop {
         let frame = match timeout_at(call.deadline, body.frame()).await {
-            Err(_) => return Err(BodyEnd::Deadline),
+            Err(_) => return Err(BodyError::Deadline),
             Ok(None) => break,
-            Ok(Some(Err(_))) => return Err(BodyEnd::Broken),
+            Ok(Some(Err(_))) => return Err(BodyError::Broken),
             Ok(Some(Ok(frame))) => frame,
         };
         if let Ok(data) = frame.into_data() {
             bytes.extend_from_slice(&data);
         }
-        if bytes.len() > MAX_WHOLE_BYTES {
-            return Ok(Read::Long(bytes.freeze(), body));
+        if bytes.len() > MAX_BUFFERED_BYTES {
+            return Ok(BufferedBody::TooLong(bytes.freeze(), body));
         }
     }
-    // An answer to a question for the head alone has no body whatever it states.
+    // The answer to a HEAD request has no body, whatever its content length is.
     if call.method != Method::HEAD
-        && stated_length(head).is_some_and(|stated| stated != bytes.len())
+        && content_length(head).is_some_and(|length| length != bytes.len())
     {
-        return Err(BodyEnd::Broken);
+        return Err(BodyError::Broken);
     }
-    Ok(Read::Whole(bytes.freeze()))
+    Ok(BufferedBody::Complete(bytes.freeze()))
 }
 
-fn stated_length(head: &Parts) -> Option<usize> {
+fn content_length(head: &Parts) -> Option<usize> {
     head.headers.get(CONTENT_LENGTH)?.to_str().ok()?.parse().ok()
 }
 
-/// Passes the rest of a long answer on as it comes.
-async fn pass_pieces(
+/// Passes on the rest of a long answer chunk by chunk.
+async fn relay_chunks(
     gateway: Arc<Gateway>,
     call: Call,
     attempt: Attempt,
-    begun: Bytes,
+    beginning: Bytes,
     mut rest: Incoming,
-    pieces: PieceSender,
+    chunks: ChunkSender,
 ) {
-    let mut next = Ok(begun);
+    let mut next = Ok(beginning);
     loop {
         let failed = next.is_err();
-        if pieces.send(next).await.is_err() {
+        if chunks.send(next).await.is_err() {
             return;
         }
         if failed {
@@ -187,24 +192,24 @@
         }
         let frame = tokio::select! {
             frame = timeout_at(call.deadline, rest.frame()) => frame,
-            () = pieces.closed() => return,
+            () = chunks.closed() => return,
         };
         next = match frame {
             Ok(None) => {
-                gateway.note_answered(&call);
+                gateway.record_completed(&call);
                 return attempt.finish(Outcome::Answered);
             }
             Ok(Some(Ok(frame))) => Ok(frame.into_data().unwrap_or_default()),
             Ok(Some(Err(_))) => {
-                gateway.note_cut(&call, &attempt.instance, attempt.sent_at);
-                Err(Incomplete)
+                gateway.record_interrupted(&call, &attempt.instance, attempt.sent_at);
+                Err(IncompleteBody)
             }
-            Err(_) => Err(Incomplete),
+            Err(_) => Err(IncompleteBody),
         };
     }
 }
 
-fn finished(
+fn finish_answer(
     gateway: &Gateway,
     call: &Call,
     head: Parts,
@@ -212,11 +217,11 @@
     instance: &InstanceId,
     progress: Progress,
 ) -> Response<AnswerBody> {
-    // For a request that has run, a promise that it has not must not be passed on.
-    if is_promise(head.status) {
+    // The request has run, so a status that states the opposite must not be passed on.
+    if is_not_run_status(head.status) {
         return own_answer(gateway, call, OwnAnswer::ServerFailed, progress);
     }
     log_done(call, head.status.as_u16(), "answered", instance.as_str(), progress, None);
-    gateway.metrics.answered(call.route.kind, head.status, call.arrived.elapsed());
+    gateway.metrics.count_answered(call.route.kind, head.status, call.arrived.elapsed());
     Response::from_parts(head, body)
 }
--- a/crates/gateway/src/search.rs
+++ b/crates/gateway/src/search.rs
@@ -1,4 +1,4 @@
-//! The search for a server that answers a request.
+//! Search for a server that answers a request.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,31 +10,31 @@
 
 use crate::answer::OwnAnswer;
 use crate::attempt::{Answered, AttemptError, send};
-use crate::call::{Call, NO_SERVER_PAUSE};
-use crate::finish::Unanswered;
+use crate::call::{Call, NO_SERVER_RETRY_AFTER};
+use crate::finish::PendingAnswer;
 use crate::gateway::Gateway;
-use crate::limits::Charged;
+use crate::limits::GrantedCharge;
 use crate::retry::Progress;
 use crate::server_limits::Admission;
 
-/// Shortest time that is worth sending a request for.
-const LEAST_TIME: Duration = Duration::from_millis(10);
+/// Shortest time left for which a request is still sent.
+const MIN_TIME_LEFT: Duration = Duration::from_millis(10);
 
-/// Servers that may say that they have got all that they take before only those are asked that state
-/// no limit.
-const MAX_REFUSALS: u32 = 4;
+/// Number of servers that may be at their advertised limits before only servers without such a
+/// limit are tried.
+const MAX_LIMIT_REFUSALS: u32 = 4;
 
-/// Pause asked of a caller when servers are full.
-const FULL_PAUSE: Duration = Duration::from_millis(150);
+/// `Retry-After` when servers are full.
+const FULL_RETRY_AFTER: Duration = Duration::from_millis(150);
 
-/// Shortest pause asked of a caller that was refused since too much waits, relative to its objective:
-/// queues move by then, and one that comes back later can hardly be in time.
-const SOONEST_RETURN: f64 = 0.1;
+/// Shortest `Retry-After` of an overload, relative to the request's objective: sooner, queues have
+/// hardly become shorter.
+const MIN_RETRY_AFTER_FACTOR: f64 = 0.1;
 
-/// Time over which the callers of one rank come back after the rest of all servers.
-const RETURN_SPREAD: Duration = Duration::from_millis(200);
+/// Time per priority level over which callers' retries are spread after the backoff of all servers.
+const RETRY_SPREAD: Duration = Duration::from_millis(200);
 
-/// The search for a server that answers.
+/// Search for a server that answers a request.
 pub(crate) struct ServerSearch<'a> {
     gateway: &'a Arc<Gateway>,
     call: &'a Call,
@@ -49,48 +49,48 @@
         ServerSearch { gateway, call, progress, excluded, last_error: None }
     }
 
-    /// Goes on after sendings that came to nothing.
-    pub(crate) fn after(mut self, progress: Progress, failed: InstanceId) -> Self {
+    /// Continues a search after an attempt at `failed`.
+    pub(crate) fn continue_from(mut self, progress: Progress, failed: InstanceId) -> Self {
         self.progress = progress;
         self.excluded.push(failed);
         self
     }
 
-    /// Sends to one server after another until one answers.
+    /// Sends the request to one server after another until one answers.
     pub(crate) async fn run(&mut self, last_event: Option<u64>) -> Result<Answered, OwnAnswer> {
         loop {
-            if self.call.time_left() < LEAST_TIME {
-                return Err(self.given_up(OwnAnswer::TooLate));
+            if self.call.time_left() < MIN_TIME_LEFT {
+                return Err(self.final_answer(OwnAnswer::TooLate));
             }
             if self.gateway.is_quarantined(self.call) {
                 return Err(OwnAnswer::Quarantined);
             }
-            if !self.call.may_repeat(self.progress) || !self.is_within_budget() {
-                return Err(self.given_up(OwnAnswer::Full(FULL_PAUSE)));
+            if !self.call.may_retry(self.progress) || !self.take_retry_budget() {
+                return Err(self.final_answer(OwnAnswer::Full(FULL_RETRY_AFTER)));
             }
-            let views = *self.gateway.views_taken.borrow();
-            let (choice, counted) = match self.choose_admitted().await {
+            let seen_views = *self.gateway.applied_views.borrow();
+            let (choice, charge) = match self.choose_admitted().await {
                 Ok(admitted) => admitted,
-                Err(NoChoice::NoServer) if self.waits_for_servers(views).await => continue,
-                Err(refusal) => return Err(self.given_up(self.refusal(refusal))),
+                Err(NoChoice::NoServer) if self.wait_for_servers(seen_views).await => continue,
+                Err(refusal) => return Err(self.final_answer(self.refusal_answer(refusal))),
             };
             self.log_choice(&choice);
-            self.gateway.log_passed_over(self.call);
+            self.gateway.log_excluded_servers(self.call);
             let (gateway, call) = (self.gateway, self.call);
             if self.progress.may_have_run > 0
-                && let Some(charged) = &call.charged
+                && let Some(granted_charge) = &call.granted_charge
             {
-                gateway.charge_again(charged).await;
+                gateway.charge_retry(granted_charge).await;
             }
-            let unanswered = Unanswered::by(gateway, call, &choice.instance, self.progress);
+            let pending = PendingAnswer::start(gateway, call, &choice.instance, self.progress);
             let sent_at = gateway.now();
-            let sent = send(gateway, call, &choice, last_event, self.give_up_at()).await;
-            unanswered.end();
-            match sent {
+            let result = send(gateway, call, &choice, last_event, self.attempt_deadline()).await;
+            pending.end();
+            match result {
                 Ok(answered) => {
                     self.progress.sent += 1;
                     let status = answered.response.status();
-                    if !self.should_ask_again(status) {
+                    if !self.should_retry(status) {
                         return Ok(answered);
                     }
                     answered.attempt.fail(juniper_placement::Outcome::ServerError);
@@ -98,35 +98,35 @@
                     self.excluded.push(choice.instance);
                 }
                 Err(error) => {
-                    if let Some(counted) = counted.filter(|_| error.is_unsent()) {
-                        gateway.give_back(&counted);
+                    if let Some(charge) = charge.filter(|_| error.is_unsent()) {
+                        gateway.refund(&charge);
                     }
-                    self.note(choice.instance, error, sent_at);
+                    self.record_failure(choice.instance, error, sent_at);
                 }
             }
         }
     }
 
-    /// A server's own failure is asked about once more where that is allowed.
-    fn should_ask_again(&self, status: hyper::StatusCode) -> bool {
+    /// Whether to retry after a server error.
+    fn should_retry(&self, status: hyper::StatusCode) -> bool {
         let mut after = self.progress;
         after.may_have_run += 1;
         let failed = status.is_server_error();
-        failed && self.call.may_repeat(after) && self.call.time_left() > LEAST_TIME * 2
+        failed && self.call.may_retry(after) && self.call.time_left() > MIN_TIME_LEFT * 2
     }
 
-    fn note(&mut self, instance: InstanceId, error: AttemptError, sent_at: Timestamp) {
+    fn record_failure(&mut self, instance: InstanceId, error: AttemptError, sent_at: Timestamp) {
         log::info!(
             "event=attempt_failed request={} instance={instance} reason=\"{error}\" after_ms={}",
             self.call.id(),
             self.call.arrived.elapsed().as_millis()
         );
-        self.gateway.metrics.attempt_failed(&error);
+        self.gateway.metrics.count_failed_attempt(&error);
         match &error {
             AttemptError::Broken(_) => {
-                self.gateway.note_cut(self.call, &instance, sent_at);
+                self.gateway.record_interrupted(self.call, &instance, sent_at);
             }
-            error if error.is_refused() => self.gateway.note_refused(&instance),
+            error if error.is_refused() => self.gateway.record_refused(&instance),
             _ => {}
         }
         match &error {
@@ -140,38 +140,38 @@
         self.last_error = Some(error);
     }
 
-    /// Only sendings beyond the first are charged.
-    fn is_within_budget(&self) -> bool {
+    /// Takes a retry from the budget; the first attempt is free. Returns whether to go on.
+    fn take_retry_budget(&self) -> bool {
         if self.progress.sent == 0 {
             return true;
         }
         let now = self.gateway.now();
         let routers = self.gateway.feed.routers();
-        let taken = self.gateway.budget().take(&self.call.service, routers, now);
-        if !taken {
+        let is_allowed = self.gateway.retry_budget().take(&self.call.service, routers, now);
+        if !is_allowed {
             self.gateway.metrics.budget_spent.inc();
         }
-        taken
+        is_allowed
     }
 
-    /// Chooses a server that takes the request, with what was counted for it. One that has got all
-    /// that it takes is passed over without a sending.
-    async fn choose_admitted(&self) -> Result<(Choice, Option<Charged>), NoChoice> {
+    /// Chooses a server that admits the request, and returns the charge against its advertised
+    /// limit, if any. Nothing is sent to servers at their limits.
+    async fn choose_admitted(&self) -> Result<(Choice, Option<GrantedCharge>), NoChoice> {
         for refusals in 0.. {
-            let choice = self.choose(refusals >= MAX_REFUSALS)?;
+            let choice = self.choose(refusals >= MAX_LIMIT_REFUSALS)?;
             match self.gateway.admit_at_server(self.call, &choice).await {
-                Admission::Granted(counted) => return Ok((choice, counted)),
-                Admission::UsedUp => {}
+                Admission::Granted(charge) => return Ok((choice, charge)),
+                Admission::AtLimit => {}
             }
         }
-        unreachable!("servers with limits are left out after some refusals")
+        unreachable!("only servers without limits are chosen after {MAX_LIMIT_REFUSALS} refusals")
     }
 
     fn choose(&self, spares_limited: bool) -> Result<Choice, NoChoice> {
         let request = ServerRequest {
             service: &self.call.service,
             prompt: self.call.facts.prompt.as_ref(),
-            sharing: sharing_key(&self.call.sharing),
+            sharing: hash_sharing_scope(&self.call.sharing_scope),
             excluded: &self.excluded,
             spares_limited,
             rank: self.call.priority,
@@ -179,7 +179,7 @@
             min_version: self.min_version(),
             objective: self.call.objective(),
             time_left: self.call.objective().saturating_sub(self.call.arrived.elapsed()),
-            max_pause: self.call.max_pause(),
+            max_pause: self.call.max_gap(),
         };
         let now = self.gateway.now();
         self.gateway.placement().choose(&request, now, rand::random())
@@ -193,47 +193,50 @@
         wanted.map_or(0, |wanted| wanted.floor(self.gateway.now(), strict_after))
     }
 
-    /// Until when the answer is waited for before another server is asked.
-    fn give_up_at(&self) -> Instant {
+    /// Time until which to wait for an answer before another server is tried.
+    fn attempt_deadline(&self) -> Instant {
         let mut after = self.progress;
         after.sent += 1;
         after.may_have_run += 1;
-        if !self.call.may_repeat(after) {
+        if !self.call.may_retry(after) {
             return self.call.deadline;
         }
-        self.call.deadline.min(Instant::now() + self.call.unusual_silence())
+        self.call.deadline.min(Instant::now() + self.call.answer_timeout())
     }
 
-    /// Whether more is known of servers after a wait than when `views` were taken over.
-    async fn waits_for_servers(&self, views: u64) -> bool {
+    /// Waits until more than `seen_views` views were applied. Returns whether they were.
+    async fn wait_for_servers(&self, seen_views: u64) -> bool {
         let (arrived, deadline) = (self.call.arrived, self.call.deadline);
-        self.gateway.wait_for_servers(views, arrived, deadline).await
+        self.gateway.wait_for_servers(seen_views, arrived, deadline).await
     }
 
-    fn refusal(&self, refusal: NoChoice) -> OwnAnswer {
+    fn refusal_answer(&self, refusal: NoChoice) -> OwnAnswer {
         match refusal {
-            NoChoice::NoServer | NoChoice::OldWeights => OwnAnswer::NoServer(NO_SERVER_PAUSE),
-            NoChoice::AllExcluded => OwnAnswer::Full(FULL_PAUSE),
+            NoChoice::NoServer | NoChoice::OldWeights => OwnAnswer::NoServer(NO_SERVER_RETRY_AFTER),
+            NoChoice::AllExcluded => OwnAnswer::Full(FULL_RETRY_AFTER),
             NoChoice::Overloaded(overload) => {
                 self.log_overload(&overload);
-                let soonest = self.call.objective().mul_f64(SOONEST_RETURN);
-                OwnAnswer::Overloaded(spread(overload.excess().max(soonest)))
+                let min_retry_after = self.call.objective().mul_f64(MIN_RETRY_AFTER_FACTOR);
+                OwnAnswer::Overloaded(add_jitter(overload.excess().max(min_retry_after)))
             }
-            NoChoice::Resting(rest) => {
-                self.gateway.log_passed_over(self.call);
-                OwnAnswer::ServersResting(return_after(rest, self.call.priority))
+            NoChoice::Resting(backoff) => {
+                self.gateway.log_excluded_servers(self.call);
+                OwnAnswer::ServersBackingOff(backoff_retry_after(backoff, self.call.priority))
+            }
+            NoChoice::UsedUp(pause) => {
+                OwnAnswer::ServersAtLimit(add_jitter(pause.max(FULL_RETRY_AFTER)))
             }
-            NoChoice::UsedUp(pause) => OwnAnswer::ServersUsedUp(spread(pause.max(FULL_PAUSE))),
         }
     }
 
-    /// The final answer: a promise that the request has not run only where that is so.
-    fn given_up(&self, unless_run: OwnAnswer) -> OwnAnswer {
+    /// Final answer to the caller; states that the request has not run only if no server may have
+    /// run it.
+    fn final_answer(&self, if_not_run: OwnAnswer) -> OwnAnswer {
         if self.progress.may_have_run == 0 {
-            return unless_run;
+            return if_not_run;
         }
         match &self.last_error {
-            Some(AttemptError::Silent) => OwnAnswer::DeadlinePassed,
+            Some(AttemptError::Timeout) => OwnAnswer::DeadlinePassed,
             _ => OwnAnswer::ServerFailed,
         }
     }
@@ -254,8 +257,8 @@
     }
 
     fn log_choice(&self, choice: &Choice) {
-        self.gateway.metrics.kept_tokens.inc_by(u64::from(choice.kept_tokens));
-        self.gateway.metrics.missed_tokens.inc_by(u64::from(choice.missed_tokens));
+        self.gateway.metrics.cached_tokens.inc_by(u64::from(choice.kept_tokens));
+        self.gateway.metrics.prefill_tokens.inc_by(u64::from(choice.missed_tokens));
         log::info!(
             "event=attempt request={} route={} service={} instance={} reason={} cost_ms={:.1} \
              late={} kept={} missed={} chain={:08x} version={} source={} candidates={} catalog={} age_ms={} sent={}",
@@ -279,16 +282,17 @@
     }
 }
 
-/// A pause asked of a caller, drawn so that those who were refused together don't come back together.
-fn spread(pause: Duration) -> Duration {
+/// Adds random jitter to a `Retry-After`, so that callers refused together don't retry together.
+fn add_jitter(pause: Duration) -> Duration {
     pause.mul_f64(1.0 + rand::random::<f64>())
 }
 
-/// When a caller of this rank is asked back after a rest: the more urgent sooner, and not all together.
-fn return_after(rest: Duration, rank: u8) -> Duration {
-    rest + RETURN_SPREAD.mul_f64(f64::from(rank) + rand::random::<f64>())
+/// `Retry-After` once all servers are backing off: shorter for more urgent requests, with random
+/// jitter.
+fn backoff_retry_after(backoff: Duration, rank: u8) -> Duration {
+    backoff + RETRY_SPREAD.mul_f64(f64::from(rank) + rand::random::<f64>())
 }
 
-fn sharing_key(sharing: &str) -> u64 {
-    sharing.bytes().fold(0, |key, byte| key.wrapping_mul(31).wrapping_add(u64::from(byte)))
+fn hash_sharing_scope(scope: &str) -> u64 {
+    scope.bytes().fold(0, |key, byte| key.wrapping_mul(31).wrapping_add(u64::from(byte)))
 }
--- a/crates/gateway/src/server_limits.rs
+++ b/crates/gateway/src/server_limits.rs
@@ -1,5 +1,5 @@
-//! Limits that servers state for all routers together: heard in their answers, told to the other
-//! routers, and kept by one account for all.
+//! Limits that servers advertise for all routers together. They are observed in servers' answers,
+//! published to the other routers, and enforced by one account per server.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -9,19 +9,19 @@
 use juniper_registry::InstanceId;
 use juniper_types::Timestamp;
 
-use crate::attempt::rank;
+use crate::attempt::effective_priority;
 use crate::call::Call;
 use crate::dialect::AnswerFacts;
 use crate::gateway::Gateway;
-use crate::limits::{ANSWER_LIMIT, Charged, DecidedBy};
+use crate::limits::{DecidedBy, GrantedCharge, OWNER_TIMEOUT};
 
-/// What became of the question whether a server takes a request.
+/// Outcome of a server's admission check.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Admission {
-    /// It does; what was counted is given back if nothing is sent.
-    Granted(Option<Charged>),
-    /// It has got all that it takes from all routers together.
-    UsedUp,
+    /// The server admits the request; the charge is refunded if nothing is sent.
+    Granted(Option<GrantedCharge>),
+    /// The server's advertised limit is used up.
+    AtLimit,
 }
 
 impl DecidedBy {
@@ -33,21 +33,21 @@
     }
 }
 
-/// The time of day, in milliseconds since the Unix epoch.
+/// Time of day, in milliseconds since the Unix epoch.
 fn unix_ms() -> u64 {
-    // A clock before 1970 only orders what is told later.
+    // A clock before 1970 counts as the epoch, which only ranks this router's observations last.
     let elapsed = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX)
 }
 
 impl Gateway {
-    fn heard_at(&self) -> HeardAt {
+    fn observed_at(&self) -> HeardAt {
         HeardAt { now: self.now(), unix_ms: unix_ms() }
     }
 
-    /// Notes what the answer of `instance` to `request`, sent at `sent_at`, states. An answer of
-    /// another server, or to another request, tells nothing of this one now.
-    pub(crate) fn note_stated_limit(
+    /// Records the limit advertised in the answer of `instance` to `request`, sent at `sent_at`.
+    /// Answers of another server or to another request are ignored.
+    pub(crate) fn observe_limit(
         &self,
         instance: &InstanceId,
         facts: &AnswerFacts,
@@ -57,66 +57,66 @@
         if facts.is_other_server || !facts.is_own {
             return;
         }
-        let at = self.heard_at();
+        let at = self.observed_at();
         let change = match facts.stated_limit {
             StatedLimit::Nothing => self.placement().heard_no_limit(instance, sent_at, at),
             StatedLimit::Rate(rate) => {
-                self.metrics.stated_limits.with_label_values(&["yes"]).inc();
+                self.metrics.advertised_limits.with_label_values(&["yes"]).inc();
                 self.placement().heard_limit(instance, rate, at)
             }
-            StatedLimit::Unreadable(fault) => {
-                self.metrics.stated_limits.with_label_values(&["no"]).inc();
+            StatedLimit::Unreadable(error) => {
+                self.metrics.advertised_limits.with_label_values(&["no"]).inc();
                 log::warn!(
                     "event=server_limit_unreadable request={request} instance={instance} \
-                     reason=\"{fault}\""
+                     reason=\"{error}\""
                 );
                 None
             }
         };
-        log_change(instance, change, request);
-        self.tell_limit(instance, at.now);
+        log_limit_change(instance, change, request);
+        self.publish_limit(instance, at.now);
     }
 
-    /// Notes what another router tells.
-    pub(crate) fn learn_limit(&self, news: &ServerLimitNews) {
-        let instance = news.id();
-        let Ok(rate) = RequestRate::of(news.per_second) else {
+    /// Applies a limit that another router reported.
+    pub(crate) fn apply_peer_limit(&self, update: &ServerLimitNews) {
+        let instance = update.id();
+        let Ok(rate) = RequestRate::of(update.per_second) else {
             log::warn!("event=server_limit_unreadable request=- instance={instance} reason=news");
             return;
         };
-        let told = ToldLimit { sequence: news.sequence, rate, is_over: news.is_over };
-        let at = self.heard_at();
-        let change = self.placement().told_limit(&instance, told, at);
-        log_change(&instance, change, "-");
-        self.tell_limit(&instance, at.now);
+        let limit = ToldLimit { sequence: update.sequence, rate, is_over: update.is_over };
+        let at = self.observed_at();
+        let change = self.placement().told_limit(&instance, limit, at);
+        log_limit_change(&instance, change, "-");
+        self.publish_limit(&instance, at.now);
     }
 
-    fn tell_limit(&self, instance: &InstanceId, now: Timestamp) {
-        let Some(told) = self.placement().limit_news(instance, now) else { return };
-        self.news.push_limit(ServerLimitNews {
+    fn publish_limit(&self, instance: &InstanceId, now: Timestamp) {
+        let Some(limit) = self.placement().limit_news(instance, now) else { return };
+        self.updates.push_limit(ServerLimitNews {
             instance: instance.name().clone(),
             started: instance.started(),
-            sequence: told.sequence,
-            per_second: told.rate.per_second(),
-            is_over: told.is_over,
+            sequence: limit.sequence,
+            per_second: limit.rate.per_second(),
+            is_over: limit.is_over,
         });
     }
 
-    /// Asks whether the chosen server takes the request, if it states a limit. No router knows by
-    /// itself what the others send: the replica that keeps the server's account counts for all.
+    /// Charges a request against the chosen server's advertised limit, if any. Since no router sees
+    /// what the others send, the replica that owns the server's account counts for all.
     pub(crate) async fn admit_at_server(&self, call: &Call, choice: &Choice) -> Admission {
         let allowance = self.placement().allowance(&choice.instance, self.now());
         let Some(allowance) = allowance else { return Admission::Granted(None) };
         let charge = charge_of(call, choice, allowance);
-        let (verdict, by) = self.decide(&charge, ANSWER_LIMIT).await;
+        let (verdict, by) = self.decide(&charge, OWNER_TIMEOUT).await;
         let now = self.now();
         self.placement().limit_decided(&choice.instance, &verdict, by.decider(), now);
-        self.metrics.server_charged(&verdict, by);
+        self.metrics.count_server_charge(&verdict, by);
         match verdict {
             Verdict::Admitted { .. } => {
-                // Only the owner's account can take it back.
-                let counted = (by == DecidedBy::Owner).then_some(Charged(charge));
-                Admission::Granted(counted)
+                // Only charges of the owner's account can be refunded.
+                let charge = (by == DecidedBy::Owner).then_some(GrantedCharge(charge));
+                Admission::Granted(charge)
             }
             Verdict::Refused { pause, fleet_per_second } => {
                 log::info!(
@@ -128,7 +128,7 @@
                     allowance.limit.per_second,
                     pause.as_millis()
                 );
-                Admission::UsedUp
+                Admission::AtLimit
             }
         }
     }
@@ -143,18 +143,19 @@
         burst: limit.burst,
         units: 1.0,
         is_certain: false,
-        reserve: Some(reserve(rank(call, choice), limit.burst)).filter(|reserve| *reserve > 0.0),
+        reserve: Some(reserve(effective_priority(call, choice), limit.burst))
+            .filter(|reserve| *reserve > 0.0),
     }
 }
 
-/// What a request of this rank, 0 for the most urgent, leaves to more urgent ones. It is below the
-/// burst, so that no rank is shut out while nobody else asks.
-fn reserve(rank: u8, burst: f64) -> f64 {
-    let rank = f64::from(rank);
-    burst * rank / (rank + 1.0)
+/// Units that a request of this priority, 0 for the most urgent, leaves to more urgent ones. Below
+/// the burst, so that no priority is shut out while there is no other load.
+fn reserve(priority: u8, burst: f64) -> f64 {
+    let priority = f64::from(priority);
+    burst * priority / (priority + 1.0)
 }
 
-fn log_change(instance: &InstanceId, change: Option<LimitChange>, request: &str) {
+fn log_limit_change(instance: &InstanceId, change: Option<LimitChange>, request: &str) {
     match change {
         None => {}
         Some(LimitChange::Stated(rate)) => log::info!(
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -1,4 +1,4 @@
-//! Passes streams on, from one server after another where that is allowed.
+//! Relays streams, and resumes them at another server where that is allowed.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,23 +12,23 @@
 use tokio::time::{Instant, timeout_at};
 
 use crate::attempt::{Answered, Attempt};
-use crate::body::{AnswerBody, Incomplete, PieceSender};
+use crate::body::{AnswerBody, ChunkSender, IncompleteBody};
 use crate::call::Call;
 use crate::events::EventSplitter;
 use crate::finish::log_done;
 use crate::gateway::Gateway;
-use crate::relay::BodyEnd;
+use crate::relay::BodyError;
 use crate::retry::Progress;
 use crate::search::ServerSearch;
 
-/// Shortest pause in a stream after which its server is given up.
-const LEAST_STALL: Duration = Duration::from_millis(1_800);
+/// Shortest gap in a stream after which its server is abandoned.
+const MIN_STALL_TIMEOUT: Duration = Duration::from_millis(1_800);
 
-/// Pause, relative to the longest one in time, after which a server is given up.
+/// Gap after which a server is abandoned, relative to the route's maximum gap.
 const STALL_FACTOR: u32 = 3;
 
-/// Begins to pass a stream on; the rest follows in a task of its own.
-pub(crate) fn begin(
+/// Starts to relay a stream in a task of its own.
+pub(crate) fn start(
     gateway: Arc<Gateway>,
     call: Call,
     answered: Answered,
@@ -37,182 +37,184 @@
     let Answered { attempt, response } = answered;
     let (mut head, upstream) = response.into_parts();
     head.headers.remove(CONTENT_LENGTH);
-    let (pieces, body) = AnswerBody::pieces();
+    let (chunks, body) = AnswerBody::chunks();
     let status = head.status;
     let relay = StreamRelay {
         last_event: call.facts.last_event,
         gateway,
         call,
         progress,
-        pieces,
-        counts: StreamCounts::default(),
-        last_piece_at: None,
+        chunks,
+        stats: StreamStats::default(),
+        last_sent_at: None,
         status: status.as_u16(),
     };
     tokio::spawn(relay.run(attempt, upstream));
     Response::from_parts(head, body)
 }
 
-/// What a stream came to, for logs and counters.
+/// Statistics of a stream, for logs and metrics.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct StreamCounts {
-    pub first: Option<Duration>,
+pub(crate) struct StreamStats {
+    pub first_event: Option<Duration>,
     pub events: u64,
     pub resumed: u32,
-    pub longest_pause: Duration,
+    pub longest_gap: Duration,
 }
 
-/// A stream on its way.
+/// State of a stream that is relayed.
 struct StreamRelay {
     gateway: Arc<Gateway>,
     call: Call,
     progress: Progress,
-    pieces: PieceSender,
+    chunks: ChunkSender,
     last_event: Option<u64>,
-    counts: StreamCounts,
-    last_piece_at: Option<Instant>,
+    stats: StreamStats,
+    last_sent_at: Option<Instant>,
     status: u16,
 }
 
 impl StreamRelay {
-    /// Passes events on, from one server after another where that is allowed.
+    /// Relays events, resuming at another server where that is allowed.
     async fn run(mut self, mut attempt: Attempt, mut upstream: Incoming) {
         loop {
             let instance = attempt.instance.clone();
-            let end = match self.pump(&mut attempt, &mut upstream).await {
+            let error = match self.relay_events(&mut attempt, &mut upstream).await {
                 Ok(()) => {
                     attempt.finish(Outcome::Answered);
-                    self.gateway.note_answered(&self.call);
-                    return self.done("answered", instance.as_str());
+                    self.gateway.record_completed(&self.call);
+                    return self.log_end("answered", instance.as_str());
                 }
-                Err(end) => end,
+                Err(error) => error,
             };
-            if end == BodyEnd::CallerLeft {
+            if error == BodyError::CallerLeft {
                 drop(attempt);
-                return self.done("caller_left", instance.as_str());
+                return self.log_end("caller_left", instance.as_str());
             }
             log::info!(
-                "event=stream_cut request={} instance={instance} reason=\"{end}\" last_event={:?}",
+                "event=stream_cut request={} instance={instance} reason=\"{error}\" last_event={:?}",
                 self.call.id(),
                 self.last_event
             );
             let sent_at = attempt.sent_at;
             attempt.fail(Outcome::Broken);
-            if end == BodyEnd::Broken {
-                self.gateway.note_cut(&self.call, &instance, sent_at);
+            if error == BodyError::Broken {
+                self.gateway.record_interrupted(&self.call, &instance, sent_at);
             }
             self.progress.may_have_run += 1;
-            let next = match end {
-                BodyEnd::Deadline | BodyEnd::Gap => None,
-                // Without numbers nobody can tell where the stream would go on.
-                _ if self.counts.events > 0 && self.last_event.is_none() => None,
+            let next = match error {
+                BodyError::Deadline | BodyError::MissingEvents => None,
+                // Without event numbers the position to resume from is unknown.
+                _ if self.stats.events > 0 && self.last_event.is_none() => None,
                 _ => self.resume(instance.clone()).await,
             };
             let Some(answered) = next else {
-                let _ = self.pieces.send(Err(Incomplete)).await;
-                return self.done("broken_off", instance.as_str());
+                let _ = self.chunks.send(Err(IncompleteBody)).await;
+                return self.log_end("broken_off", instance.as_str());
             };
-            self.counts.resumed += 1;
+            self.stats.resumed += 1;
             attempt = answered.attempt;
             upstream = answered.response.into_body();
         }
     }
 
-    /// Has the stream go on at another server.
+    /// Resumes the stream at another server.
     async fn resume(&mut self, failed: juniper_registry::InstanceId) -> Option<Answered> {
-        let mut search = ServerSearch::new(&self.gateway, &self.call).after(self.progress, failed);
+        let mut search =
+            ServerSearch::new(&self.gateway, &self.call).continue_from(self.progress, failed);
         let found = tokio::select! {
             found = search.run(self.last_event) => found.ok(),
-            () = self.pieces.closed() => None,
+            () = self.chunks.closed() => None,
         };
         self.progress = search.progress;
         found.filter(|answered| answered.response.status().is_success())
     }
 
-    /// Passes on what one server sends.
-    async fn pump(
+    /// Relays the events of one server.
+    async fn relay_events(
         &mut self,
         attempt: &mut Attempt,
         upstream: &mut Incoming,
-    ) -> Result<(), BodyEnd> {
+    ) -> Result<(), BodyError> {
         let mut splitter = EventSplitter::default();
         loop {
-            let until = self.give_up_at();
+            let deadline = self.stall_deadline();
             let frame = tokio::select! {
-                frame = timeout_at(until, upstream.frame()) => frame,
-                () = self.pieces.closed() => return Err(BodyEnd::CallerLeft),
+                frame = timeout_at(deadline, upstream.frame()) => frame,
+                () = self.chunks.closed() => return Err(BodyError::CallerLeft),
             };
             let frame = match frame {
-                Err(_) if until == self.call.deadline => return Err(BodyEnd::Deadline),
-                Err(_) => return Err(BodyEnd::Stalled),
+                Err(_) if deadline == self.call.deadline => return Err(BodyError::Deadline),
+                Err(_) => return Err(BodyError::Stalled),
                 Ok(None) if splitter.is_between_events() => return Ok(()),
-                Ok(None) | Ok(Some(Err(_))) => return Err(BodyEnd::Broken),
+                Ok(None) | Ok(Some(Err(_))) => return Err(BodyError::Broken),
                 Ok(Some(Ok(frame))) => frame,
             };
             let Ok(data) = frame.into_data() else { continue };
-            attempt.first_output();
-            let events = splitter.push(&data).map_err(|_| BodyEnd::Broken)?;
-            let mut passed = BytesMut::new();
+            attempt.record_first_output();
+            let events = splitter.push(&data).map_err(|_| BodyError::Broken)?;
+            let mut output = BytesMut::new();
             for event in events {
-                if self.is_due(event.id)? {
-                    passed.extend_from_slice(&event.bytes);
-                    self.counts.events += 1;
+                if self.should_pass_on(event.id)? {
+                    output.extend_from_slice(&event.bytes);
+                    self.stats.events += 1;
                 }
             }
-            if !passed.is_empty() {
-                self.note_pause();
-                let sent = self.pieces.send(Ok(passed.freeze())).await;
-                sent.map_err(|_| BodyEnd::CallerLeft)?;
+            if !output.is_empty() {
+                self.record_gap();
+                let sent = self.chunks.send(Ok(output.freeze())).await;
+                sent.map_err(|_| BodyError::CallerLeft)?;
             }
         }
     }
 
-    /// Whether the event is the next one. An earlier one is left out; a later one
-    /// would leave a gap.
-    fn is_due(&mut self, id: Option<u64>) -> Result<bool, BodyEnd> {
+    /// Whether to pass on the event. Earlier events are skipped; a later one means that events are
+    /// missing.
+    fn should_pass_on(&mut self, id: Option<u64>) -> Result<bool, BodyError> {
         let Some(id) = id else { return Ok(true) };
         match self.last_event {
             Some(last) if id <= last => return Ok(false),
-            Some(last) if self.counts.resumed > 0 && id > last + 1 => return Err(BodyEnd::Gap),
+            Some(last) if self.stats.resumed > 0 && id > last + 1 => {
+                return Err(BodyError::MissingEvents);
+            }
             _ => {}
         }
         self.last_event = Some(id);
         Ok(true)
     }
 
-    fn note_pause(&mut self) {
+    fn record_gap(&mut self) {
         let now = Instant::now();
-        match self.last_piece_at {
-            None => self.counts.first = Some(now - self.call.arrived),
+        match self.last_sent_at {
+            None => self.stats.first_event = Some(now - self.call.arrived),
             Some(last) => {
-                self.counts.longest_pause = self.counts.longest_pause.max(now - last);
+                self.stats.longest_gap = self.stats.longest_gap.max(now - last);
             }
         }
-        self.last_piece_at = Some(now);
+        self.last_sent_at = Some(now);
     }
 
-    /// Until when the server is waited for. Where the stream can't go on elsewhere,
-    /// that is the deadline.
-    fn give_up_at(&self) -> Instant {
+    /// Time until which to wait for the next data; the deadline if the stream can't be resumed.
+    fn stall_deadline(&self) -> Instant {
         let mut after = self.progress;
         after.may_have_run += 1;
-        if !self.call.may_repeat(after) {
+        if !self.call.may_retry(after) {
             return self.call.deadline;
         }
-        let stall = match self.last_piece_at {
+        let timeout = match self.last_sent_at {
             None => self.call.objective() * 3,
             Some(_) => {
-                let longest = self.call.route.max_pause_ms.unwrap_or(0);
-                Duration::from_millis(longest) * STALL_FACTOR
+                let max_gap_ms = self.call.route.max_pause_ms.unwrap_or(0);
+                Duration::from_millis(max_gap_ms) * STALL_FACTOR
             }
         };
-        self.call.deadline.min(Instant::now() + stall.max(LEAST_STALL))
+        self.call.deadline.min(Instant::now() + timeout.max(MIN_STALL_TIMEOUT))
     }
 
-    fn done(self, outcome: &str, instance: &str) {
-        log_done(&self.call, self.status, outcome, instance, self.progress, Some(&self.counts));
+    fn log_end(self, outcome: &str, instance: &str) {
+        log_done(&self.call, self.status, outcome, instance, self.progress, Some(&self.stats));
         let metrics = &self.gateway.metrics;
-        metrics.streamed(outcome, self.counts.first);
-        metrics.pause_seconds.observe(self.counts.longest_pause.as_secs_f64());
+        metrics.count_stream(outcome, self.stats.first_event);
+        metrics.gap_seconds.observe(self.stats.longest_gap.as_secs_f64());
     }
 }
--- /dev/null
+++ b/crates/gateway/src/updates.rs
@@ -0,0 +1,221 @@
+//! Exchange of updates with the other routers: where requests were dispatched, when they ended,
+//! which servers are unreachable, and the limits and notices of servers.
+
+use std::sync::atomic::{AtomicU16, Ordering};
+use std::sync::{Arc, Mutex};
+
+use juniper_feed::RelayedBatch;
+use juniper_placement::{ChainSighting, Choice, Placement, Reporter, SightingBudget, ToldRequest};
+use juniper_protocol::message::{
+    Reachability, RelayedNews, RouterNews, ServerLimitNews, ServerNoticeNews, Sighting,
+};
+use juniper_registry::{InstanceId, StartTime};
+use juniper_types::{NodeId, Timestamp};
+use tokio::sync::Notify;
+use tokio::sync::broadcast::error::RecvError;
+
+use crate::gateway::Gateway;
+use crate::lock::lock;
+
+/// Maximum number of queued dispatch reports; further ones are dropped.
+const MAX_QUEUED_REPORTS: usize = 16;
+
+/// Maximum number of servers with a queued reachability, limit or notice each. Further ones are
+/// published after the next probe or answer, or observed by the other routers themselves.
+const MAX_QUEUED_SERVERS: usize = 64;
+
+/// Maximum number of queued ends of requests. The other routers expire requests whose end isn't
+/// reported.
+const MAX_QUEUED_COMPLETIONS: usize = 64;
+
+/// Updates not yet published to the other routers.
+pub(crate) struct UpdateQueue {
+    pending: Mutex<RouterNews>,
+    /// Number of the last request in the dispatch reports.
+    last_number: AtomicU16,
+    wake: Notify,
+}
+
+impl Default for UpdateQueue {
+    /// Starts numbering at a random value, so that numbers differ from those that other routers still
+    /// keep from before a restart.
+    fn default() -> Self {
+        let last_number = AtomicU16::new(rand::random());
+        UpdateQueue { pending: Mutex::default(), last_number, wake: Notify::new() }
+    }
+}
+
+impl UpdateQueue {
+    /// Queues a dispatch report, without which other routers don't see this router's load: with
+    /// hundreds of routers each sends a small share of a server's requests. Returns the request's
+    /// number, or `None` if the queue is full.
+    pub(crate) fn push_dispatch(&self, choice: &Choice) -> Option<u16> {
+        let mut pending = lock(&self.pending);
+        if pending.sightings.len() >= MAX_QUEUED_REPORTS {
+            return None;
+        }
+        // Zero means that the request has no number.
+        let number = self.last_number.fetch_add(1, Ordering::Relaxed).wrapping_add(1).max(1);
+        pending.sightings.push(to_message(choice.sighting(), number));
+        self.wake.notify_one();
+        Some(number)
+    }
+
+    /// Queues the end of a request. If the queue is full, the other routers expire the request.
+    pub(crate) fn push_completion(&self, number: u16) {
+        let mut pending = lock(&self.pending);
+        if pending.ended.len() < MAX_QUEUED_COMPLETIONS {
+            pending.ended.push(number);
+            self.wake.notify_one();
+        }
+    }
+
+    /// Queues whether this router could connect to a server.
+    pub(crate) fn push_reachability(&self, instance: &InstanceId, reached: bool) {
+        let queued = &mut lock(&self.pending).reachability;
+        queued.retain(|queued| queued.id() != *instance);
+        if queued.len() < MAX_QUEUED_SERVERS {
+            let (name, started) = (instance.name().clone(), instance.started());
+            queued.push(Reachability { instance: name, reached, started });
+            self.wake.notify_one();
+        }
+    }
+
+    /// Queues a server's advertised limit. If the queue is full, a later answer of the server
+    /// queues it again.
+    pub(crate) fn push_limit(&self, limit: ServerLimitNews) {
+        let mut pending = lock(&self.pending);
+        let queued = pending.server_limits.get_or_insert_default();
+        queued.retain(|queued| queued.id() != limit.id());
+        if queued.len() < MAX_QUEUED_SERVERS {
+            queued.push(limit);
+            self.wake.notify_one();
+        }
+    }
+
+    /// Queues a server's backoff or departure.
+    pub(crate) fn push_notice(&self, notice: ServerNoticeNews) {
+        let mut pending = lock(&self.pending);
+        let queued = pending.notices.get_or_insert_default();
+        if queued.len() < MAX_QUEUED_SERVERS {
+            queued.push(notice);
+            self.wake.notify_one();
+        }
+    }
+
+    /// Takes all queued updates, but at most `allowed` dispatch reports, those with most tokens.
+    /// Also returns the number of reports dropped. Their ends stay queued: other routers ignore the
+    /// end of an unknown request.
+    fn take(&self, allowed: usize) -> (RouterNews, usize) {
+        let mut pending = std::mem::take(&mut *lock(&self.pending));
+        if pending.sightings.len() <= allowed {
+            return (pending, 0);
+        }
+        pending.sightings.sort_by_key(|report| std::cmp::Reverse(report.tokens));
+        let dropped = pending.sightings.split_off(allowed);
+        (pending, dropped.len())
+    }
+}
+
+/// Publishes updates to the other routers and applies theirs. Runs until the feed ends.
+pub(crate) async fn exchange(gateway: Arc<Gateway>) {
+    let mut received = gateway.feed.news();
+    let mut budget = SightingBudget::default();
+    loop {
+        tokio::select! {
+            batch = received.recv() => match batch {
+                Ok(batch) => apply_peer_updates(&gateway, &batch),
+                Err(RecvError::Lagged(missed)) => {
+                    log::warn!("event=router_news_missed batches={missed} reason=slow_router");
+                    gateway.metrics.missed_update_batches.inc_by(missed);
+                }
+                Err(RecvError::Closed) => return,
+            },
+            () = gateway.updates.wake.notified() => publish(&gateway, &mut budget).await,
+        }
+    }
+}
+
+/// Publishes the queued updates, with as many dispatch reports as the budget allows.
+async fn publish(gateway: &Gateway, budget: &mut SightingBudget) {
+    let allowed = budget.allowed(gateway.feed.routers(), gateway.now());
+    let (updates, dropped) = gateway.updates.take(allowed);
+    gateway.metrics.dropped_dispatch_reports.inc_by(dropped as u64);
+    if !updates.is_empty() {
+        budget.spend(updates.sightings.len());
+        gateway.feed.tell(updates).await;
+    }
+}
+
+/// Applies updates of other routers.
+fn apply_peer_updates(gateway: &Gateway, batch: &RelayedBatch) {
+    let limits = batch.iter().flat_map(|update| update.news.server_limits.iter().flatten());
+    limits.for_each(|limit| gateway.apply_peer_limit(limit));
+    let now = gateway.now();
+    let mut placement = gateway.placement();
+    for RelayedNews { from, zone, news } in batch.iter() {
+        let request = |number: u16| ToldRequest { router: *from, number };
+        for notice in news.notices.iter().flatten() {
+            apply_peer_notice(&mut placement, notice, *from, now);
+        }
+        for report in &news.sightings {
+            match report.number {
+                // Sent by a router of an earlier version; the request expires.
+                0 => placement.sighted(&from_message(report), now),
+                number => placement.heard_sent(request(number), &from_message(report), now),
+            }
+        }
+        news.ended.iter().for_each(|number| placement.heard_end(request(*number)));
+        let reporter = Reporter { node: from.0, zone: zone.as_str() };
+        for report in &news.reachability {
+            let instance = report.id();
+            if placement.heard_reachability(reporter, &instance, report.reached, now) {
+                log::info!("event=server_reported_unreachable instance={instance}");
+                gateway.metrics.servers_reported_unreachable.inc();
+            }
+        }
+    }
+}
+
+/// Applies a server's notice that another router observed.
+fn apply_peer_notice(
+    placement: &mut Placement,
+    notice: &ServerNoticeNews,
+    from: NodeId,
+    now: Timestamp,
+) {
+    let instance = notice.id();
+    if notice.is_leaving && placement.heard_leaving(&instance, now) {
+        log::info!("event=server_leaving_heard request=- instance={instance} from={from}");
+    }
+    if notice.pause_ms > 0 {
+        placement.told_of_pause(&instance, from, notice.pause(), now);
+    }
+}
+
+fn to_message(report: ChainSighting, number: u16) -> Sighting {
+    let ChainSighting { instance, version, keys, part_tokens, own_tokens, tokens, read_tokens } =
+        report;
+    Sighting {
+        instance: instance.name().clone(),
+        version,
+        chains: keys,
+        part_tokens,
+        own_tokens,
+        tokens,
+        read_tokens,
+        number,
+    }
+}
+
+fn from_message(report: &Sighting) -> ChainSighting {
+    ChainSighting {
+        instance: InstanceId::started_at(report.instance.clone(), StartTime::UNKNOWN),
+        version: report.version,
+        keys: report.chains.clone(),
+        part_tokens: report.part_tokens.clone(),
+        own_tokens: report.own_tokens,
+        tokens: report.tokens,
+        read_tokens: report.read_tokens,
+    }
+}
