--- a/crates/gateway/tests/events.rs
+++ b/crates/gateway/tests/events.rs
@@ -1,4 +1,4 @@
-//! Whole events of a stream, however its bytes are cut.
+//! Splitting of streams into complete events, regardless of how the bytes arrive.
 
 use juniper_gateway::EventSplitter;
 use quickcheck::quickcheck;
@@ -6,7 +6,7 @@
 const STREAM: &[u8] = b"first: line\nid: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 7\ndata: c\n\n";
 
 #[test]
-fn events_keep_their_bytes_and_numbers() {
+fn events_keep_their_bytes_and_ids() {
     let mut splitter = EventSplitter::default();
     let events = splitter.push(STREAM).expect("short events");
     let ids: Vec<_> = events.iter().map(|event| event.id).collect();
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn an_event_that_is_cut_off_is_not_passed_on() {
+fn a_partial_event_is_not_returned() {
     let mut splitter = EventSplitter::default();
     let events = splitter.push(b"id: 1\ndata: a\n\nid: 2\nda").expect("short events");
     assert_eq!(events.len(), 1);
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn an_event_without_end_is_refused() {
+fn an_event_beyond_the_maximum_size_is_refused() {
     let mut splitter = EventSplitter::default();
     let mut refused = false;
     for _ in 0..40 {
@@ -35,15 +35,15 @@
 }
 
 quickcheck! {
-    /// The same events come out wherever the bytes are cut.
-    fn cuts_make_no_difference(cuts: Vec<u8>) -> bool {
+    /// The same events result wherever the bytes are split.
+    fn splits_of_the_bytes_make_no_difference(splits: Vec<u8>) -> bool {
         let mut splitter = EventSplitter::default();
         let mut events = Vec::new();
         let mut rest = STREAM;
-        for cut in cuts {
-            let (piece, left) = rest.split_at(usize::from(cut % 9).min(rest.len()));
-            events.extend(splitter.push(piece).expect("short events"));
-            rest = left;
+        for split in splits {
+            let (chunk, remaining) = rest.split_at(usize::from(split % 9).min(rest.len()));
+            events.extend(splitter.push(chunk).expect("short events"));
+            rest = remaining;
         }
         events.extend(splitter.push(rest).expect("short events"));
         events.len() == 3 && splitter.is_between_events()
--- a/crates/gateway/tests/paths/main.rs
+++ b/crates/gateway/tests/paths/main.rs
@@ -1,13 +1,13 @@
-//! The gateway between callers and servers, over loopback.
+//! Tests of a gateway between callers and servers over loopback.
 
 mod admission;
 mod answers;
+mod backoffs;
 mod connections;
-mod leaving;
+mod departures;
 mod limits;
-mod pauses;
 mod quarantine;
 mod reachability;
 mod server_limits;
-mod starting;
+mod startup;
 mod support;
--- a/crates/gateway/tests/paths/quarantine.rs
+++ b/crates/gateway/tests/paths/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests under which servers ended are sent to no server any more; their neighbours are.
+//! Requests under which several servers crashed are sent to no other server; other requests are.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -8,48 +8,50 @@
 use juniper_types::RequestFingerprint;
 use tokio::time::sleep;
 
-use crate::support::caller::{Answer, ask, get, request};
-use crate::support::server::{END, FakeServer, Step, event, good, stream_head, whole};
-use crate::support::{PATIENCE, TestGateway};
+use crate::support::caller::{Answer, ask, get, request_head};
+use crate::support::server::{
+    FakeServer, LAST_CHUNK, Step, complete_answer, event, healthy, stream_head,
+};
+use crate::support::{TEST_TIMEOUT, TestGateway};
 
-/// A server that ends under requests for a path with `bad` in it, before or after the head of a
-/// stream, and answers all others.
-async fn fragile(name: &str) -> FakeServer {
+/// Starts a server that crashes under requests for paths with `bad`, before its answer or in
+/// mid-stream, and answers all others.
+async fn crashing_server(name: &str) -> FakeServer {
     FakeServer::start(name, |_, head| {
-        let is_bad = head.lines().next().is_some_and(|line| line.contains("bad"));
-        match is_bad {
+        let crashes_it = head.lines().next().is_some_and(|line| line.contains("bad"));
+        match crashes_it {
             true if head.contains("midway") => {
-                let begun = [Step::Send(stream_head(head, "s")), Step::Send(event(1))];
-                begun
+                let beginning = [Step::Send(stream_head(head, "s")), Step::Send(event(1))];
+                beginning
                     .into_iter()
-                    .chain([Step::Wait(Duration::from_millis(30)), Step::End])
+                    .chain([Step::Wait(Duration::from_millis(30)), Step::Crash])
                     .collect()
             }
-            true => vec![Step::End],
+            true => vec![Step::Crash],
             false if head.contains("/resumable/") => {
-                vec![Step::Send(stream_head(head, "s") + &event(1) + END)]
+                vec![Step::Send(stream_head(head, "s") + &event(1) + LAST_CHUNK)]
             }
-            false => vec![Step::Send(whole(head, "200 OK", "fine"))],
+            false => vec![Step::Send(complete_answer(head, "200 OK", "fine"))],
         }
     })
     .await
 }
 
 async fn wait_for(what: &str, condition: impl Fn() -> bool) {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     while !condition() {
-        assert!(begun.elapsed() < PATIENCE, "{what}");
+        assert!(started_at.elapsed() < TEST_TIMEOUT, "{what}");
         sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// Ends of servers that the gateway has told of, each once.
-fn told(gateway: &TestGateway) -> BTreeSet<(RequestFingerprint, InstanceName)> {
-    let (crashes, _) = gateway.control.told_crashes();
+/// Published crashes, without duplicates.
+fn published_crashes(gateway: &TestGateway) -> BTreeSet<(RequestFingerprint, InstanceName)> {
+    let (crashes, _) = gateway.control.published_crashes();
     crashes.into_iter().map(|crash| (crash.request, crash.instance)).collect()
 }
 
-fn reached(servers: &[FakeServer]) -> usize {
+fn bad_requests(servers: &[FakeServer]) -> usize {
     let heads = servers.iter().flat_map(FakeServer::requests);
     heads.filter(|head| head.contains("bad")).count()
 }
@@ -57,77 +59,80 @@
 async fn start(count: usize) -> (Vec<FakeServer>, TestGateway) {
     let mut servers = Vec::new();
     for number in 0..count {
-        servers.push(fragile(&format!("s{number}")).await);
+        servers.push(crashing_server(&format!("s{number}")).await);
     }
     let gateway = TestGateway::start(&servers.iter().collect::<Vec<_>>()).await;
     (servers, gateway)
 }
 
-/// Sends the request until three servers have ended under it.
-async fn end_three(gateway: &TestGateway, servers: &[FakeServer], path: &str) -> usize {
+/// Sends the request until three servers have crashed under it.
+async fn crash_three(gateway: &TestGateway, servers: &[FakeServer], path: &str) -> usize {
     for number in 0..6 {
         get(gateway.callers, path, &format!("first{number}")).await;
-        let ended = reached(servers);
-        wait_for("each end is proved and told", || told(gateway).len() == ended).await;
-        if ended >= 3 {
-            return ended;
+        let crashed = bad_requests(servers);
+        wait_for("each crash is proved and published", || {
+            published_crashes(gateway).len() == crashed
+        })
+        .await;
+        if crashed >= 3 {
+            return crashed;
         }
     }
-    panic!("three servers end");
+    panic!("fewer than three servers crashed");
 }
 
-async fn is_given_up(path: &str) {
+async fn check_quarantine(path: &str) {
     let (servers, gateway) = start(6).await;
-    let before = end_three(&gateway, &servers, path).await;
-    assert!(before <= 4, "{before}: no more than the last attempt of the caller allows");
+    let before = crash_three(&gateway, &servers, path).await;
+    assert!(before <= 4, "{before}: no more than the last request's attempts allow");
     for number in 0..4 {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let answer = get(gateway.callers, path, &format!("again{number}")).await;
         assert_eq!((answer.status, answer.header("retry-after")), (502, None));
         assert!(answer.body.contains("quarantined"), "{}", answer.body);
-        assert!(begun.elapsed() < Duration::from_millis(500), "at once");
+        assert!(started_at.elapsed() < Duration::from_millis(500), "at once");
     }
-    assert_eq!(reached(&servers), before, "no server is reached any more");
+    assert_eq!(bad_requests(&servers), before, "no server gets the request any more");
     let other = get(gateway.callers, &format!("{path}-other").replace("bad", "good"), "o").await;
     assert_eq!((other.status, other.complete), (200, true), "another request is served");
-    wait_for("it is recorded", || !gateway.control.quarantined().is_empty()).await;
-    let call = gateway.control.quarantined().remove(0);
-    assert_eq!(call.servers.len(), 3);
-    assert!(told(&gateway).iter().all(|(request, _)| *request == call.request));
+    wait_for("the quarantine is recorded", || !gateway.control.quarantined().is_empty()).await;
+    let request = gateway.control.quarantined().remove(0);
+    assert_eq!(request.servers.len(), 3);
+    assert!(published_crashes(&gateway).iter().all(|(crashed, _)| *crashed == request.request));
 }
 
 #[tokio::test]
-async fn a_call_under_which_three_servers_ended_is_sent_to_no_other() {
-    is_given_up("/safe/bad").await;
+async fn a_repeatable_request_that_crashed_three_servers_is_sent_to_no_other() {
+    check_quarantine("/safe/bad").await;
 }
 
 #[tokio::test]
-async fn a_request_that_may_run_once_under_which_three_servers_ended_is_sent_to_no_other() {
-    is_given_up("/once/bad").await;
+async fn an_at_most_once_request_that_crashed_three_servers_is_sent_to_no_other() {
+    check_quarantine("/once/bad").await;
 }
 
 #[tokio::test]
-async fn a_stream_under_which_three_servers_ended_midway_is_sent_to_no_other() {
-    is_given_up("/resumable/bad-midway").await;
+async fn a_stream_that_crashed_three_servers_midway_is_sent_to_no_other() {
+    check_quarantine("/resumable/bad-midway").await;
 }
 
-/// The same path with another body or from another tenant is another request.
+/// The same path with another body or tenant is another request.
 #[tokio::test]
 async fn another_body_or_tenant_is_another_request() {
     let (servers, gateway) = start(8).await;
-    let before = end_three(&gateway, &servers, "/once/bad").await;
-    let head = request("GET", "/once/bad", "r1");
+    let before = crash_three(&gateway, &servers, "/once/bad").await;
+    let head = request_head("GET", "/once/bad", "r1");
     let body = format!("{head}content-length: 4\r\n\r\nbody");
     assert_eq!(ask(gateway.callers, &body).await.status, 502);
-    assert_eq!(reached(&servers), before + 1);
+    assert_eq!(bad_requests(&servers), before + 1);
     let other = format!("{}\r\n", head.replace("x-key: good", "x-key: limited"));
     assert_eq!(ask(gateway.callers, &other).await.status, 502);
-    assert_eq!(reached(&servers), before + 2);
+    assert_eq!(bad_requests(&servers), before + 2);
 }
 
-/// Connections break, but the servers go on: nothing is counted.
+/// Only connections break here, no server crashes.
 #[tokio::test]
-async fn a_connection_that_broke_is_no_end_of_a_server() {
+async fn a_broken_connection_does_not_count_as_a_crash() {
     let server = FakeServer::start("a", |_, _| vec![Step::Close]).await;
     let gateway = TestGateway::start(&[&server]).await;
     for number in 0..6 {
@@ -135,10 +140,10 @@
         sleep(Duration::from_millis(150)).await;
     }
     assert_eq!(server.requests().len(), 6);
-    assert!(told(&gateway).is_empty(), "{:?}", told(&gateway));
+    assert!(published_crashes(&gateway).is_empty(), "{:?}", published_crashes(&gateway));
 }
 
-fn crash(request: RequestFingerprint, server: &str) -> RouterNews {
+fn crash_update(request: RequestFingerprint, server: &str) -> RouterNews {
     let crash = Crash {
         request,
         instance: InstanceName::new(server),
@@ -151,60 +156,62 @@
     RouterNews { crashes, ..RouterNews::default() }
 }
 
-/// One server ended here, two at other routers. What those tell again counts once.
+/// One server crashed here, two at other routers. Rebroadcasts of a crash count once.
 #[tokio::test]
-async fn ends_at_several_routers_are_added() {
+async fn crashes_at_several_routers_are_added() {
     let (servers, gateway) = start(6).await;
     let send = async |id: &str| -> Answer { get(gateway.callers, "/once/bad", id).await };
     assert_eq!(send("r1").await.status, 502);
-    wait_for("told", || told(&gateway).len() == 1).await;
-    let name = told(&gateway).pop_first().expect("told").0;
+    wait_for("published", || published_crashes(&gateway).len() == 1).await;
+    let fingerprint = published_crashes(&gateway).pop_first().expect("published").0;
     for server in ["elsewhere-1", "elsewhere-1", "elsewhere-1"] {
-        gateway.control.relay(1, "south", crash(name, server));
+        gateway.control.send_peer_update(1, "south", crash_update(fingerprint, server));
         sleep(Duration::from_millis(60)).await;
     }
     assert_eq!(send("r2").await.status, 502);
-    assert_eq!(reached(&servers), 2, "two ends don't suffice");
-    wait_for("told", || told(&gateway).len() == 2).await;
+    assert_eq!(bad_requests(&servers), 2, "two crashes don't suffice");
+    wait_for("published", || published_crashes(&gateway).len() == 2).await;
     let answer = send("r3").await;
     assert!(answer.body.contains("quarantined"), "{}", answer.body);
-    assert_eq!(reached(&servers), 2);
+    assert_eq!(bad_requests(&servers), 2);
 }
 
-/// A neighbour of such a request, or one on servers that lost power, is answered whole somewhere.
+/// A complete answer shows that the request doesn't crash servers, which may have lost power
+/// instead.
 #[tokio::test]
-async fn a_whole_answer_here_or_elsewhere_clears_a_request() {
+async fn a_complete_answer_here_or_elsewhere_clears_a_request() {
     let (_servers, gateway) = start(2).await;
     let (_others, elsewhere) = start(6).await;
-    // The fingerprint of a request, from a gateway whose servers end under it.
+    // Gets the request's fingerprint from a gateway whose servers crash under it.
     get(elsewhere.callers, "/once/bad", "r1").await;
-    wait_for("told", || told(&elsewhere).len() == 1).await;
-    let name = told(&elsewhere).pop_first().expect("told").0;
+    wait_for("published", || published_crashes(&elsewhere).len() == 1).await;
+    let fingerprint = published_crashes(&elsewhere).pop_first().expect("published").0;
     for server in ["e1", "e2"] {
-        elsewhere.control.relay(1, "south", crash(name, server));
+        elsewhere.control.send_peer_update(1, "south", crash_update(fingerprint, server));
     }
     let instances = ["e1", "e2"].map(InstanceId::new).to_vec();
-    let cleared = vec![Cleared::of(name, &instances)];
+    let cleared = vec![Cleared::of(fingerprint, &instances)];
     let crashes = Some(CrashNews { crashes: Vec::new(), cleared });
-    elsewhere.control.relay(2, "south", RouterNews { crashes, ..RouterNews::default() });
+    elsewhere.control.send_peer_update(2, "south", RouterNews { crashes, ..RouterNews::default() });
     sleep(Duration::from_millis(200)).await;
     let answer = get(elsewhere.callers, "/once/bad", "r2").await;
-    assert!(!answer.body.contains("quarantined"), "only the end here counts: {}", answer.body);
+    assert!(!answer.body.contains("quarantined"), "only the crash here counts: {}", answer.body);
 
-    // Two servers ended elsewhere under a request that is answered here.
-    let head = format!("{}\r\n", request("GET", "/once/good", "g1"));
-    let good_name = fingerprint_of("/once/good");
+    // Two servers crashed elsewhere under a request that is answered here.
+    let head = format!("{}\r\n", request_head("GET", "/once/good", "g1"));
+    let good_fingerprint = fingerprint_of("/once/good");
     for server in ["e3", "e4"] {
-        gateway.control.relay(1, "south", crash(good_name, server));
+        gateway.control.send_peer_update(1, "south", crash_update(good_fingerprint, server));
         sleep(Duration::from_millis(200)).await;
     }
     assert_eq!(ask(gateway.callers, &head).await.status, 200);
-    wait_for("the others are told", || !gateway.control.told_crashes().1.is_empty()).await;
-    let (_, cleared) = gateway.control.told_crashes();
-    assert_eq!((cleared[0].request, cleared[0].instances.len()), (good_name, 2));
-    gateway.control.relay(1, "south", crash(good_name, "e5"));
+    wait_for("the clearance is published", || !gateway.control.published_crashes().1.is_empty())
+        .await;
+    let (_, cleared) = gateway.control.published_crashes();
+    assert_eq!((cleared[0].request, cleared[0].instances.len()), (good_fingerprint, 2));
+    gateway.control.send_peer_update(1, "south", crash_update(good_fingerprint, "e5"));
     sleep(Duration::from_millis(100)).await;
-    assert_eq!(ask(gateway.callers, &head).await.status, 200, "one end counts");
+    assert_eq!(ask(gateway.callers, &head).await.status, 200, "only one crash counts");
 }
 
 fn fingerprint_of(path: &str) -> RequestFingerprint {
@@ -218,24 +225,24 @@
     juniper_types::FingerprintKey::new([7; 32]).fingerprint(&content)
 }
 
-/// A server that says it is leaving ends as planned, whatever was under way on it.
+/// The end of a departing server is planned, whatever requests are in flight.
 #[tokio::test]
-async fn the_end_of_a_server_that_was_leaving_is_not_counted() {
+async fn the_end_of_a_departing_server_does_not_count_as_a_crash() {
     let server =
-        FakeServer::start("a", |_, _| vec![Step::Wait(Duration::from_millis(400)), Step::End])
+        FakeServer::start("a", |_, _| vec![Step::Wait(Duration::from_millis(400)), Step::Crash])
             .await;
-    let other = good("b").await;
+    let other = healthy("b").await;
     let gateway = TestGateway::start(&[&server]).await;
     let sent = get(gateway.callers, "/once/x", "r1");
     let leave = async {
         sleep(Duration::from_millis(100)).await;
         let state = juniper_registry::InstanceState::Draining;
         let report = juniper_registry::InstanceReport { state, sequence: 2, ..server.report() };
-        gateway.control.hear(report);
-        gateway.control.hear(other.report());
+        gateway.control.add_server(report);
+        gateway.control.add_server(other.report());
     };
     let (answer, ()) = tokio::join!(sent, leave);
     assert_eq!(answer.status, 502);
     sleep(Duration::from_millis(700)).await;
-    assert!(told(&gateway).is_empty(), "{:?}", told(&gateway));
+    assert!(published_crashes(&gateway).is_empty(), "{:?}", published_crashes(&gateway));
 }
--- a/crates/gateway/tests/paths/reachability.rs
+++ b/crates/gateway/tests/paths/reachability.rs
@@ -1,4 +1,4 @@
-//! Routers tell each other which servers are down, and what they send to those that work.
+//! Exchange of unreachable servers, dispatch reports and ends of requests between routers.
 
 use std::time::{Duration, Instant};
 
@@ -6,56 +6,56 @@
 use juniper_registry::{InstanceName, InstanceReport, StartTime};
 
 use crate::support::caller::get;
-use crate::support::server::{FakeServer, good};
-use crate::support::{PATIENCE, TestGateway, loopback};
+use crate::support::server::{FakeServer, healthy};
+use crate::support::{TEST_TIMEOUT, TestGateway, loopback};
 
-/// A server that nothing listens for. The port is bound and dropped, so it is free.
-async fn dead(name: &str) -> InstanceReport {
+/// Report of a server at a port that was bound and released, so that connections are refused.
+async fn refusing_server(name: &str) -> InstanceReport {
     let free = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let port = free.local_addr().expect("bound").port();
     InstanceReport {
         name: InstanceName::new(name),
         address: loopback(port),
-        ..good(name).await.report()
+        ..healthy(name).await.report()
     }
 }
 
-fn down(server: &FakeServer) -> RouterNews {
+fn unreachable_update(server: &FakeServer) -> RouterNews {
     let instance = server.report().name;
     let reachability = vec![Reachability { instance, reached: false, started: StartTime::UNKNOWN }];
     RouterNews { reachability, ..RouterNews::default() }
 }
 
 async fn wait_for(what: &str, condition: impl Fn() -> bool) {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     while !condition() {
-        assert!(begun.elapsed() < PATIENCE, "{what}");
+        assert!(started_at.elapsed() < TEST_TIMEOUT, "{what}");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
 #[tokio::test]
-async fn a_server_that_can_not_be_reached_is_told_of_and_again_with_each_probe() {
+async fn an_unreachable_server_is_published_after_each_probe() {
     let gateway = TestGateway::start(&[]).await;
-    gateway.control.hear(dead("down").await);
+    gateway.control.add_server(refusing_server("down").await);
     let answer = get(gateway.callers, "/once/x", "r1").await;
     assert_eq!(answer.status, 503);
-    let told = || gateway.control.told_reachability();
-    wait_for("told, and told again", || told().len() >= 2).await;
+    let published = || gateway.control.published_reachability();
+    wait_for("published repeatedly", || published().len() >= 2).await;
     let expected = Reachability {
         instance: InstanceName::new("down"),
         reached: false,
         started: StartTime::UNKNOWN,
     };
-    assert!(told().iter().all(|told| *told == expected), "{:?}", told());
+    assert!(published().iter().all(|report| *report == expected), "{:?}", published());
 }
 
 #[tokio::test]
-async fn a_server_that_other_routers_can_not_reach_gets_no_request() {
-    let (one, other) = (good("a").await, good("b").await);
+async fn a_server_that_other_routers_can_not_reach_gets_no_requests() {
+    let (one, other) = (healthy("a").await, healthy("b").await);
     let gateway = TestGateway::start(&[&one, &other]).await;
-    gateway.control.relay(1, "north", down(&one));
-    gateway.control.relay(2, "north", down(&one));
+    gateway.control.send_peer_update(1, "north", unreachable_update(&one));
+    gateway.control.send_peer_update(2, "north", unreachable_update(&one));
     tokio::time::sleep(Duration::from_millis(100)).await;
     for number in 0..12 {
         let answer = get(gateway.callers, "/once/x", &format!("r{number}")).await;
@@ -64,14 +64,14 @@
     assert_eq!((one.requests().len(), other.requests().len()), (0, 12));
 }
 
-/// Servers without prompts are crowded too, and no router sends them more than a few requests.
+/// Servers without prompts get congested too, while each router sends them only a few requests.
 #[tokio::test]
-async fn a_request_without_a_prompt_is_told_of_and_so_is_its_end() {
-    let server = good("a").await;
+async fn the_dispatch_and_end_of_a_request_without_a_prompt_are_published() {
+    let server = healthy("a").await;
     let gateway = TestGateway::start(&[&server]).await;
     assert_eq!(get(gateway.callers, "/once/x", "r1").await.status, 200);
-    wait_for("told", || !gateway.control.told_sightings().is_empty()).await;
-    assert_eq!(gateway.control.told_sightings(), [server.report().name]);
-    wait_for("its end told", || !gateway.control.told_ends().is_empty()).await;
-    assert_eq!(gateway.control.told_ends(), [server.report().name]);
+    wait_for("published", || !gateway.control.published_dispatches().is_empty()).await;
+    assert_eq!(gateway.control.published_dispatches(), [server.report().name]);
+    wait_for("its end is published", || !gateway.control.published_completions().is_empty()).await;
+    assert_eq!(gateway.control.published_completions(), [server.report().name]);
 }
--- a/crates/gateway/tests/paths/server_limits.rs
+++ b/crates/gateway/tests/paths/server_limits.rs
@@ -1,4 +1,5 @@
-//! Servers that state what they take from all routers together: who counts, and where requests go.
+//! Limits that servers advertise for all routers together: accounting of requests and choice of
+//! servers.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -8,23 +9,23 @@
 use juniper_registry::{InstanceName, StartTime};
 
 use crate::support::caller::{Answer, get};
-use crate::support::control::Charging;
-use crate::support::server::{FakeServer, Step, good, whole};
-use crate::support::{PATIENCE, TestGateway};
+use crate::support::control::ChargeHandling;
+use crate::support::server::{FakeServer, Step, complete_answer, healthy};
+use crate::support::{TEST_TIMEOUT, TestGateway};
 
-/// A server whose answers state this, for as long as they are to.
-async fn stating(name: &str, stated: &'static str) -> (FakeServer, Arc<AtomicBool>) {
-    let states = Arc::new(AtomicBool::new(true));
-    let still = Arc::clone(&states);
+/// Starts a server whose answers advertise the limit while the returned flag is set.
+async fn limited_server(name: &str, limit: &'static str) -> (FakeServer, Arc<AtomicBool>) {
+    let advertises = Arc::new(AtomicBool::new(true));
+    let still_advertises = Arc::clone(&advertises);
     let server = FakeServer::start(name, move |_, head| {
-        let status = match still.load(Ordering::Relaxed) {
-            true => format!("200 OK\r\nx-limit: {stated}"),
+        let status = match still_advertises.load(Ordering::Relaxed) {
+            true => format!("200 OK\r\nx-limit: {limit}"),
             false => "200 OK".to_owned(),
         };
-        vec![Step::Send(whole(head, &status, "fine"))]
+        vec![Step::Send(complete_answer(head, &status, "fine"))]
     })
     .await;
-    (server, states)
+    (server, advertises)
 }
 
 async fn ask(gateway: &TestGateway, id: &str) -> Answer {
@@ -32,41 +33,48 @@
 }
 
 async fn wait_for(what: &str, condition: impl Fn() -> bool) {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     while !condition() {
-        assert!(begun.elapsed() < PATIENCE, "{what}");
+        assert!(started_at.elapsed() < TEST_TIMEOUT, "{what}");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-fn limit_of(server: &FakeServer, sequence: u64, is_over: bool) -> RouterNews {
+fn limit_update(server: &FakeServer, sequence: u64, is_over: bool) -> RouterNews {
     let (instance, started) = (server.report().name, StartTime::UNKNOWN);
     let limit = ServerLimitNews { instance, started, sequence, per_second: 2.5, is_over };
     RouterNews { server_limits: Some(vec![limit]), ..RouterNews::default() }
 }
 
 #[tokio::test]
-async fn a_limit_that_is_heard_is_told_and_what_is_sent_after_is_counted() {
-    let (server, _) = stating("a", "1.6").await;
+async fn an_advertised_limit_is_published_and_later_requests_are_charged() {
+    let (server, _) = limited_server("a", "1.6").await;
     let gateway = TestGateway::start(&[&server]).await;
     assert_eq!(ask(&gateway, "r1").await.status, 200);
-    wait_for("told", || !gateway.control.told_limits().is_empty()).await;
-    let told = gateway.control.told_limits();
-    assert_eq!((told[0].instance.clone(), told[0].per_second), (InstanceName::new("a"), 1.6));
-    assert!(gateway.control.charges().is_empty(), "nobody knew of it before");
+    wait_for("published", || !gateway.control.published_limits().is_empty()).await;
+    let published = gateway.control.published_limits();
+    assert_eq!(
+        (published[0].instance.clone(), published[0].per_second),
+        (InstanceName::new("a"), 1.6)
+    );
+    assert!(gateway.control.charges().is_empty(), "the limit was unknown before");
     assert_eq!(ask(&gateway, "r2").await.status, 200);
     let charges = gateway.control.charges();
     assert_eq!(charges.len(), 1);
     assert_eq!((charges[0].per_second, charges[0].burst, charges[0].units), (1.6, 1.0, 1.0));
-    assert_eq!(charges[0].version, told[0].sequence);
-    assert_eq!(charges[0].reserve, Some(0.5), "a request of rank 1 leaves half to those of rank 0");
+    assert_eq!(charges[0].version, published[0].sequence);
+    assert_eq!(
+        charges[0].reserve,
+        Some(0.5),
+        "a request of priority 1 leaves half to those of priority 0"
+    );
 }
 
 #[tokio::test]
-async fn what_another_router_tells_is_counted_from_the_first_request_on() {
-    let server = good("a").await;
+async fn a_limit_reported_by_another_router_applies_to_the_first_request() {
+    let server = healthy("a").await;
     let gateway = TestGateway::start(&[&server]).await;
-    gateway.control.relay(2, "south", limit_of(&server, 9, false));
+    gateway.control.send_peer_update(2, "south", limit_update(&server, 9, false));
     tokio::time::sleep(Duration::from_millis(100)).await;
     assert_eq!(ask(&gateway, "r1").await.status, 200);
     let charges = gateway.control.charges();
@@ -74,95 +82,102 @@
 }
 
 #[tokio::test]
-async fn a_server_that_got_all_it_takes_is_passed_over_without_a_sending() {
-    let (limited, other) = (good("a").await, good("b").await);
+async fn a_server_at_its_limit_gets_no_requests() {
+    let (limited, other) = (healthy("a").await, healthy("b").await);
     let gateway = TestGateway::start(&[&limited, &other]).await;
-    gateway.control.relay(2, "south", limit_of(&limited, 9, false));
-    gateway.control.set_charging(Charging::Refuses { pause_ms: 60_000 });
+    gateway.control.send_peer_update(2, "south", limit_update(&limited, 9, false));
+    gateway.control.set_charge_handling(ChargeHandling::Refuse { pause_ms: 60_000 });
     tokio::time::sleep(Duration::from_millis(100)).await;
     for number in 0..12 {
         assert_eq!(ask(&gateway, &format!("r{number}")).await.status, 200);
     }
     assert_eq!((limited.requests().len(), other.requests().len()), (0, 12));
-    assert!(gateway.control.charges().len() <= 1, "it isn't asked about before it has room");
+    assert!(
+        gateway.control.charges().len() <= 1,
+        "no charge before the limit allows another request"
+    );
 }
 
 #[tokio::test]
-async fn if_all_servers_got_what_they_take_the_caller_is_told_when_there_is_room() {
-    let server = good("a").await;
+async fn if_all_servers_are_at_their_limits_the_caller_is_refused_with_retry_after() {
+    let server = healthy("a").await;
     let gateway = TestGateway::start(&[&server]).await;
-    gateway.control.relay(2, "south", limit_of(&server, 9, false));
-    gateway.control.set_charging(Charging::Refuses { pause_ms: 2_000 });
+    gateway.control.send_peer_update(2, "south", limit_update(&server, 9, false));
+    gateway.control.set_charge_handling(ChargeHandling::Refuse { pause_ms: 2_000 });
     tokio::time::sleep(Duration::from_millis(100)).await;
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let answer = ask(&gateway, "r1").await;
-    assert!(begun.elapsed() < Duration::from_secs(1), "at once");
-    let pause: f64 = answer.header("retry-after").and_then(|it| it.parse().ok()).expect("a time");
+    assert!(started_at.elapsed() < Duration::from_secs(1), "at once");
+    let retry_after: f64 =
+        answer.header("retry-after").and_then(|it| it.parse().ok()).expect("a time");
     assert_eq!(answer.status, 503);
-    assert!((1.5..=4.0).contains(&pause), "{pause}");
+    assert!((1.5..=4.0).contains(&retry_after), "{retry_after}");
     assert!(server.requests().is_empty());
 }
 
-/// A router that reaches no replica is the only one here: it keeps to 0.6 of the limit by chance.
+/// Without a replica the router assumes that it is the only one, and keeps to 0.6 of the limit.
 #[tokio::test]
-async fn without_an_owner_the_router_keeps_to_its_share_of_what_the_server_takes() {
-    let (server, _) = stating("a", "2.5").await;
+async fn without_an_owner_the_router_keeps_to_its_share_of_the_server_limit() {
+    let (server, _) = limited_server("a", "2.5").await;
     let gateway = TestGateway::start(&[&server]).await;
-    gateway.control.relay(2, "south", limit_of(&server, 9, false));
-    gateway.control.set_charging(Charging::IsSilent);
+    gateway.control.send_peer_update(2, "south", limit_update(&server, 9, false));
+    gateway.control.set_charge_handling(ChargeHandling::Ignore);
     tokio::time::sleep(Duration::from_millis(100)).await;
-    let begun = Instant::now();
-    while begun.elapsed() < Duration::from_secs(4) {
+    let started_at = Instant::now();
+    while started_at.elapsed() < Duration::from_secs(4) {
         ask(&gateway, "r").await;
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    let got = server.requests().len();
-    assert!((1..=16).contains(&got), "{got} of 10 that it takes, and of 20 that are allowed");
+    let received = server.requests().len();
+    assert!((1..=16).contains(&received), "{received} requests in 4 s");
 }
 
 #[tokio::test]
-async fn what_was_counted_and_not_sent_is_given_back() {
-    let server = FakeServer::start("a", |_, _| vec![Step::End]).await;
+async fn the_charge_of_a_request_that_was_not_sent_is_refunded() {
+    let server = FakeServer::start("a", |_, _| vec![Step::Crash]).await;
     let gateway = TestGateway::start(&[&server]).await;
     ask(&gateway, "r1").await;
-    gateway.control.relay(2, "south", limit_of(&server, 9, false));
+    gateway.control.send_peer_update(2, "south", limit_update(&server, 9, false));
     tokio::time::sleep(Duration::from_millis(100)).await;
     ask(&gateway, "r2").await;
-    wait_for("given back", || gateway.control.given_back().contains(&1.0)).await;
+    wait_for("refunded", || gateway.control.refunds().contains(&1.0)).await;
 }
 
 #[tokio::test]
-async fn what_can_not_be_read_neither_stops_traffic_nor_ends_a_limit() {
-    let (server, _) = stating("a", "plenty").await;
+async fn an_invalid_limit_neither_stops_traffic_nor_ends_a_limit() {
+    let (server, _) = limited_server("a", "plenty").await;
     let gateway = TestGateway::start(&[&server]).await;
     assert_eq!(ask(&gateway, "r1").await.status, 200);
     assert_eq!(ask(&gateway, "r2").await.status, 200);
-    assert!(gateway.control.charges().is_empty() && gateway.control.told_limits().is_empty());
-    gateway.control.relay(2, "south", limit_of(&server, 9, false));
+    assert!(gateway.control.charges().is_empty() && gateway.control.published_limits().is_empty());
+    gateway.control.send_peer_update(2, "south", limit_update(&server, 9, false));
     tokio::time::sleep(Duration::from_millis(100)).await;
     for number in 3..6 {
         assert_eq!(ask(&gateway, &format!("r{number}")).await.status, 200);
     }
-    assert_eq!(gateway.control.charges().len(), 3, "the limit stands");
+    assert_eq!(gateway.control.charges().len(), 3, "the limit still applies");
 }
 
 #[tokio::test]
-async fn an_answer_without_it_ends_the_limit_step_by_step() {
-    let (server, states) = stating("a", "1.6").await;
+async fn answers_without_a_limit_end_it_step_by_step() {
+    let (server, advertises) = limited_server("a", "1.6").await;
     let gateway = TestGateway::start(&[&server]).await;
     ask(&gateway, "r1").await;
-    states.store(false, Ordering::Relaxed);
-    let begun = Instant::now();
+    advertises.store(false, Ordering::Relaxed);
+    let started_at = Instant::now();
     let mut rates = Vec::new();
-    while begun.elapsed() < Duration::from_millis(3_600) {
+    while started_at.elapsed() < Duration::from_millis(3_600) {
         ask(&gateway, "r").await;
         tokio::time::sleep(Duration::from_millis(50)).await;
         rates.extend(gateway.control.charges().last().map(|charge| charge.per_second));
     }
-    assert!(gateway.control.told_limits().iter().any(|told| told.is_over), "the others know");
+    assert!(
+        gateway.control.published_limits().iter().any(|limit| limit.is_over),
+        "the end is published"
+    );
     rates.dedup();
     assert_eq!(rates, [1.6, 3.2, 6.4, 12.8, 25.6, 51.2]);
     let charged = gateway.control.charges().len();
     ask(&gateway, "r9").await;
-    assert_eq!(gateway.control.charges().len(), charged, "there is no limit any more");
+    assert_eq!(gateway.control.charges().len(), charged, "no limit applies any more");
 }
--- a/crates/gateway/tests/paths/support/caller.rs
+++ b/crates/gateway/tests/paths/support/caller.rs
@@ -1,20 +1,20 @@
-//! A caller that sees bytes.
+//! Caller that sends and receives raw HTTP.
 
 use std::net::SocketAddr;
 
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-use super::PATIENCE;
+use super::TEST_TIMEOUT;
 use super::server::header;
 
-/// What a caller got.
+/// Answer received by a caller.
 #[derive(Clone, Debug, Default)]
 pub struct Answer {
     pub status: u16,
     pub head: String,
     pub body: String,
-    /// Whether the body came to its end.
+    /// Whether the body is complete.
     pub complete: bool,
 }
 
@@ -24,25 +24,25 @@
     }
 }
 
-/// The head of a request on a path, with an id and a key.
-pub fn request(method: &str, path: &str, id: &str) -> String {
+/// Head of a request with an id and a key, without the empty line at its end.
+pub fn request_head(method: &str, path: &str, id: &str) -> String {
     format!(
         "{method} {path} HTTP/1.1\r\nHost: test.example\r\nx-id: {id}\r\nx-key: good\r\n\
          x-deadline: 3000\r\n"
     )
 }
 
-/// Sends a request without a body and reads the answer.
+/// Sends a GET request and reads the answer.
 pub async fn get(address: SocketAddr, path: &str, id: &str) -> Answer {
-    ask(address, &format!("{}\r\n", request("GET", path, id))).await
+    ask(address, &format!("{}\r\n", request_head("GET", path, id))).await
 }
 
 /// Sends bytes on a new connection and reads one answer.
 pub async fn ask(address: SocketAddr, bytes: &str) -> Answer {
-    let mut stream = TcpStream::connect(address).await.expect("it listens");
-    stream.write_all(bytes.as_bytes()).await.expect("it reads");
+    let mut stream = TcpStream::connect(address).await.expect("connected");
+    stream.write_all(bytes.as_bytes()).await.expect("sent");
     let read = read_answer(&mut stream);
-    tokio::time::timeout(PATIENCE, read).await.expect("an answer in time")
+    tokio::time::timeout(TEST_TIMEOUT, read).await.expect("an answer in time")
 }
 
 async fn read_answer(stream: &mut TcpStream) -> Answer {
@@ -75,14 +75,14 @@
 
 fn join_chunks(mut rest: &str) -> (String, bool) {
     let mut joined = String::new();
-    while let Some((size, after)) = rest.split_once("\r\n") {
+    while let Some((size, remaining)) = rest.split_once("\r\n") {
         let Ok(size) = usize::from_str_radix(size, 16) else { return (joined, false) };
         if size == 0 {
             return (joined, true);
         }
-        let Some(chunk) = after.get(..size) else { return (joined, false) };
+        let Some(chunk) = remaining.get(..size) else { return (joined, false) };
         joined.push_str(chunk);
-        rest = after.get(size + 2..).unwrap_or("");
+        rest = remaining.get(size + 2..).unwrap_or("");
     }
     (joined, false)
 }
--- a/crates/gateway/tests/paths/support/control.rs
+++ b/crates/gateway/tests/paths/support/control.rs
@@ -1,4 +1,4 @@
-//! A control replica that says what it is told to.
+//! Control replica with configurable answers.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
@@ -21,47 +21,47 @@
 
 const REVISION: u64 = 4;
 
-struct Said {
+struct ReplicaState {
     node: NodeId,
     catalog: Catalog,
     reports: Mutex<Vec<InstanceReport>>,
     confirms: AtomicBool,
-    /// It answers one question for a confirmation only, behind the answer to another call.
-    confirms_once_late: AtomicBool,
-    /// Tells connections that servers were heard.
-    heard: broadcast::Sender<()>,
-    /// Routers that it says follow it.
+    /// Confirms only once, after the answer to a later request.
+    confirms_out_of_order: AtomicBool,
+    /// Notifies connections that the list of servers has changed.
+    server_changes: broadcast::Sender<()>,
+    /// Number of routers in confirmations.
     routers: AtomicU32,
-    /// What it does with charges.
-    charging: Mutex<Charging>,
-    /// Charges that came.
+    /// Handling of charges.
+    charge_handling: Mutex<ChargeHandling>,
+    /// Charges received.
     charges: Mutex<Vec<LimitCharge>>,
-    /// Units that were given back.
-    given_back: Mutex<Vec<f64>>,
-    /// What the gateway has told the other routers.
-    told: Mutex<Vec<RouterNews>>,
-    /// Requests that the gateway asked to have recorded as in quarantine.
+    /// Units refunded.
+    refunds: Mutex<Vec<f64>>,
+    /// Updates that the gateway published to other routers.
+    published: Mutex<Vec<RouterNews>>,
+    /// Quarantine requests of the gateway.
     quarantined: Mutex<Vec<QuarantineCall>>,
-    /// What other routers tell the gateway.
-    relayed: broadcast::Sender<RelayedNews>,
+    /// Updates of other routers, to be sent to the gateway.
+    peer_updates: broadcast::Sender<RelayedNews>,
 }
 
-/// What a replica does with charges.
+/// How a replica handles charges.
 #[derive(Clone, Copy, Debug)]
-pub enum Charging {
-    Admits,
-    /// After 200 ms.
-    AdmitsLate,
-    Refuses {
+pub enum ChargeHandling {
+    Admit,
+    /// Admits after 200 ms.
+    AdmitLate,
+    Refuse {
         pause_ms: u64,
     },
-    OwnsNothing,
-    IsSilent,
+    NotOwner,
+    Ignore,
 }
 
 pub struct FakeControl {
     pub node: NodeId,
-    said: Arc<Said>,
+    state: Arc<ReplicaState>,
 }
 
 impl FakeControl {
@@ -69,153 +69,156 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let port = listener.local_addr().expect("bound").port();
         let node = NodeId::of_address(super::loopback(port));
-        let said = Arc::new(Said {
+        let state = Arc::new(ReplicaState {
             node,
             catalog,
             reports: Mutex::new(reports),
             confirms: AtomicBool::new(false),
-            confirms_once_late: AtomicBool::new(false),
+            confirms_out_of_order: AtomicBool::new(false),
             routers: AtomicU32::new(1),
-            charging: Mutex::new(Charging::Admits),
+            charge_handling: Mutex::new(ChargeHandling::Admit),
             charges: Mutex::default(),
-            given_back: Mutex::default(),
-            heard: broadcast::Sender::new(4),
-            told: Mutex::default(),
+            refunds: Mutex::default(),
+            server_changes: broadcast::Sender::new(4),
+            published: Mutex::default(),
             quarantined: Mutex::default(),
-            relayed: broadcast::Sender::new(16),
+            peer_updates: broadcast::Sender::new(16),
         });
-        let serving = Arc::clone(&said);
+        let serving = Arc::clone(&state);
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 tokio::spawn(serve(Arc::clone(&serving), stream));
             }
         });
-        FakeControl { node, said }
+        FakeControl { node, state }
     }
 
-    /// From now on the replica confirms that it is current.
+    /// Confirms from now on that the replica is current.
     pub fn confirm(&self) {
-        self.said.confirms.store(true, Ordering::Relaxed);
+        self.state.confirms.store(true, Ordering::Relaxed);
     }
 
-    /// From now on the replica answers one question for a confirmation, behind the answer to
-    /// another call.
-    pub fn confirm_once_late(&self) {
-        self.said.confirms_once_late.store(true, Ordering::Relaxed);
+    /// Confirms once from now on, after the answer to a later request.
+    pub fn confirm_once_out_of_order(&self) {
+        self.state.confirms_out_of_order.store(true, Ordering::Relaxed);
         self.confirm();
     }
 
-    /// So many routers follow the replica.
+    /// Sets the number of routers in confirmations.
     pub fn set_routers(&self, routers: u32) {
-        self.said.routers.store(routers, Ordering::Relaxed);
+        self.state.routers.store(routers, Ordering::Relaxed);
     }
 
-    /// From now on the replica does this with charges.
-    pub fn set_charging(&self, charging: Charging) {
-        *self.said.charging.lock().expect("no panic") = charging;
+    /// Sets the handling of charges.
+    pub fn set_charge_handling(&self, charge_handling: ChargeHandling) {
+        *self.state.charge_handling.lock().expect("no panic") = charge_handling;
     }
 
-    /// Charges that came.
+    /// Charges received.
     pub fn charges(&self) -> Vec<LimitCharge> {
-        self.said.charges.lock().expect("no panic").clone()
+        self.state.charges.lock().expect("no panic").clone()
     }
 
-    /// Units that were given back.
-    pub fn given_back(&self) -> Vec<f64> {
-        self.said.given_back.lock().expect("no panic").clone()
+    /// Units refunded.
+    pub fn refunds(&self) -> Vec<f64> {
+        self.state.refunds.lock().expect("no panic").clone()
     }
 
-    /// The replica hears of another server and tells so.
-    pub fn hear(&self, report: InstanceReport) {
-        self.said.reports.lock().expect("no panic").push(report);
-        // Nobody is told before somebody follows.
-        let _ = self.said.heard.send(());
+    /// Adds a server to the list and publishes it.
+    pub fn add_server(&self, report: InstanceReport) {
+        self.state.reports.lock().expect("no panic").push(report);
+        // Fails if no gateway is subscribed yet.
+        let _ = self.state.server_changes.send(());
     }
 
-    /// Another router tells the gateway something.
-    pub fn relay(&self, from: u64, zone: &str, news: RouterNews) {
+    /// Sends an update of another router to the gateway.
+    pub fn send_peer_update(&self, from: u64, zone: &str, news: RouterNews) {
         let zone = ZoneName::new(zone).expect("a name");
-        // Nobody is told before somebody follows.
-        let _ = self.said.relayed.send(RelayedNews { from: NodeId(from), zone, news });
+        // Fails if no gateway is subscribed yet.
+        let _ = self.state.peer_updates.send(RelayedNews { from: NodeId(from), zone, news });
     }
 
-    /// Servers that the gateway has told of sending requests to.
-    pub fn told_sightings(&self) -> Vec<InstanceName> {
-        let told = self.said.told.lock().expect("no panic");
-        let sightings = told.iter().flat_map(|news| &news.sightings);
-        sightings.map(|sighting| sighting.instance.clone()).collect()
+    /// Servers in the dispatch reports that the gateway published.
+    pub fn published_dispatches(&self) -> Vec<InstanceName> {
+        let published = self.state.published.lock().expect("no panic");
+        let reports = published.iter().flat_map(|update| &update.sightings);
+        reports.map(|report| report.instance.clone()).collect()
     }
 
-    /// Servers that the gateway has told of the end of requests on.
-    pub fn told_ends(&self) -> Vec<InstanceName> {
-        let told = self.said.told.lock().expect("no panic");
-        let sightings: Vec<_> = told.iter().flat_map(|news| &news.sightings).collect();
+    /// Servers of the requests whose end the gateway published.
+    pub fn published_completions(&self) -> Vec<InstanceName> {
+        let published = self.state.published.lock().expect("no panic");
+        let reports: Vec<_> = published.iter().flat_map(|update| &update.sightings).collect();
         let server_of = |number: &u16| {
-            let told = sightings.iter().find(|sighting| sighting.number == *number);
-            told.expect("only requests that were told of end").instance.clone()
+            let report = reports.iter().find(|report| report.number == *number);
+            report.expect("only reported requests end").instance.clone()
         };
-        told.iter().flat_map(|news| news.ended.iter().map(server_of)).collect()
+        published.iter().flat_map(|update| update.ended.iter().map(server_of)).collect()
     }
 
-    /// Requests that the gateway asked to have recorded as in quarantine.
+    /// Quarantine requests of the gateway.
     pub fn quarantined(&self) -> Vec<QuarantineCall> {
-        self.said.quarantined.lock().expect("no panic").clone()
+        self.state.quarantined.lock().expect("no panic").clone()
     }
 
-    /// Ends of servers under requests that the gateway has told of, and those that it took back.
-    pub fn told_crashes(&self) -> (Vec<Crash>, Vec<Cleared>) {
-        let told = self.said.told.lock().expect("no panic");
-        let crashes = told.iter().filter_map(|news| news.crashes.clone());
+    /// Crashes and clearances that the gateway published.
+    pub fn published_crashes(&self) -> (Vec<Crash>, Vec<Cleared>) {
+        let published = self.state.published.lock().expect("no panic");
+        let crashes = published.iter().filter_map(|update| update.crashes.clone());
         let mut all = CrashNews::default();
-        for news in crashes {
-            all.crashes.extend(news.crashes);
-            all.cleared.extend(news.cleared);
+        for update in crashes {
+            all.crashes.extend(update.crashes);
+            all.cleared.extend(update.cleared);
         }
         (all.crashes, all.cleared)
     }
 
-    /// Servers whose reachability the gateway has told of.
-    pub fn told_reachability(&self) -> Vec<Reachability> {
-        let told = self.said.told.lock().expect("no panic");
-        told.iter().flat_map(|news| news.reachability.clone()).collect()
+    /// Reachability of servers that the gateway published.
+    pub fn published_reachability(&self) -> Vec<Reachability> {
+        let published = self.state.published.lock().expect("no panic");
+        published.iter().flat_map(|update| update.reachability.clone()).collect()
     }
 
-    /// What the gateway has told of servers that state what they take.
-    pub fn told_limits(&self) -> Vec<ServerLimitNews> {
-        let told = self.said.told.lock().expect("no panic");
-        told.iter().flat_map(|news| news.server_limits.clone().unwrap_or_default()).collect()
+    /// Advertised limits that the gateway published.
+    pub fn published_limits(&self) -> Vec<ServerLimitNews> {
+        let published = self.state.published.lock().expect("no panic");
+        published
+            .iter()
+            .flat_map(|update| update.server_limits.clone().unwrap_or_default())
+            .collect()
     }
 
-    /// What the gateway has told of what servers asked of it.
-    pub fn told_notices(&self) -> Vec<ServerNoticeNews> {
-        let told = self.said.told.lock().expect("no panic");
-        told.iter().flat_map(|news| news.notices.clone().unwrap_or_default()).collect()
+    /// Notices of servers that the gateway published.
+    pub fn published_notices(&self) -> Vec<ServerNoticeNews> {
+        let published = self.state.published.lock().expect("no panic");
+        published.iter().flat_map(|update| update.notices.clone().unwrap_or_default()).collect()
     }
 
-    /// From now on it doesn't.
+    /// Refuses to confirm from now on.
     pub fn stop_confirming(&self) {
-        self.said.confirms.store(false, Ordering::Relaxed);
+        self.state.confirms.store(false, Ordering::Relaxed);
     }
 }
 
-impl Said {
-    /// Waits before a charge is answered, if the replica is to answer charges late.
-    async fn dawdle(&self, request: &Request) {
-        let is_late = matches!(*self.charging.lock().expect("no panic"), Charging::AdmitsLate);
+impl ReplicaState {
+    /// Delays the answer to a charge if charges are admitted late.
+    async fn delay_charge(&self, request: &Request) {
+        let is_late =
+            matches!(*self.charge_handling.lock().expect("no panic"), ChargeHandling::AdmitLate);
         if is_late && matches!(request, Request::Charge(_)) {
             tokio::time::sleep(std::time::Duration::from_millis(200)).await;
         }
     }
 }
 
-async fn serve(said: Arc<Said>, stream: TcpStream) {
+async fn serve(state: Arc<ReplicaState>, stream: TcpStream) {
     let key = ClusterKey::from_text(KEY).expect("long enough");
-    let own = identity(PeerRole::Control, said.node.0);
+    let own = identity(PeerRole::Control, state.node.0);
     let Ok(Connection { mut reader, mut writer, .. }) = accept(stream, &key, &own).await else {
         return;
     };
     let (sender, mut messages) = mpsc::unbounded_channel();
-    // A frame must be read whole, so a task of its own does it.
+    // `receive` isn't cancellation-safe, so it runs in a task of its own.
     tokio::spawn(async move {
         while let Ok(message) = reader.receive().await {
             if sender.send(message).is_err() {
@@ -223,25 +226,25 @@
             }
         }
     });
-    let mut held_back = HeldBack::default();
-    let mut heard = said.heard.subscribe();
-    let mut relayed = said.relayed.subscribe();
+    let mut reordered = ReorderedAnswers::default();
+    let mut server_changes = state.server_changes.subscribe();
+    let mut peer_updates = state.peer_updates.subscribe();
     loop {
         let to_send = tokio::select! {
             message = messages.recv() => match message {
                 Some(Message::Request { call, request }) => {
-                    said.dawdle(&request).await;
-                    held_back.order(&said, &request, answers(&said, call, &request))
+                    state.delay_charge(&request).await;
+                    reordered.push(&state, &request, answer(&state, call, &request))
                 }
-                Some(Message::RouterNews(news)) => {
-                    said.told.lock().expect("no panic").push(news);
+                Some(Message::RouterNews(update)) => {
+                    state.published.lock().expect("no panic").push(update);
                     continue;
                 }
                 Some(_) => continue,
                 None => return,
             },
-            _ = heard.recv() => vec![instances(&said)],
-            told = relayed.recv() => vec![Message::RelayedNews(told.into_iter().collect())],
+            _ = server_changes.recv() => vec![instances_push(&state)],
+            update = peer_updates.recv() => vec![Message::RelayedNews(update.into_iter().collect())],
         };
         for message in to_send {
             if writer.send(&message).await.is_err() {
@@ -251,88 +254,94 @@
     }
 }
 
-fn answers(said: &Said, call: u64, request: &Request) -> Vec<Message> {
+fn answer(state: &ReplicaState, call: u64, request: &Request) -> Vec<Message> {
     let reply = |reply| Message::Reply { call, reply };
     match request {
-        Request::Follow => vec![reply(Reply::Done), news(said), instances(said)],
+        Request::Follow => vec![reply(Reply::Done), fleet_push(state), instances_push(state)],
         Request::Catalog { .. } => {
-            let body = minicbor::to_vec(&said.catalog).expect("encodes");
-            vec![reply(Reply::Catalog(Some(CatalogBody { version: said.catalog.version, body })))]
+            let body = minicbor::to_vec(&state.catalog).expect("encodes");
+            vec![reply(Reply::Catalog(Some(CatalogBody { version: state.catalog.version, body })))]
         }
-        Request::Confirm if said.confirms.load(Ordering::Relaxed) => {
+        Request::Confirm if state.confirms.load(Ordering::Relaxed) => {
             vec![reply(Reply::Confirmed {
                 age_ms: 0,
                 revision: REVISION,
-                routers: said.routers.load(Ordering::Relaxed),
+                routers: state.routers.load(Ordering::Relaxed),
             })]
         }
-        Request::Charge(charge) => charged(said, charge).map(reply).into_iter().collect(),
+        Request::Charge(charge) => handle_charge(state, charge).map(reply).into_iter().collect(),
         Request::Quarantine(call) => {
-            said.quarantined.lock().expect("no panic").push(call.clone());
+            state.quarantined.lock().expect("no panic").push(call.clone());
             vec![reply(Reply::Done)]
         }
         Request::GiveBack { units, .. } => {
-            said.given_back.lock().expect("no panic").push(*units);
+            state.refunds.lock().expect("no panic").push(*units);
             vec![reply(Reply::Done)]
         }
         _ => vec![reply(Reply::Refused(Refusal::NoQuorum))],
     }
 }
 
-fn charged(said: &Said, charge: &LimitCharge) -> Option<Reply> {
-    said.charges.lock().expect("no panic").push(charge.clone());
+fn handle_charge(state: &ReplicaState, charge: &LimitCharge) -> Option<Reply> {
+    state.charges.lock().expect("no panic").push(charge.clone());
     let answer = |refused_for_ms| {
         Some(Reply::Charged(ChargeAnswer { refused_for_ms, fleet_per_second: 0.0 }))
     };
-    match *said.charging.lock().expect("no panic") {
-        Charging::Admits | Charging::AdmitsLate => answer(None),
-        Charging::Refuses { pause_ms } => answer(Some(pause_ms)),
-        Charging::OwnsNothing => Some(Reply::Refused(Refusal::NoQuorum)),
-        Charging::IsSilent => None,
+    match *state.charge_handling.lock().expect("no panic") {
+        ChargeHandling::Admit | ChargeHandling::AdmitLate => answer(None),
+        ChargeHandling::Refuse { pause_ms } => answer(Some(pause_ms)),
+        ChargeHandling::NotOwner => Some(Reply::Refused(Refusal::NoQuorum)),
+        ChargeHandling::Ignore => None,
     }
 }
 
-fn news(said: &Said) -> Message {
+fn fleet_push(state: &ReplicaState) -> Message {
     Message::Push(Push::Fleet(FleetNews {
         revision: REVISION,
-        catalog_version: said.catalog.version,
+        catalog_version: state.catalog.version,
         weights: BTreeMap::new(),
         departures: Vec::new(),
-        members: vec![said.node],
+        members: vec![state.node],
         quarantine: None,
         departed_through: Vec::new(),
         member_zones: Vec::new(),
     }))
 }
 
-fn instances(said: &Said) -> Message {
-    let heard = said.reports.lock().expect("no panic").clone().into_iter();
+fn instances_push(state: &ReplicaState) -> Message {
+    let heard = state.reports.lock().expect("no panic").clone().into_iter();
     let heard = heard.map(|report| HeardInstance { report, silent: false, age_ms: 0 }).collect();
     Message::Push(Push::Instances { heard, whole: true, gone: Vec::new() })
 }
 
-/// Answers to the first question for a confirmation and to another call, until both have come.
+/// Holds back the answers to the first confirmation request and to a later request until both are
+/// there, to send them in reverse order.
 #[derive(Default)]
-struct HeldBack {
+struct ReorderedAnswers {
     confirmed: Vec<Message>,
-    listening: Vec<Message>,
-    is_over: bool,
+    other: Vec<Message>,
+    is_done: bool,
 }
 
-impl HeldBack {
-    fn order(&mut self, said: &Said, request: &Request, answers: Vec<Message>) -> Vec<Message> {
-        if !said.confirms_once_late.load(Ordering::Relaxed) {
+impl ReorderedAnswers {
+    fn push(
+        &mut self,
+        state: &ReplicaState,
+        request: &Request,
+        answers: Vec<Message>,
+    ) -> Vec<Message> {
+        if !state.confirms_out_of_order.load(Ordering::Relaxed) {
             return answers;
         }
         match request {
-            Request::Confirm if self.is_over || !self.confirmed.is_empty() => return Vec::new(),
+            Request::Confirm if self.is_done || !self.confirmed.is_empty() => return Vec::new(),
             Request::Confirm => self.confirmed = answers,
-            Request::ListenToRouters { .. } => self.listening = answers,
+            Request::ListenToRouters { .. } => self.other = answers,
             _ => return answers,
         }
-        self.is_over = !self.confirmed.is_empty() && !self.listening.is_empty();
-        match self.is_over {
-            true => self.listening.drain(..).chain(self.confirmed.drain(..)).collect(),
+        self.is_done = !self.confirmed.is_empty() && !self.other.is_empty();
+        match self.is_done {
+            true => self.other.drain(..).chain(self.confirmed.drain(..)).collect(),
             false => Vec::new(),
         }
     }
--- a/crates/gateway/tests/paths/support/dialect.rs
+++ b/crates/gateway/tests/paths/support/dialect.rs
@@ -1,4 +1,4 @@
-//! Headers for tests.
+//! Dialect of the tests.
 
 use std::time::Duration;
 
--- a/crates/gateway/tests/paths/support/mod.rs
+++ b/crates/gateway/tests/paths/support/mod.rs
@@ -1,4 +1,4 @@
-//! A gateway on loopback with a control replica and servers that follow a script.
+//! A gateway on loopback with a fake control replica and fake servers.
 
 pub mod caller;
 pub mod control;
@@ -26,8 +26,8 @@
 
 pub const KEY: &str = "a cluster key for tests";
 
-/// Longest wait for something that must happen.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout for conditions that must come true.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 pub fn zone() -> ZoneName {
     ZoneName::new("north").expect("valid")
@@ -55,7 +55,7 @@
     }
 }
 
-/// The limit of the tenant that has one.
+/// Limit of `tenant-2`.
 pub const LIMIT: TenantLimit =
     TenantLimit { per_second: 1_000.0, burst: 500.0, unit: LimitUnit::Tokens { plain: 200 } };
 
@@ -64,7 +64,7 @@
     Tenant { name: name.to_owned(), keys, priority: None, isolated: false, limit }
 }
 
-/// Routes for each kind of request, a tenant with a limit and one without, one service.
+/// Catalog with routes of each kind, a tenant with a limit and one without, and one service.
 pub fn catalog() -> Catalog {
     let resumable = Route { resumable: true, ..route("/resumable/", RouteKind::Stream, 2) };
     Catalog {
@@ -88,7 +88,7 @@
     }
 }
 
-/// A running gateway. It stops, as planned, when told to, and dies when dropped.
+/// A running gateway, aborted when dropped.
 pub struct TestGateway {
     pub callers: SocketAddr,
     pub readiness: SocketAddr,
@@ -97,7 +97,7 @@
     task: JoinHandle<()>,
 }
 
-/// A listener on a port that the system chose, and its address.
+/// Binds a listener to a free port and returns its address too.
 async fn listener() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("bound");
@@ -105,7 +105,7 @@
 }
 
 impl TestGateway {
-    /// Starts a gateway that knows `servers` and waits until it is ready.
+    /// Starts a gateway with `servers` and waits until it is ready.
     pub async fn start(servers: &[&FakeServer]) -> Self {
         let gateway = Self::start_unready(servers).await;
         gateway.control.confirm();
@@ -116,16 +116,16 @@
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         };
-        tokio::time::timeout(PATIENCE, ready).await.expect("ready in time");
+        tokio::time::timeout(TEST_TIMEOUT, ready).await.expect("ready in time");
         gateway
     }
 
-    /// Starts a gateway whose replica confirms nothing yet.
+    /// Starts a gateway whose replica doesn't confirm yet.
     pub async fn start_unready(servers: &[&FakeServer]) -> Self {
         Self::start_with(servers, |_| ()).await
     }
 
-    /// Starts a gateway whose replica was told what to do before.
+    /// Starts a gateway after `prepare` has configured its replica.
     pub async fn start_with(servers: &[&FakeServer], prepare: impl FnOnce(&FakeControl)) -> Self {
         let reports = servers.iter().map(|server| server.report()).collect();
         let control = FakeControl::start(catalog(), reports).await;
@@ -148,28 +148,33 @@
             fingerprint_key: FingerprintKey::new([7; 32]),
             grace: Duration::from_secs(8),
         };
-        let (stop, stopped) = oneshot::channel::<()>();
-        let stopped = async {
-            if stopped.await.is_err() {
+        let (stop, stop_requested) = oneshot::channel::<()>();
+        let stop_requested = async {
+            if stop_requested.await.is_err() {
                 std::future::pending::<()>().await;
             }
         };
         let task = tokio::spawn(async move {
-            run(settings, TestDialect, feed, listeners, stopped).await.expect("it runs");
+            run(settings, TestDialect, feed, listeners, stop_requested)
+                .await
+                .expect("gateway runs");
         });
         TestGateway { callers, readiness, control, stop: Some(stop), task }
     }
 
-    /// Begins a planned stop.
+    /// Starts a planned shutdown.
     pub fn stop(&mut self) {
         if let Some(stop) = self.stop.take() {
             let _ = stop.send(());
         }
     }
 
-    /// Waits until a planned stop is over.
-    pub async fn stopped(mut self) {
-        tokio::time::timeout(PATIENCE, &mut self.task).await.expect("in time").expect("no panic");
+    /// Waits until a planned shutdown has completed.
+    pub async fn wait_until_stopped(mut self) {
+        tokio::time::timeout(TEST_TIMEOUT, &mut self.task)
+            .await
+            .expect("in time")
+            .expect("no panic");
     }
 }
 
--- a/crates/gateway/tests/paths/support/server.rs
+++ b/crates/gateway/tests/paths/support/server.rs
@@ -1,4 +1,4 @@
-//! A server whose answers are bytes from a script.
+//! Server with scripted answers.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
@@ -10,15 +10,15 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
-/// What a server does with a request.
+/// Step of a server's answer to a request.
 #[derive(Clone, Debug)]
 pub enum Step {
     Send(String),
     Wait(Duration),
     /// Closes the connection.
     Close,
-    /// Ends the server: nobody listens any more, and all connections are closed.
-    End,
+    /// Stops the server: connections are closed and new ones refused.
+    Crash,
 }
 
 type Script = Arc<dyn Fn(usize, &str) -> Vec<Step> + Send + Sync>;
@@ -28,14 +28,14 @@
     name: String,
     port: u16,
     requests: Arc<Mutex<Vec<String>>>,
-    /// Connections that the caller closed while the server was at work.
+    /// Connections that the client closed before the answer was complete.
     abandoned: Arc<AtomicUsize>,
     connections: Arc<AtomicUsize>,
-    ended: watch::Sender<bool>,
+    crashed: watch::Sender<bool>,
 }
 
 impl FakeServer {
-    /// Starts a server; `script` gets the number of the request, from 0, and its head.
+    /// Starts a server. `script` gets the number of the request, from 0, and its head.
     pub async fn start(
         name: &str,
         script: impl Fn(usize, &str) -> Vec<Step> + Send + Sync + 'static,
@@ -48,17 +48,17 @@
             requests: Arc::default(),
             abandoned: Arc::default(),
             connections: Arc::default(),
-            ended: watch::Sender::new(false),
+            crashed: watch::Sender::new(false),
         };
         let (serving, script): (_, Script) = (server.clone(), Arc::new(script));
-        let mut ended = server.ended.subscribe();
+        let mut crashed = server.crashed.subscribe();
         tokio::spawn(async move {
-            // Dropped with this task, which closes the connections.
+            // Connections are closed when this task ends.
             let mut connections = JoinSet::new();
             loop {
                 let stream = tokio::select! {
                     accepted = listener.accept() => accepted.expect("a connection").0,
-                    _ = ended.wait_for(|ended| *ended) => return,
+                    _ = crashed.wait_for(|crashed| *crashed) => return,
                 };
                 serving.connections.fetch_add(1, Ordering::Relaxed);
                 connections.spawn(serving.clone().serve(stream, Arc::clone(&script)));
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Heads of the requests that came.
+    /// Heads and bodies of the requests received.
     pub fn requests(&self) -> Vec<String> {
         self.requests.lock().expect("not poisoned").clone()
     }
@@ -109,14 +109,14 @@
                     }
                     Step::Send(_) => {}
                     Step::Close => return,
-                    Step::End => {
-                        self.ended.send_replace(true);
+                    Step::Crash => {
+                        self.crashed.send_replace(true);
                         return std::future::pending().await;
                     }
                     Step::Wait(time) => {
                         let mut byte = [0];
-                        let left = tokio::time::timeout(time, stream.read(&mut byte)).await;
-                        if left.is_ok() {
+                        let read = tokio::time::timeout(time, stream.read(&mut byte)).await;
+                        if read.is_ok() {
                             self.abandoned.fetch_add(1, Ordering::Relaxed);
                             return;
                         }
@@ -127,12 +127,13 @@
     }
 }
 
-/// A server that answers everything with success.
-pub async fn good(name: &str) -> FakeServer {
-    FakeServer::start(name, |_, head| vec![Step::Send(whole(head, "200 OK", "fine"))]).await
+/// Starts a server that answers all requests with success.
+pub async fn healthy(name: &str) -> FakeServer {
+    FakeServer::start(name, |_, head| vec![Step::Send(complete_answer(head, "200 OK", "fine"))])
+        .await
 }
 
-/// Reads a request, its head and then its body; `None` at the end of the connection.
+/// Reads the head and body of a request; `None` when the connection is closed.
 async fn read_request(stream: &mut TcpStream) -> Option<String> {
     let mut bytes = Vec::new();
     while !bytes.ends_with(b"\r\n\r\n") {
@@ -149,7 +150,7 @@
     Some(head + &String::from_utf8_lossy(&body))
 }
 
-/// The value of a header in a head.
+/// Value of a header in a request or response head.
 pub fn header<'a>(head: &'a str, name: &str) -> Option<&'a str> {
     let lines = head.lines().filter_map(|line| line.split_once(':'));
     let mut values = lines.filter(|(key, _)| key.eq_ignore_ascii_case(name));
@@ -160,15 +161,15 @@
     header(head, "x-id").unwrap_or("none")
 }
 
-/// A whole answer with a seal.
-pub fn whole(head: &str, status: &str, body: &str) -> String {
+/// A complete answer with a seal.
+pub fn complete_answer(head: &str, status: &str, body: &str) -> String {
     let (id, length) = (id(head), body.len());
     format!(
         "HTTP/1.1 {status}\r\nx-id: {id}\r\nx-seal: s\r\ncontent-length: {length}\r\n\r\n{body}"
     )
 }
 
-/// The head of a stream, signed by `seal`.
+/// Head of a stream with this seal.
 pub fn stream_head(head: &str, seal: &str) -> String {
     let id = id(head);
     format!(
@@ -182,10 +183,10 @@
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-/// One event.
+/// A chunk with one event.
 pub fn event(number: u64) -> String {
     chunk(&format!("id: {number}\ndata: d{number}\n\n"))
 }
 
-/// The end of a chunked body.
-pub const END: &str = "0\r\n\r\n";
+/// Last chunk of a chunked body.
+pub const LAST_CHUNK: &str = "0\r\n\r\n";
--- a/crates/gateway/tests/settings.rs
+++ b/crates/gateway/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Bounds that a gateway works out from its settings.
+//! Limits that a gateway derives from its settings.
 
 use std::time::Duration;
 
@@ -18,9 +18,9 @@
     }
 }
 
-/// A request that was sent 8.1 s after new weights were named began after 10 s.
+/// Requests sent to servers with old weights may queue there, but must start within the bound.
 #[test]
-fn what_is_sent_to_old_weights_has_time_to_wait_for_its_turn() {
+fn requests_to_servers_with_old_weights_have_time_to_queue() {
     for seconds in [8, 10, 12] {
         let within = Duration::from_secs(seconds);
         let last = settings(within).strict_weights_after();
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_short_bound_leaves_half_of_it_for_the_rollout() {
+fn a_short_bound_leaves_half_of_it_for_requests_in_the_queue() {
     let last = settings(Duration::from_secs(3)).strict_weights_after();
     assert_eq!(last, Duration::from_millis(1_500));
 }
