--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -313,7 +313,7 @@
     }
 }
 
-/// Sends the request to servers until one answers or no other may be tried.
+/// Sends the request to servers until one answers or no further attempt is allowed.
 async fn serve(gateway: &Arc<Gateway>, call: Call) -> Response<AnswerBody> {
     let now = gateway.now();
     gateway.retry_budget().record_request(&call.service, now);
--- a/crates/gateway/src/lifecycle.rs
+++ b/crates/gateway/src/lifecycle.rs
@@ -67,7 +67,7 @@
 
 impl Listeners {
     /// Uses sockets that are already bound.
-    pub fn bound(callers: TcpListener, readiness: TcpListener) -> Self {
+    pub fn from_bound(callers: TcpListener, readiness: TcpListener) -> Self {
         Listeners { callers, readiness: Some(readiness), metrics: None }
     }
 
--- a/crates/gateway/src/search.rs
+++ b/crates/gateway/src/search.rs
@@ -140,7 +140,7 @@
         self.last_error = Some(error);
     }
 
-    /// Takes a retry from the budget; the first attempt is free. Returns whether to go on.
+    /// Takes a retry from the budget; the first attempt is free. Returns whether the request may be sent.
     fn take_retry_budget(&self) -> bool {
         if self.progress.sent == 0 {
             return true;
--- a/crates/gateway/tests/paths/support/mod.rs
+++ b/crates/gateway/tests/paths/support/mod.rs
@@ -138,7 +138,7 @@
         });
         let (caller_listener, callers) = listener().await;
         let (readiness_listener, readiness) = listener().await;
-        let listeners = Listeners::bound(caller_listener, readiness_listener);
+        let listeners = Listeners::from_bound(caller_listener, readiness_listener);
         let settings = GatewaySettings {
             node: "gateway".to_owned(),
             zone: "north".to_owned(),
