--- a/crates/placement/src/admission.rs
+++ b/crates/placement/src/admission.rs
@@ -1,50 +1,52 @@
-//! Whether a prompt is sent at all, by what waits at the servers already.
+//! Admission of prompts under overload.
 //!
-//! What waits at a server holds memory that kept parts would need, so that more is read again, and a
-//! server that reads without a break makes its streams pause. Beyond some wait each further prompt
-//! costs others more than it can earn itself: what is served in time falls while more is offered. So
-//! a prompt that can't begin well within its time is refused before it is sent, the least urgent first.
+//! Queued prompts occupy cache memory, so that more shared segments are evicted and computed again,
+//! and long prefills stall the streams on the server. Beyond some queue length, each further prompt
+//! reduces the number of prompts that finish in time. Prompts that can't start well before their
+//! deadline are therefore rejected before they are sent, the least urgent ones first.
 
 use std::time::Duration;
 
-/// Part of the time that is left within which a most urgent prompt has to begin. Routers hear late of
-/// what the others send, so what is expected at half the time is late at times.
-const MAX_FIRST_OUTPUT: f64 = 0.5;
+/// Share of the remaining time within which one of the most urgent prompts must start. The margin
+/// covers the delay of other routers' dispatch reports.
+const MAX_URGENT_START_SHARE: f64 = 0.5;
 
-/// The same for less urgent ones, which leave room to the urgent ones by it.
-const MAX_FIRST_OUTPUT_LESS_URGENT: f64 = 0.4;
+/// Share of the remaining time within which a less urgent prompt must start. Lower, to keep room
+/// for urgent ones.
+const MAX_START_SHARE: f64 = 0.4;
 
-/// Wait at the chosen server, relative to that limit, from which a prompt that begins later is
-/// refused. Below it the prompt's own reading takes the time, and refusing would serve nobody.
-const LONG_WAIT: f64 = 1.0;
+/// Wait at the chosen server, relative to the start limit, above which a prompt that would start
+/// after the limit is rejected. Below, the time is the prompt's own prefill, and a rejection would
+/// free no capacity for others.
+const LONG_WAIT_FACTOR: f64 = 1.0;
 
-/// Wait at three quarters of the servers, relative to that limit, from which the service is short of
-/// servers. A long prompt is then refused even where little waits: it would be the next to make others
-/// wait.
-const SCARCE_WAIT: f64 = 0.15;
+/// Lower quartile of the waits of all servers, relative to the start limit, above which capacity is
+/// scarce. Long prompts are then rejected even at a server with a short queue, since they would
+/// delay others.
+const SCARCE_CAPACITY_FACTOR: f64 = 0.15;
 
-/// What is expected of a prompt at the server that costs least, in milliseconds.
+/// Expected timing of a prompt at the server with the lowest cost.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Prospect {
-    /// Time to its first output.
+    /// Time to first output, in milliseconds.
     pub first_output_ms: f64,
-    /// Time of that for which it waits behind others.
+    /// Part of that time spent in the queue, in milliseconds.
     pub wait_ms: f64,
 }
 
-/// Why a prompt is refused: the beliefs that led to it, in milliseconds.
+/// Estimates that led to the rejection of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Overload {
-    /// What was expected of it.
+    /// Expected timing of the prompt.
     pub prospect: Prospect,
-    /// Time for which a prompt would wait at least at three quarters of the servers.
+    /// Lower quartile of the queueing times over all servers, in milliseconds.
     pub least_waits_ms: f64,
-    /// Time within which it had to begin.
+    /// Time within which the prompt had to start, in milliseconds.
     pub limit_ms: f64,
 }
 
 impl Overload {
-    /// Time by which too much waits.
+    /// Time by which the expected start exceeds the limit.
     pub fn excess(&self) -> Duration {
         let excess_ms = (self.prospect.first_output_ms - self.limit_ms).max(0.0);
         Duration::from_secs_f64(excess_ms / 1_000.0)
@@ -52,22 +54,23 @@
 }
 
 impl Prospect {
-    /// Why a prompt of this rank, 0 for the most urgent, isn't sent. `least_waits_ms` is only asked for
-    /// if it matters: it looks at every server.
+    /// Returns the reason for rejecting a prompt of this rank (0 is the most urgent), or `None` to
+    /// admit it. `least_waits_ms` visits every server and is only called if the start limit is
+    /// exceeded.
     pub fn overload(
         self,
         rank: u8,
         time_left: Duration,
         least_waits_ms: impl FnOnce() -> f64,
     ) -> Option<Overload> {
-        let part = if rank == 0 { MAX_FIRST_OUTPUT } else { MAX_FIRST_OUTPUT_LESS_URGENT };
+        let part = if rank == 0 { MAX_URGENT_START_SHARE } else { MAX_START_SHARE };
         let limit_ms = time_left.as_secs_f64() * 1_000.0 * part;
         if self.first_output_ms <= limit_ms {
             return None;
         }
         let least_waits_ms = least_waits_ms();
-        let waits_long = self.wait_ms > limit_ms * LONG_WAIT;
-        let is_scarce = least_waits_ms > limit_ms * SCARCE_WAIT;
+        let waits_long = self.wait_ms > limit_ms * LONG_WAIT_FACTOR;
+        let is_scarce = least_waits_ms > limit_ms * SCARCE_CAPACITY_FACTOR;
         (waits_long || is_scarce).then_some(Overload { prospect: self, least_waits_ms, limit_ms })
     }
 }
--- /dev/null
+++ b/crates/placement/src/cached_segments.rs
@@ -0,0 +1,127 @@
+//! Model of the prefix segments in a server's KV cache.
+//!
+//! Engines publish their cache contents late and incompletely, and querying them slows them down.
+//! Since engines evict the least recently used segments, each router applies the prompts that all
+//! routers dispatch to a model of each server's cache.
+
+use std::collections::{HashMap, VecDeque};
+
+use juniper_types::Timestamp;
+
+/// Share of the cache capacity that the model uses. The rest is left for generated tokens, partial
+/// blocks and prompts missing from the dispatch reports.
+const USABLE_CACHE_SHARE: f64 = 0.9;
+
+/// Maximum number of recorded uses. The only bound if the cache capacity is unknown.
+const MAX_USES: usize = 1_024;
+
+/// Segments of a prompt that was dispatched to a server.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct DispatchedPrompt<'a> {
+    /// Prefix keys, one for each shared segment.
+    pub keys: &'a [u64],
+    /// Tokens of each shared segment.
+    pub tokens: &'a [u32],
+    /// Prompt tokens after the shared segments.
+    pub own_tokens: u32,
+    /// Expected end of the prefill. Other servers can fetch the segments from then on.
+    pub computed_at: Timestamp,
+}
+
+/// A use of a segment.
+#[derive(Clone, Copy, Debug)]
+struct Use {
+    /// Prefix key of the segment; `None` for the unshared end of a prompt.
+    key: Option<u64>,
+    tokens: u32,
+    /// Sequence number of the use.
+    number: u64,
+}
+
+/// State of a cached segment.
+#[derive(Clone, Copy, Debug)]
+struct CachedSegment {
+    /// Sequence number of the most recent use.
+    last_use: u64,
+    /// Expected end of the prefill that first computed the segment.
+    computed_at: Timestamp,
+}
+
+/// Segments that a server is expected to have in its cache.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct CachedSegments {
+    /// Version of the weights that computed the segments; other versions can't use them.
+    version: u64,
+    segments: HashMap<u64, CachedSegment>,
+    /// Uses, the most recent last. Only the most recent use of a segment counts.
+    uses: VecDeque<Use>,
+    /// Total tokens of the cached segments.
+    cached_tokens: u64,
+    next_use: u64,
+}
+
+impl CachedSegments {
+    /// Applies a prompt dispatched to the server with weights of `version` and a cache of
+    /// `capacity` tokens; zero if the capacity is unknown.
+    pub(crate) fn record(&mut self, version: u64, prompt: DispatchedPrompt<'_>, capacity: u64) {
+        if version < self.version {
+            return;
+        }
+        if version > self.version {
+            *self = CachedSegments { version, ..CachedSegments::default() };
+        }
+        for (key, tokens) in prompt.keys.iter().zip(prompt.tokens) {
+            self.record_use(Some(*key), *tokens, prompt.computed_at);
+        }
+        self.record_use(None, prompt.own_tokens, prompt.computed_at);
+        self.evict_least_recently_used(capacity);
+    }
+
+    fn record_use(&mut self, key: Option<u64>, tokens: u32, computed_at: Timestamp) {
+        let number = self.next_use;
+        self.next_use += 1;
+        self.uses.push_back(Use { key, tokens, number });
+        let known = key.and_then(|key| self.segments.get_mut(&key));
+        if let Some(known) = known {
+            known.last_use = number;
+            return;
+        }
+        self.cached_tokens += u64::from(tokens);
+        if let Some(key) = key {
+            self.segments.insert(key, CachedSegment { last_use: number, computed_at });
+        }
+    }
+
+    /// Evicts the least recently used segments until the rest fits.
+    fn evict_least_recently_used(&mut self, capacity: u64) {
+        let room = (capacity as f64 * USABLE_CACHE_SHARE) as u64;
+        let is_full = |cache: &CachedSegments| {
+            cache.uses.len() > MAX_USES || (capacity > 0 && cache.cached_tokens > room)
+        };
+        while is_full(self)
+            && let Some(oldest) = self.uses.pop_front()
+        {
+            if let Some(key) = oldest.key {
+                let is_latest =
+                    self.segments.get(&key).is_some_and(|cached| cached.last_use == oldest.number);
+                if !is_latest {
+                    continue;
+                }
+                self.segments.remove(&key);
+            }
+            self.cached_tokens = self.cached_tokens.saturating_sub(u64::from(oldest.tokens));
+        }
+    }
+
+    /// Whether the segment, computed by weights of `version`, is expected to be cached.
+    pub(crate) fn contains(&self, version: u64, key: u64) -> bool {
+        version == self.version && self.segments.contains_key(&key)
+    }
+
+    /// Whether the prefill of the segment is expected to be complete, so that other servers can
+    /// fetch it.
+    pub(crate) fn is_computed(&self, version: u64, key: u64, now: Timestamp) -> bool {
+        let cached = self.segments.get(&key).filter(|_| version == self.version);
+        cached.is_some_and(|cached| cached.computed_at <= now)
+    }
+}
--- a/crates/placement/src/candidates.rs
+++ b/crates/placement/src/candidates.rs
@@ -1,4 +1,4 @@
-//! The servers that a request may be sent to, and those of them that are known to work.
+//! Selection of the servers that may serve a request.
 
 use juniper_registry::InstanceName;
 use juniper_types::Timestamp;
@@ -9,57 +9,60 @@
 use crate::server::Server;
 
 impl Placement {
-    /// The servers that the request may be sent to at all.
+    /// Servers that the request may be sent to.
     pub(crate) fn candidates(
         &self,
         members: &[InstanceName],
         request: &ServerRequest<'_>,
         now: Timestamp,
     ) -> Result<Vec<&Server>, NoChoice> {
-        let known = members.iter().filter_map(|id| self.servers.get(id));
-        // The list of servers lags behind their own word.
-        let stays = |server: &&Server| !server.health.replaced && !server.is_leaving;
-        let known: Vec<&Server> = known.filter(stays).collect();
-        if known.is_empty() {
+        let listed = members.iter().filter_map(|id| self.servers.get(id));
+        // The instance list lags behind the servers' own answers.
+        let is_in_service = |server: &&Server| !server.health.replaced && !server.is_departing;
+        let listed: Vec<&Server> = listed.filter(is_in_service).collect();
+        if listed.is_empty() {
             return Err(NoChoice::NoServer);
         }
-        let mut fresh: Vec<&Server> = known;
+        let mut candidates: Vec<&Server> = listed;
         if let Some(prompt) = request.prompt {
-            fresh.retain(|server| server.version_of(&prompt.model) >= request.min_version);
-            if fresh.is_empty() {
+            candidates.retain(|server| server.version_of(&prompt.model) >= request.min_version);
+            if candidates.is_empty() {
                 return Err(NoChoice::OldWeights);
             }
         }
-        // Being full is a price, but a rest is a fact: there is no road on which it may be passed over.
-        let shortest_rest = fresh.iter().filter_map(|server| self.rest_of(server, now)).min();
-        fresh.retain(|server| self.rest_of(server, now).is_none());
-        if let Some(rest) = shortest_rest.filter(|_| fresh.is_empty()) {
-            return Err(NoChoice::Resting(rest));
+        // A full server only costs more, but a backoff must be respected in any case.
+        let shortest_backoff =
+            candidates.iter().filter_map(|server| self.active_backoff(server, now)).min();
+        candidates.retain(|server| self.active_backoff(server, now).is_none());
+        if let Some(backoff) = shortest_backoff.filter(|_| candidates.is_empty()) {
+            return Err(NoChoice::Resting(backoff));
         }
-        fresh.retain(|server| !request.excluded.contains(&server.instance.id));
-        if fresh.is_empty() {
+        candidates.retain(|server| !request.excluded.contains(&server.instance.id));
+        if candidates.is_empty() {
             return Err(NoChoice::AllExcluded);
         }
-        // One that has got what it takes from all routers would be sent more than it bears.
-        let pauses = fresh.iter().filter_map(|server| server.pause(now));
-        let shortest = pauses.min().unwrap_or_default();
-        let spares = request.spares_limited;
-        fresh.retain(|server| server.pause(now).is_none() && !(spares && server.limit.is_some()));
-        match fresh.is_empty() {
-            true => Err(NoChoice::UsedUp(shortest)),
-            false => Ok(fresh),
+        // A server at its limit would be overloaded by any further request.
+        let limit_waits = candidates.iter().filter_map(|server| server.limit_wait(now));
+        let shortest_wait = limit_waits.min().unwrap_or_default();
+        let avoids_limited = request.spares_limited;
+        candidates.retain(|server| {
+            server.limit_wait(now).is_none() && !(avoids_limited && server.limit.is_some())
+        });
+        match candidates.is_empty() {
+            true => Err(NoChoice::UsedUp(shortest_wait)),
+            false => Ok(candidates),
         }
     }
 }
 
-/// Whether the server is known to work and takes new requests of this kind.
+/// Whether the server is known to work and accepts new requests of this kind.
 pub(crate) fn is_usable(server: &Server, request: &ServerRequest<'_>, now: Timestamp) -> bool {
     let version = request.prompt.map(|prompt| server.version_of(&prompt.model));
-    let denied = version.is_some_and(|version| server.health.denies(version, now));
-    !server.health.is_unreachable() && !server.renewing && !denied
+    let is_rejected = version.is_some_and(|version| server.health.rejects_version(version, now));
+    !server.health.is_unreachable() && !server.renewing && !is_rejected
 }
 
-/// Any of the servers, when none is known to work: it may work again.
+/// Picks a server at random when none is known to work: one may have recovered.
 pub(crate) fn last_resort(
     candidates: &[&Server],
     request: &ServerRequest<'_>,
--- a/crates/placement/src/choice.rs
+++ b/crates/placement/src/choice.rs
@@ -1,4 +1,4 @@
-//! What a choice comes to.
+//! The result of choosing a server.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -8,26 +8,26 @@
 use juniper_types::Timestamp;
 
 use crate::admission::Overload;
+use crate::dispatch_record::{ChainSighting, ToldRequest};
 use crate::homes::ChainKeys;
-use crate::sighting::{ChainSighting, ToldRequest};
 
 /// Why a server was chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// It has the prompt's shared parts.
+    /// The server has the prompt's shared segments in its cache.
     Holder,
-    /// It is meant to keep them; nobody has them.
+    /// The server is the home of the shared segments, and no server has them in its cache.
     Home,
-    /// It fetches them; who has them is busier or worse.
+    /// The server fetches shared segments from another server that is busier or less healthy.
     Fetch,
-    /// It costs least.
+    /// The server has the lowest expected cost.
     LeastCost,
-    /// None is known to work; this one was drawn at random.
+    /// No server is known to work; this one was picked at random.
     LastResort,
 }
 
 impl Reason {
-    /// The reason for logs.
+    /// Value of the `reason` log key.
     pub fn as_str(self) -> &'static str {
         match self {
             Reason::Holder => "holder",
@@ -42,47 +42,46 @@
 /// A chosen server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Choice {
-    /// Its life.
+    /// Incarnation of the chosen server.
     pub instance: InstanceId,
-    /// Where it takes requests.
+    /// Address that the server listens on.
     pub address: SocketAddrV4,
-    /// Why it was chosen.
+    /// Why the server was chosen.
     pub reason: Reason,
     /// Expected cost, in milliseconds.
     pub cost_ms: f64,
-    /// Whether its first output is expected too late even there. It gives way to requests that can
-    /// be in time, so nobody waits for it.
+    /// Whether the first output is expected after the deadline. The server runs a late request
+    /// after those that can still be in time, so it isn't counted as queued.
     pub is_late: bool,
-    /// Tokens that it should have kept.
+    /// Prompt tokens expected in the server's cache.
     pub kept_tokens: u32,
-    /// Tokens that it has to read.
+    /// Prompt tokens that the server must compute.
     pub missed_tokens: u32,
-    /// Servers that were considered.
+    /// Number of servers that were considered.
     pub candidates: usize,
-    /// Version of the weights that it is known to have; zero without a model.
+    /// Version of the model weights on the server; zero without a model.
     pub version: u64,
-    /// A server with the same weights, or a store, that should have kept more of
-    /// the prompt.
+    /// Server with the same weights, or store, from which further segments can be fetched.
     pub source: Option<SocketAddrV4>,
-    /// The store that should get the prompt's parts once they are read.
+    /// Store that should save the prompt's segments after prefill.
     pub store: Option<SocketAddrV4>,
-    /// Names the beginnings of the prompt's shared parts.
+    /// Keys of the prompt's shared prefixes, the longest last.
     pub keys: Vec<u64>,
-    /// Tokens of each shared part.
+    /// Tokens of each shared segment.
     pub part_tokens: Vec<u32>,
-    /// Tokens that no other prompt has.
+    /// Prompt tokens after the shared segments.
     pub own_tokens: u32,
-    /// Tokens that it has to read or fetch.
+    /// Prompt tokens that are new in the server's cache, computed or fetched.
     pub inserted_tokens: u32,
 }
 
 impl Choice {
-    /// Tokens to read that requests in time wait for.
-    pub(crate) fn tokens_in_line(&self) -> u32 {
+    /// Prefill tokens that add to the server's queue: none if the request is late.
+    pub(crate) fn queued_tokens(&self) -> u32 {
         if self.is_late { 0 } else { self.missed_tokens }
     }
 
-    /// What other routers should know of the choice.
+    /// Description of the dispatch for other routers.
     pub fn sighting(&self) -> ChainSighting {
         ChainSighting {
             instance: self.instance.clone(),
@@ -91,70 +90,72 @@
             part_tokens: self.part_tokens.clone(),
             own_tokens: self.own_tokens,
             tokens: self.inserted_tokens,
-            read_tokens: self.tokens_in_line(),
+            read_tokens: self.queued_tokens(),
         }
     }
 }
 
-/// What moves of memory cost at a service.
+/// Cost of KV transfer and cache capacity for one service.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ServiceProfile {
-    /// Time to move one token, in milliseconds; zero where nothing can be moved.
+    /// Time to transfer one token, in milliseconds; zero if KV transfer isn't available.
     pub move_ms: f64,
-    /// Tokens that the memory of a server holds.
+    /// Capacity of each server's KV cache, in tokens; zero if unknown.
     pub cache_tokens: u64,
-    /// The stores of kept parts, if there are any.
+    /// Addresses of the KV stores, if there are any.
     pub stores: Vec<SocketAddrV4>,
 }
 
 impl ServiceProfile {
-    /// The store that is meant to keep a chain of parts. All routers name the same one,
-    /// so that nothing is kept twice and the stores' memory and links add up.
+    /// Store that holds the chain, by rendezvous hashing. All routers pick the same one, so that
+    /// each chain is stored once.
     pub(crate) fn store_of(&self, chain: &ChainKeys) -> Option<SocketAddrV4> {
         let key = chain.keys.last()?;
-        let score = |store: &SocketAddrV4| rendezvous::score(*key, hash_of_address(*store));
+        let score = |store: &SocketAddrV4| rendezvous::score(*key, address_key(*store));
         self.stores.iter().copied().max_by_key(|store| (score(store), *store))
     }
 }
 
-fn hash_of_address(address: SocketAddrV4) -> u64 {
+fn address_key(address: SocketAddrV4) -> u64 {
     u64::from(u32::from(*address.ip())) << 16 | u64::from(address.port())
 }
 
 /// Why no server was chosen.
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
 pub enum NoChoice {
-    /// No server of the service is known.
-    #[error("no server of the service is known")]
+    /// The service has no server.
+    #[error("the service has no server")]
     NoServer,
-    /// Every server failed this request already.
-    #[error("every server failed this request already")]
+    /// Every remaining server has already failed this request.
+    #[error("every remaining server has already failed this request")]
     AllExcluded,
-    /// Every server has older weights than may be used.
-    #[error("every server has older weights than may be used")]
+    /// Every server has older weights than the required version.
+    #[error("every server has older weights than the required version")]
     OldWeights,
-    /// Too much waits at the servers for the prompt to begin well in time.
-    #[error("too much waits: {0:?}")]
+    /// The queues are too long for the prompt to start in time.
+    #[error("servers are overloaded: {0:?}")]
     Overloaded(Overload),
-    /// Every server asked this router to send nothing for a while; the first one is back after this
-    /// time.
-    #[error("every server rests, for {0:?}")]
+    /// Every server is backing off from this router; the first backoff ends after this time.
+    #[error("every server is backing off; the first one accepts requests in {0:?}")]
     Resting(Duration),
-    /// Every other server has got what it takes from all routers together.
-    #[error("every server has got what it takes, for {0:?}")]
+    /// Every remaining server has reached its advertised limit; the first has capacity after this
+    /// time.
+    #[error(
+        "every remaining server has reached its advertised limit; the first one has capacity in {0:?}"
+    )]
     UsedUp(Duration),
 }
 
-/// A request under way on a server.
+/// An in-flight request on a server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Ticket {
     pub(crate) instance: InstanceId,
     pub(crate) missed_tokens: u32,
     pub(crate) is_measured: bool,
-    pub(crate) begun: Timestamp,
+    pub(crate) started_at: Timestamp,
     pub(crate) had_output: bool,
-    /// Names the request among those under way.
+    /// Number of the request among those of this router.
     pub(crate) request: ToldRequest,
-    /// Tokens that the server was still to read when the request was sent.
+    /// Prefill tokens queued at the server when the request was dispatched.
     pub(crate) tokens_ahead: f64,
 }
--- a/crates/placement/src/cost.rs
+++ b/crates/placement/src/cost.rs
@@ -1,4 +1,4 @@
-//! What serving a request on one server is expected to cost, in milliseconds.
+//! Expected cost of a request on one server, in milliseconds.
 
 use std::time::Duration;
 
@@ -6,139 +6,142 @@
 
 use crate::health::Health;
 use crate::lanes::OTHER_LANE_FACTOR;
-use crate::load::{Load, ReadingSpeed};
+use crate::load::{Load, PrefillSpeed};
 
-/// What a server in another zone costs more: the way there and back, and the
-/// bytes between zones.
-const OTHER_ZONE_MS: f64 = 5.0;
+/// Cost of a server in another zone: round trip and traffic between zones.
+const OTHER_ZONE_COST_MS: f64 = 5.0;
 
-/// What reading shared parts again costs beside the time: the engine is kept from
-/// other work, and the parts displace others.
-const REREAD_FACTOR: f64 = 4.0;
+/// Cost of computing shared segments again, relative to the prefill time: it delays other requests
+/// and evicts other segments.
+const RECOMPUTE_FACTOR: f64 = 4.0;
 
-/// What parts that give way in memory cost, relative to the time to read them: one that is asked
-/// for again costs its reading and what reading shared parts again costs. Trials with 1, 2, 4 and 8
-/// are in `docs/design/shifted-work.md`.
-const DISPLACED_FACTOR: f64 = 1.0 + REREAD_FACTOR;
+/// Cost of evicting segments, relative to their prefill time: prefill plus recompute cost when they
+/// are requested again.
+const EVICTION_FACTOR: f64 = 1.0 + RECOMPUTE_FACTOR;
 
-/// What each request under way adds, because servers slow down as they fill.
-const UNDER_WAY_MS: f64 = 2.0;
+/// Cost of each in-flight request: servers slow down as they fill.
+const IN_FLIGHT_COST_MS: f64 = 2.0;
 
-/// What a full queue adds, relative to the objective.
-const FULL_FACTOR: f64 = 0.5;
+/// Cost of a server that rejected a request as full, relative to the objective.
+const FULL_SERVER_FACTOR: f64 = 0.5;
 
-/// What a server adds that has got all that it takes from all routers, relative to the objective.
-/// What it has left goes to requests that are worth more there than anywhere else.
-const USED_UP_FACTOR: f64 = 0.25;
+/// Cost of a server at its advertised limit, relative to the objective. Keeps the remaining
+/// capacity for requests that gain most from this server.
+const UTILIZATION_FACTOR: f64 = 0.25;
 
-/// Part of the longest pause that reading without a break may take: the engine
-/// makes tokens between the pieces it reads, and events hold several tokens.
-const SAFE_READING_PART: f64 = 0.8;
+/// Share of the maximum stream gap that uninterrupted prefill may take. Engines generate tokens
+/// between the chunks of a prefill.
+const SAFE_PREFILL_SHARE: f64 = 0.8;
 
-/// What each stream adds that would pause for too long, relative to the objective.
-const PAUSED_STREAM_FACTOR: f64 = 0.25;
+/// Cost of each stream whose gap would become too long, relative to the objective.
+const STREAM_GAP_FACTOR: f64 = 0.25;
 
-/// What a certain failure adds, relative to the objective.
-const FAILURE_FACTOR: f64 = 3.0;
+/// Cost at a failure rate of 1, relative to the objective.
+const FAILURE_RATE_FACTOR: f64 = 3.0;
 
-/// Share of failures that servers have without being unhealthy.
-const USUAL_FAILURES: f64 = 0.1;
+/// Failure rate above the mean at which a server still counts as healthy.
+const BASELINE_FAILURE_RATE: f64 = 0.1;
 
-/// What silence towards the control replicas adds, relative to the objective.
-const SILENCE_FACTOR: f64 = 0.5;
+/// Cost of a server that has stopped reporting to the control replicas, relative to the objective.
+const SILENT_SERVER_FACTOR: f64 = 0.5;
 
-/// Share of its slots beyond which a server that fills up makes requests wait.
-const SLOT_SHARE: f64 = 0.5;
+/// Share of the slots above which requests are expected to queue.
+const CONGESTION_SLOT_SHARE: f64 = 0.5;
 
-/// A server as a request sees it.
+/// State of a server with respect to one request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ServerView<'a> {
     pub health: &'a Health,
     pub load: Load,
-    /// Tokens to read of what all routers have sent.
-    pub fleet_tokens: f64,
-    /// Requests under way of all routers.
+    /// Queued prefill tokens of all routers.
+    pub fleet_queued_tokens: f64,
+    /// In-flight requests of all routers.
     pub fleet_requests: f64,
     pub slots: u32,
     pub same_zone: bool,
     pub silent: bool,
     pub cold_ms: f64,
-    /// Tokens that the server would have to read.
+    /// Prompt tokens that the server must compute.
     pub missed_tokens: u32,
-    /// Tokens of shared parts among those, which some server has read already.
-    pub reread_tokens: u32,
-    /// Time to move parts to the server.
+    /// Shared tokens among those that are already cached on some server.
+    pub recomputed_tokens: u32,
+    /// KV transfer time of the segments that the server would fetch.
     pub move_ms: f64,
-    /// Whether the server belongs to the lane of prompts of the other length.
+    /// Whether the server belongs to the lane for prompts of the other length.
     pub other_lane: bool,
-    /// Part that is used of what the server takes from all routers together.
-    pub used_part: f64,
-    /// Tokens that give way to the prompt and would have been asked for again.
-    pub displaced: f64,
+    /// Used share of the advertised limit, from 0 to 1.
+    pub utilization: f64,
+    /// Tokens evicted for the prompt that would have been requested again.
+    pub evicted_tokens: f64,
 }
 
-/// What does not depend on the server.
+/// Inputs of the cost that are the same for all servers.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CostContext {
-    pub speed: ReadingSpeed,
+    pub speed: PrefillSpeed,
     pub objective: Duration,
-    /// Longest pause within a stream that is still in time.
+    /// Longest gap between events of a stream that still counts as in time.
     pub max_pause: Option<Duration>,
-    /// Mean share of failures of the service's servers.
-    pub mean_failures: f64,
+    /// Mean failure rate of the service's servers.
+    pub mean_failure_rate: f64,
     pub now: Timestamp,
 }
 
 impl CostContext {
-    /// The expected cost.
+    /// Expected cost of the request.
     pub(crate) fn cost_ms(&self, server: &ServerView<'_>) -> f64 {
         let objective_ms = self.objective.as_secs_f64() * 1_000.0;
-        let reading = self.speed.ms_for(f64::from(server.missed_tokens));
-        let reread = self.speed.ms_for(f64::from(server.reread_tokens)) * REREAD_FACTOR;
-        let queue = self.speed.ms_for(server.fleet_tokens.max(server.load.waiting_tokens as f64));
-        let zone = if server.same_zone { 0.0 } else { OTHER_ZONE_MS };
+        let prefill = self.speed.ms_for(f64::from(server.missed_tokens));
+        let recompute = self.speed.ms_for(f64::from(server.recomputed_tokens)) * RECOMPUTE_FACTOR;
+        let queue =
+            self.speed.ms_for(server.fleet_queued_tokens.max(server.load.queued_tokens as f64));
+        let zone = if server.same_zone { 0.0 } else { OTHER_ZONE_COST_MS };
         let requests = server.fleet_requests.max(f64::from(server.load.requests));
-        let under_way = requests * UNDER_WAY_MS;
-        let crowded = self.crowded_ms(server, requests, objective_ms);
+        let in_flight = requests * IN_FLIGHT_COST_MS;
+        let congestion = self.congestion_ms(server, requests, objective_ms);
         let delay = server.health.delay_ms(self.now);
         let lane = if server.other_lane { OTHER_LANE_FACTOR * objective_ms } else { 0.0 };
-        let full = if server.health.is_full(self.now) { FULL_FACTOR * objective_ms } else { 0.0 };
-        let used_up = server.used_part * USED_UP_FACTOR * objective_ms;
-        let silent = if server.silent { SILENCE_FACTOR * objective_ms } else { 0.0 };
-        let excess = server.health.failure_share(self.now) - self.mean_failures - USUAL_FAILURES;
-        let failures = excess.max(0.0) * FAILURE_FACTOR * objective_ms;
-        let displaced = self.speed.ms_for(server.displaced) * DISPLACED_FACTOR;
-        let moving = server.move_ms + displaced;
-        let pauses = self.pauses_ms(queue + reading, requests, objective_ms);
-        let work = reading + reread + moving + queue + under_way + crowded + delay + pauses;
-        work + zone + lane + full + used_up + silent + failures + server.cold_ms
+        let full =
+            if server.health.is_full(self.now) { FULL_SERVER_FACTOR * objective_ms } else { 0.0 };
+        let utilization = server.utilization * UTILIZATION_FACTOR * objective_ms;
+        let silent = if server.silent { SILENT_SERVER_FACTOR * objective_ms } else { 0.0 };
+        let excess =
+            server.health.failure_rate(self.now) - self.mean_failure_rate - BASELINE_FAILURE_RATE;
+        let failures = excess.max(0.0) * FAILURE_RATE_FACTOR * objective_ms;
+        let eviction = self.speed.ms_for(server.evicted_tokens) * EVICTION_FACTOR;
+        let transfer = server.move_ms + eviction;
+        let stream_gap = self.stream_gap_ms(queue + prefill, requests, objective_ms);
+        let work =
+            prefill + recompute + transfer + queue + in_flight + congestion + delay + stream_gap;
+        work + zone + lane + full + utilization + silent + failures + server.cold_ms
     }
 
-    /// The expected time to the first output of a request that no other overtakes.
+    /// Expected time to first output, if no later request overtakes this one.
     pub(crate) fn first_output_ms(&self, server: &ServerView<'_>) -> f64 {
-        let reading = self.speed.ms_for(f64::from(server.missed_tokens));
-        self.wait_ms(server) + reading + server.move_ms + server.cold_ms
+        let prefill = self.speed.ms_for(f64::from(server.missed_tokens));
+        self.wait_ms(server) + prefill + server.move_ms + server.cold_ms
     }
 
-    /// The expected time for which it waits behind others.
+    /// Expected time in the queue.
     pub(crate) fn wait_ms(&self, server: &ServerView<'_>) -> f64 {
-        let queue = self.speed.ms_for(server.fleet_tokens.max(server.load.waiting_tokens as f64));
+        let queue =
+            self.speed.ms_for(server.fleet_queued_tokens.max(server.load.queued_tokens as f64));
         queue + server.health.delay_ms(self.now)
     }
 
-    /// Streams that run on the server pause while it reads without a break; so will
-    /// the request's own stream if the queue before it is long.
-    fn pauses_ms(&self, reading_ms: f64, requests: f64, objective_ms: f64) -> f64 {
+    /// Cost of stream gaps: in-flight streams get no tokens during a long prefill, and neither does
+    /// the request's own stream if the queue ahead is long.
+    fn stream_gap_ms(&self, prefill_ms: f64, requests: f64, objective_ms: f64) -> f64 {
         let Some(max_pause) = self.max_pause else { return 0.0 };
-        let safe_ms = max_pause.as_secs_f64() * 1_000.0 * SAFE_READING_PART;
-        let is_too_long = reading_ms > safe_ms;
-        if is_too_long { requests * PAUSED_STREAM_FACTOR * objective_ms } else { 0.0 }
+        let safe_ms = max_pause.as_secs_f64() * 1_000.0 * SAFE_PREFILL_SHARE;
+        let is_too_long = prefill_ms > safe_ms;
+        if is_too_long { requests * STREAM_GAP_FACTOR * objective_ms } else { 0.0 }
     }
 
-    /// A server whose slots fill up makes requests wait.
-    fn crowded_ms(&self, server: &ServerView<'_>, requests: f64, objective_ms: f64) -> f64 {
-        let comfortable = (f64::from(server.slots) * SLOT_SHARE).max(1.0);
-        let over = requests + 1.0 - comfortable;
-        over.max(0.0) / comfortable * objective_ms * 0.5
+    /// Cost of queueing on a server whose slots fill up.
+    fn congestion_ms(&self, server: &ServerView<'_>, requests: f64, objective_ms: f64) -> f64 {
+        let uncongested = (f64::from(server.slots) * CONGESTION_SLOT_SHARE).max(1.0);
+        let excess = requests + 1.0 - uncongested;
+        excess.max(0.0) / uncongested * objective_ms * 0.5
     }
 }
--- a/crates/placement/src/fleet_load.rs
+++ b/crates/placement/src/fleet_load.rs
@@ -1,74 +1,72 @@
-//! The work that all routers together have sent to a server, as far as they tell
-//! each other.
+//! Work that all routers together have dispatched to a server, according to their dispatch reports.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use juniper_types::Timestamp;
 
-use crate::load::ReadingSpeed;
-use crate::sighting::ToldRequest;
+use crate::dispatch_record::ToldRequest;
+use crate::load::PrefillSpeed;
 
-/// Age from which a request whose end nobody told of counts no more: its router was killed, or
-/// the word was lost. Few streams take longer.
-const MAX_AGE: Duration = Duration::from_secs(10);
+/// Age at which a request without a reported end is no longer counted: its router crashed or the
+/// report was lost. Few streams take longer.
+const MAX_REQUEST_AGE: Duration = Duration::from_secs(10);
 
-/// Work on one server: requests that were begun and not ended, and an estimate of what they
-/// still have to read.
+/// Work on one server: in-flight requests, and an estimate of their remaining prefill.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FleetLoad {
-    /// Tokens that were still to be read when the last request was told of.
-    waiting_tokens: f64,
+    /// Queued prefill tokens at the time `updated`.
+    queued_tokens: f64,
     updated: Timestamp,
-    /// Requests under way, the oldest first.
-    under_way: VecDeque<UnderWay>,
+    /// In-flight requests, the oldest first.
+    in_flight: VecDeque<InFlight>,
 }
 
-/// A request under way.
+/// An in-flight request.
 #[derive(Clone, Copy, Debug)]
-struct UnderWay {
-    /// Names it, if its end will be told of.
+struct InFlight {
+    /// Identity of the request; `None` if its end won't be reported.
     request: Option<ToldRequest>,
-    begun: Timestamp,
+    started_at: Timestamp,
 }
 
 impl FleetLoad {
-    /// A request of which `tokens` have to be read was sent to the server.
-    pub(crate) fn begin(
+    /// Adds a request with `tokens` of prefill.
+    pub(crate) fn add_request(
         &mut self,
         request: Option<ToldRequest>,
         tokens: u32,
-        speed: ReadingSpeed,
+        speed: PrefillSpeed,
         now: Timestamp,
     ) {
-        self.waiting_tokens = self.waiting_tokens(speed, now) + f64::from(tokens);
+        self.queued_tokens = self.queued_tokens(speed, now) + f64::from(tokens);
         self.updated = now;
-        while self.under_way.front().is_some_and(|oldest| is_forgotten(oldest.begun, now)) {
-            self.under_way.pop_front();
+        while self.in_flight.front().is_some_and(|oldest| is_expired(oldest.started_at, now)) {
+            self.in_flight.pop_front();
         }
-        self.under_way.push_back(UnderWay { request, begun: now });
+        self.in_flight.push_back(InFlight { request, started_at: now });
     }
 
-    /// A request has ended. If its beginning wasn't heard of, nothing changes: it must not count for
-    /// another one.
-    pub(crate) fn end(&mut self, request: ToldRequest) {
-        let place = self.under_way.iter().position(|known| known.request == Some(request));
-        if let Some(place) = place {
-            self.under_way.remove(place);
+    /// Removes a completed request. Does nothing if its dispatch report was lost: another request
+    /// must not be removed instead.
+    pub(crate) fn remove_request(&mut self, request: ToldRequest) {
+        let index = self.in_flight.iter().position(|known| known.request == Some(request));
+        if let Some(index) = index {
+            self.in_flight.remove(index);
         }
     }
 
-    /// Tokens that should still be unread.
-    pub(crate) fn waiting_tokens(&self, speed: ReadingSpeed, now: Timestamp) -> f64 {
-        (self.waiting_tokens - speed.tokens_in(now.since(self.updated))).max(0.0)
+    /// Estimate of the queued prefill tokens.
+    pub(crate) fn queued_tokens(&self, speed: PrefillSpeed, now: Timestamp) -> f64 {
+        (self.queued_tokens - speed.tokens_in(now.since(self.updated))).max(0.0)
     }
 
-    /// Requests that are under way.
+    /// Number of in-flight requests.
     pub(crate) fn requests(&self, now: Timestamp) -> usize {
-        self.under_way.iter().rev().take_while(|known| !is_forgotten(known.begun, now)).count()
+        self.in_flight.iter().rev().take_while(|known| !is_expired(known.started_at, now)).count()
     }
 }
 
-pub(crate) fn is_forgotten(begun: Timestamp, now: Timestamp) -> bool {
-    now.since(begun) >= MAX_AGE
+pub(crate) fn is_expired(started_at: Timestamp, now: Timestamp) -> bool {
+    now.since(started_at) >= MAX_REQUEST_AGE
 }
--- a/crates/placement/src/health.rs
+++ b/crates/placement/src/health.rs
@@ -1,115 +1,115 @@
-//! Whether a server works, by what came of the requests sent to it.
+//! Health of a server, based on the outcomes of its requests.
 
 use std::time::Duration;
 
 use juniper_types::{Decaying, Timestamp};
 
-/// Weight of one outcome in the share of failures.
+/// Weight of one outcome in the failure rate.
 const FAILURE_WEIGHT: f64 = 0.15;
 
-/// Time in which a share of failures halves when nothing is sent.
+/// Half-life of the failure rate while nothing is sent.
 const FAILURE_HALF_LIFE: Duration = Duration::from_secs(4);
 
-/// Shortest and longest pause between probes of a server that can't be reached; it doubles.
-const MIN_PROBE_PAUSE: Duration = Duration::from_millis(250);
-pub(crate) const MAX_PROBE_PAUSE: Duration = Duration::from_secs(2);
+/// Bounds on the interval between probes of an unreachable server; it doubles with each probe.
+const MIN_PROBE_INTERVAL: Duration = Duration::from_millis(250);
+pub(crate) const MAX_PROBE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Time for which a server that was full costs more.
-const FULL_PAUSE: Duration = Duration::from_millis(120);
+/// Time for which a server that was full has a higher cost.
+const FULL_PENALTY_TIME: Duration = Duration::from_millis(120);
 
-/// Time for which a server is left alone after it has turned a version of weights away,
-/// unless its own report names another version before.
-const DENIAL_PAUSE: Duration = Duration::from_secs(1);
+/// Time for which a server isn't used after it rejected a version of the weights, unless it reports
+/// another version before.
+const VERSION_REJECTION_TIME: Duration = Duration::from_secs(1);
 
-/// Weight of one measured time.
-const TIME_WEIGHT: f64 = 0.2;
+/// Weight of one delay sample.
+const DELAY_WEIGHT: f64 = 0.2;
 
-/// Time in which a measured time loses half of its weight.
-const TIME_HALF_LIFE: Duration = Duration::from_secs(3);
+/// Half-life of the delay.
+const DELAY_HALF_LIFE: Duration = Duration::from_secs(3);
 
-/// What came of a request that was sent, or was to be sent, to a server.
+/// Outcome of a request to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It answered, and the answer was passed on.
+    /// The server answered, and the answer was forwarded.
     Answered,
-    /// It answered that it failed.
+    /// The server answered with an error.
     ServerError,
-    /// Its answer broke off, was no answer, or never came.
+    /// The answer was interrupted, invalid or missing.
     Broken,
-    /// It could not be connected to.
+    /// The connection failed.
     Unreachable,
-    /// It said that it did not run the request, because it is full.
+    /// The server rejected the request because it is full.
     Full,
-    /// Another server has its address.
+    /// Another incarnation listens on the address.
     Replaced,
-    /// It did not run the request, because it has no weights of this version.
+    /// The server rejected the request because it doesn't have this version of the weights.
     OtherWeights(u64),
-    /// The caller left; nothing is known of the server.
+    /// The caller disconnected; the request says nothing about the server.
     Cancelled,
 }
 
-/// A version of weights that a server has turned away.
+/// A version of the weights that the server has rejected.
 #[derive(Clone, Copy, Debug)]
-struct Denial {
+struct RejectedVersion {
     version: u64,
     until: Timestamp,
 }
 
-/// A server that could not be connected to, or whose connection broke, until a probe of its
-/// address succeeds.
+/// Probe timing of an unreachable server.
 #[derive(Clone, Copy, Debug)]
-struct Unreachable {
+struct ProbeSchedule {
     next_probe: Timestamp,
-    pause: Duration,
+    interval: Duration,
 }
 
-/// What is known of the health of a server.
+/// Health of one server.
 #[derive(Clone, Debug)]
 pub(crate) struct Health {
-    failures: Decaying,
+    failure_rate: Decaying,
     delay_ms: Decaying,
-    unreachable: Option<Unreachable>,
+    unreachable: Option<ProbeSchedule>,
     full_until: Timestamp,
-    denial: Option<Denial>,
-    /// The address belongs to another life.
+    rejected_version: Option<RejectedVersion>,
+    /// Whether another incarnation listens on the address.
     pub(crate) replaced: bool,
 }
 
 impl Default for Health {
     fn default() -> Self {
         Health {
-            failures: Decaying::new(FAILURE_HALF_LIFE),
-            delay_ms: Decaying::new(TIME_HALF_LIFE),
+            failure_rate: Decaying::new(FAILURE_HALF_LIFE),
+            delay_ms: Decaying::new(DELAY_HALF_LIFE),
             unreachable: None,
             full_until: Timestamp::ZERO,
-            denial: None,
+            rejected_version: None,
             replaced: false,
         }
     }
 }
 
 impl Health {
-    /// Takes an outcome in.
+    /// Records the outcome of a request.
     pub(crate) fn record(&mut self, outcome: Outcome, now: Timestamp) {
-        let failed = match outcome {
+        let failure = match outcome {
             Outcome::Answered => {
                 self.unreachable = None;
                 0.0
             }
             Outcome::ServerError => 1.0,
             Outcome::Broken => {
-                // A server that has lost power looks the same until it is tried.
-                let (pause, next_probe) = (MIN_PROBE_PAUSE, now);
-                self.unreachable.get_or_insert(Unreachable { next_probe, pause });
+                // A crashed host looks the same until a connection is tried, so the first probe is
+                // due at once.
+                let (interval, next_probe) = (MIN_PROBE_INTERVAL, now);
+                self.unreachable.get_or_insert(ProbeSchedule { next_probe, interval });
                 1.0
             }
             Outcome::Unreachable => {
-                let (pause, next_probe) = (MIN_PROBE_PAUSE, now.after(MIN_PROBE_PAUSE));
-                self.unreachable.get_or_insert(Unreachable { next_probe, pause });
+                let (interval, next_probe) = (MIN_PROBE_INTERVAL, now.after(MIN_PROBE_INTERVAL));
+                self.unreachable.get_or_insert(ProbeSchedule { next_probe, interval });
                 1.0
             }
             Outcome::Full => {
-                self.full_until = now.after(FULL_PAUSE);
+                self.full_until = now.after(FULL_PENALTY_TIME);
                 return;
             }
             Outcome::Replaced => {
@@ -117,57 +117,60 @@
                 return;
             }
             Outcome::OtherWeights(version) => {
-                self.denial = Some(Denial { version, until: now.after(DENIAL_PAUSE) });
+                self.rejected_version =
+                    Some(RejectedVersion { version, until: now.after(VERSION_REJECTION_TIME) });
                 return;
             }
             Outcome::Cancelled => return,
         };
-        self.failures.mix(failed, FAILURE_WEIGHT, now);
+        self.failure_rate.mix(failure, FAILURE_WEIGHT, now);
     }
 
-    /// Takes in by how much an answer came later than its work explains.
+    /// Records by how much the first output exceeded the expected prefill time.
     pub(crate) fn record_delay(&mut self, delay: Duration, now: Timestamp) {
         let delay_ms = delay.as_secs_f64() * 1_000.0;
-        self.delay_ms.mix(delay_ms, TIME_WEIGHT, now);
+        self.delay_ms.mix(delay_ms, DELAY_WEIGHT, now);
     }
 
-    /// Share of the latest requests that failed.
-    pub(crate) fn failure_share(&self, now: Timestamp) -> f64 {
-        self.failures.at(now)
+    /// Failure rate of recent requests, from 0 to 1.
+    pub(crate) fn failure_rate(&self, now: Timestamp) -> f64 {
+        self.failure_rate.at(now)
     }
 
-    /// By how much answers came late lately, in milliseconds.
+    /// Recent delay of the first output, in milliseconds.
     pub(crate) fn delay_ms(&self, now: Timestamp) -> f64 {
         self.delay_ms.at(now)
     }
 
-    /// Whether it could not be reached, and no probe has succeeded since.
+    /// Whether a connection failed or broke and no probe has succeeded since.
     pub(crate) fn is_unreachable(&self) -> bool {
         self.unreachable.is_some()
     }
 
-    /// Whether it is to be probed now. If so, the next probe follows after a longer pause.
+    /// Whether a probe is due. If so, schedules the next one with a doubled interval.
     pub(crate) fn take_due_probe(&mut self, now: Timestamp) -> bool {
         let Some(unreachable) = &mut self.unreachable else { return false };
         if now < unreachable.next_probe {
             return false;
         }
-        unreachable.pause = (unreachable.pause * 2).min(MAX_PROBE_PAUSE);
-        unreachable.next_probe = now.after(unreachable.pause);
+        unreachable.interval = (unreachable.interval * 2).min(MAX_PROBE_INTERVAL);
+        unreachable.next_probe = now.after(unreachable.interval);
         true
     }
 
-    /// A probe has succeeded.
-    pub(crate) fn reached(&mut self) {
+    /// Records a successful probe.
+    pub(crate) fn mark_reachable(&mut self) {
         self.unreachable = None;
     }
 
-    /// Whether it has turned weights of `version` away a moment ago.
-    pub(crate) fn denies(&self, version: u64, now: Timestamp) -> bool {
-        self.denial.is_some_and(|denial| denial.version == version && now < denial.until)
+    /// Whether the server has recently rejected `version` of the weights.
+    pub(crate) fn rejects_version(&self, version: u64, now: Timestamp) -> bool {
+        self.rejected_version.is_some_and(|rejected_version| {
+            rejected_version.version == version && now < rejected_version.until
+        })
     }
 
-    /// Whether it was full a moment ago.
+    /// Whether the server was recently full.
     pub(crate) fn is_full(&self, now: Timestamp) -> bool {
         now < self.full_until
     }
--- a/crates/placement/src/homes.rs
+++ b/crates/placement/src/homes.rs
@@ -1,25 +1,26 @@
-//! Names of the shared parts of a prompt, and the server that is meant to keep them.
+//! Keys of a prompt's shared prefixes, and the home server of a prompt.
 //!
-//! All routers rank the servers of a service alike by rendezvous hashing, so they
-//! agree on a home for parts that nobody has seen yet without talking, and when a
-//! server goes only its own prompts move.
+//! All routers rank the servers of a service by rendezvous hashing, so they agree on the home of
+//! uncached segments without coordination. When a server is removed, only its own prompts get
+//! another home.
 
 use juniper_prefix_index::rendezvous;
 
 use crate::request::Prompt;
 
-/// Names each beginning of the chain of a prompt's shared parts.
+/// Keys of the prefixes that end with each shared segment of a prompt.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ChainKeys {
-    /// Names of the beginnings, the longest last. The same for the same parts in
-    /// the same order among the same callers.
+    /// Prefix keys, the longest prefix last. Equal for the same segments in the same order under
+    /// the same sharing key.
     pub keys: Vec<u64>,
-    /// Tokens of each beginning.
+    /// Tokens of each prefix.
     pub tokens: Vec<u32>,
 }
 
 impl ChainKeys {
-    /// The keys of a prompt. `sharing` names the callers among whom parts are shared.
+    /// Computes the keys of a prompt. `sharing` is the key of the callers that share cached
+    /// segments with each other.
     pub fn of(prompt: &Prompt, sharing: u64) -> Self {
         let mut chain = ChainKeys::default();
         let (mut key, mut tokens) = (sharing, 0_u32);
@@ -32,21 +33,21 @@
         chain
     }
 
-    /// Tokens of all shared parts.
+    /// Total tokens of the shared segments.
     pub fn all_tokens(&self) -> u32 {
         self.tokens.last().copied().unwrap_or(0)
     }
 
-    /// Tokens of each part.
+    /// Tokens of each segment.
     pub fn part_tokens(&self) -> Vec<u32> {
         let starts = std::iter::once(0).chain(self.tokens.iter().copied());
         self.tokens.iter().zip(starts).map(|(end, start)| end - start).collect()
     }
 
-    /// The place of the home among servers, given by their hashes.
+    /// Index of the home server, among servers given by their hashes.
     pub fn home(&self, hashes: impl Iterator<Item = u64>) -> Option<usize> {
         let key = self.keys.last()?;
-        let scored = hashes.enumerate().map(|(place, hash)| (rendezvous::score(*key, hash), place));
-        scored.max().map(|(_, place)| place)
+        let scored = hashes.enumerate().map(|(index, hash)| (rendezvous::score(*key, hash), index));
+        scored.max().map(|(_, index)| index)
     }
 }
--- a/crates/placement/src/lanes.rs
+++ b/crates/placement/src/lanes.rs
@@ -1,34 +1,33 @@
-//! Two lanes of servers: for short prompts and for long ones.
+//! Lanes: separate servers for short and for long prompts.
 //!
-//! An engine reads prompts in pieces between the tokens of running requests, so
-//! the streams on it pause while a long prompt is read, and short prompts wait
-//! behind long ones. Servers are therefore divided, in the same order by all
-//! routers, as the work is divided. A server of the other lane is dearer, not
-//! forbidden.
+//! Engines interleave prefill chunks with the decoding of running requests. A long prefill
+//! therefore stalls the streams on the same server and delays short prompts. The servers of a
+//! service are divided between two lanes in proportion to their work, in the same order on all
+//! routers. A server of the other lane costs more, but isn't excluded.
 
 use std::time::Duration;
 
 use juniper_types::{Decaying, Timestamp};
 
-/// Tokens from which a prompt counts as long.
-const LONG_TOKENS: u32 = 2_000;
+/// Minimum length of a long prompt.
+const MIN_LONG_TOKENS: u32 = 2_000;
 
-/// Time in which what was measured loses half of its weight.
+/// Half-life of the measured work.
 const HALF_LIFE: Duration = Duration::from_secs(10);
 
-/// What a lane of short prompts has beyond its share of the work: its streams
-/// run long beside the reading.
-const SHORT_FACTOR: f64 = 1.5;
+/// Weight of short prompts in the division of servers: their streams run long compared to their
+/// prefill.
+const SHORT_LANE_FACTOR: f64 = 1.5;
 
-/// What a server of the other lane costs, relative to the objective.
+/// Cost of a server of the other lane, relative to the objective.
 pub(crate) const OTHER_LANE_FACTOR: f64 = 0.1;
 
-/// Whether a prompt belongs to the lane of long ones.
+/// Whether a prompt belongs to the lane of long prompts.
 pub(crate) fn is_long(tokens: u32) -> bool {
-    tokens >= LONG_TOKENS
+    tokens >= MIN_LONG_TOKENS
 }
 
-/// The work of both lanes, in tokens read.
+/// Recent work of both lanes, in prefill tokens.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Lanes {
     short: Decaying,
@@ -42,14 +41,14 @@
 }
 
 impl Lanes {
-    /// A prompt of `tokens`, of which `missed` have to be read, is sent.
-    pub(crate) fn record(&mut self, tokens: u32, missed: u32, now: Timestamp) {
+    /// Records the dispatch of a prompt of `tokens`, of which `prefill_tokens` must be computed.
+    pub(crate) fn record(&mut self, tokens: u32, prefill_tokens: u32, now: Timestamp) {
         let lane = if is_long(tokens) { &mut self.long } else { &mut self.short };
-        lane.add(f64::from(missed), now);
+        lane.add(f64::from(prefill_tokens), now);
     }
 
-    /// Servers, of `servers`, that take short prompts; all or none while there is
-    /// one kind only.
+    /// Number of servers, out of `servers`, in the lane of short prompts; all or none if there are
+    /// only prompts of one kind.
     pub(crate) fn short_servers(&self, servers: usize, now: Timestamp) -> usize {
         let (short, long) = (self.short.at(now), self.long.at(now));
         if long < 1.0 || servers < 2 {
@@ -58,7 +57,8 @@
         if short < 1.0 {
             return 0;
         }
-        let share = (short * SHORT_FACTOR / (short * SHORT_FACTOR + long)) * servers as f64;
+        let share =
+            (short * SHORT_LANE_FACTOR / (short * SHORT_LANE_FACTOR + long)) * servers as f64;
         (share.round() as usize).clamp(1, servers - 1)
     }
 }
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,45 +1,44 @@
-//! Chooses the server of a generic request. Pure: the servers, the request, time
-//! and a random number go in; a choice with its reasons comes out.
+//! Chooses the server for a request. Performs no I/O: servers, request, time and a random number
+//! are passed in, and a choice with its reason is returned.
 //!
-//! A prompt is known by the chain of its parts. Shared parts have a home, which
-//! every router works out alike by rendezvous hashing ([`ChainKeys`]); the cost of
-//! reading or moving them, what each server should keep (worked out by following what
-//! routers send it), the load and the health of a server decide whether a
-//! request goes home ([`Placement::choose`]).
+//! A prompt is described as a chain of prefix segments. Each shared prefix has a home server, which
+//! all routers compute alike by rendezvous hashing ([`ChainKeys`]). Whether a request goes to its
+//! home depends on the cost of prefill or KV transfer, on a model of each server's KV cache, and on
+//! the load and health of the servers ([`Placement::choose`]).
 
 mod admission;
-mod budget;
+mod backoffs;
+mod cache_turnover;
+mod cached_segments;
 mod candidates;
 mod choice;
 mod cost;
+mod dispatch_record;
 mod fleet_load;
 mod health;
 mod homes;
-mod kept_parts;
 mod lanes;
 mod load;
-mod memory;
 mod notices;
 mod placement;
 mod prompt_work;
-mod reports;
+mod reachability_reports;
+mod report_budget;
 mod request;
-mod rest;
+mod retry_budget;
 mod search;
 mod server;
 mod server_limits;
-mod sighting;
-mod sighting_budget;
 
 pub use admission::{Overload, Prospect};
-pub use budget::{RetryBudget, RetrySettings};
 pub use choice::{Choice, NoChoice, Reason, ServiceProfile, Ticket};
+pub use dispatch_record::{ChainSighting, ToldRequest};
 pub use health::Outcome;
 pub use homes::ChainKeys;
 pub use notices::PassedOver;
 pub use placement::Placement;
-pub use reports::Reporter;
+pub use reachability_reports::Reporter;
+pub use report_budget::SightingBudget;
 pub use request::{Prompt, PromptPart, ServerRequest};
+pub use retry_budget::{RetryBudget, RetrySettings};
 pub use server_limits::{HeardAt, LimitChange};
-pub use sighting::{ChainSighting, ToldRequest};
-pub use sighting_budget::SightingBudget;
--- a/crates/placement/src/notices.rs
+++ b/crates/placement/src/notices.rs
@@ -1,4 +1,4 @@
-//! What servers ask of routers: to send them nothing for a while, or nothing new any more.
+//! Backoffs and departures that servers request in their answers.
 
 use std::time::Duration;
 
@@ -8,19 +8,20 @@
 use crate::placement::Placement;
 use crate::server::Server;
 
-/// Why choices pass over a server.
+/// Why a server is excluded from choices.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PassedOver {
-    /// It said that it leaves.
+    /// The server announced its departure.
     Leaving,
-    /// It asked this router for a pause.
+    /// The server requested a backoff from this router.
     Resting,
-    /// It asked other routers for a pause; it is used if there is no other.
+    /// The server requested a backoff from other routers; it is only used if no other server is
+    /// available.
     TurnsOthersAway,
 }
 
 impl PassedOver {
-    /// The reason for logs.
+    /// Value in the `servers` log key.
     pub fn as_str(self) -> &'static str {
         match self {
             PassedOver::Leaving => "leaving",
@@ -31,87 +32,97 @@
 }
 
 impl Placement {
-    /// An answer of the server asks this router to send it nothing for `pause`. Returns whether it
-    /// rests for longer than was known.
-    pub fn asked_to_pause(&mut self, server: &InstanceId, pause: Duration, now: Timestamp) -> bool {
-        self.mark(server, |server| server.has_asked_for_rest = true);
-        self.rests.asked(server, pause, now)
+    /// Records that an answer of the server requested a backoff from this router. Returns whether
+    /// the backoff ends later than the known one.
+    pub fn asked_to_pause(
+        &mut self,
+        server: &InstanceId,
+        duration: Duration,
+        now: Timestamp,
+    ) -> bool {
+        self.mark_noticed(server, |server| server.has_requested_backoff = true);
+        self.backoffs.observe(server, duration, now)
     }
 
-    /// An answer of the server to this router or another says that it leaves, which it doesn't take
-    /// back. Returns whether that is new.
+    /// Records that the server announced its departure, to this router or another one. A departure
+    /// is final. Returns whether it was unknown.
     pub fn heard_leaving(&mut self, server: &InstanceId, now: Timestamp) -> bool {
         if self.departures.covers(server) {
             return false;
         }
-        self.mark(server, |server| server.is_leaving = true);
+        self.mark_noticed(server, |server| server.is_departing = true);
         self.departures.add(&Departure::of(server), now);
         let servers = &self.servers;
         self.departures.forget(now, |name| servers.contains_key(name));
         true
     }
 
-    /// Marks the server, if it is in view: few have asked for anything, and a service may have
-    /// thousands.
-    fn mark(&mut self, server: &InstanceId, mark: impl FnOnce(&mut Server)) {
+    /// Applies `mark` to the server and adds it to the servers with notices, which are few compared
+    /// to the servers of a service.
+    fn mark_noticed(&mut self, server: &InstanceId, mark: impl FnOnce(&mut Server)) {
         let Some(known) = self.server_mut(server) else { return };
         mark(known);
-        self.marked.insert(server.name().clone());
+        self.noticed.insert(server.name().clone());
     }
 
-    /// Marks a server that comes into view, if it has asked for something before.
-    pub(crate) fn mark_new(&mut self, server: &mut Server) {
+    /// Restores earlier backoffs and departures of a server that is added to the instance list.
+    pub(crate) fn restore_notices(&mut self, server: &mut Server) {
         let id = &server.instance.id;
-        server.has_asked_for_rest = self.rests.knows(id);
-        server.is_leaving = self.departures.covers(id);
-        if server.has_asked_for_rest || server.is_leaving {
-            self.marked.insert(id.name().clone());
+        server.has_requested_backoff = self.backoffs.contains(id);
+        server.is_departing = self.departures.covers(id);
+        if server.has_requested_backoff || server.is_departing {
+            self.noticed.insert(id.name().clone());
         }
     }
 
-    /// Time that the server still rests from this router.
-    pub(crate) fn rest_of(&self, server: &Server, now: Timestamp) -> Option<Duration> {
-        server.has_asked_for_rest.then(|| self.rests.left(&server.instance.id, now)).flatten()
+    /// Remaining backoff of the server towards this router.
+    pub(crate) fn active_backoff(&self, server: &Server, now: Timestamp) -> Option<Duration> {
+        server
+            .has_requested_backoff
+            .then(|| self.backoffs.remaining(&server.instance.id, now))
+            .flatten()
     }
 
-    /// Whether the server turns other routers away.
-    pub(crate) fn turns_others_away(&self, server: &Server, now: Timestamp) -> bool {
-        server.has_asked_for_rest && self.rests.is_told(&server.instance.id, now)
+    /// Whether enough other routers report that the server is backing off.
+    pub(crate) fn is_backing_off_from_peers(&self, server: &Server, now: Timestamp) -> bool {
+        server.has_requested_backoff
+            && self.backoffs.is_confirmed_by_peers(&server.instance.id, now)
     }
 
-    /// Time for which nothing is to be sent to the server; `None` if it takes requests.
+    /// Time for which this router must not send to the server; `None` if the server accepts
+    /// requests.
     pub fn rest_left(&self, server: &InstanceId, now: Timestamp) -> Option<Duration> {
-        self.rests.left(server, now)
+        self.backoffs.remaining(server, now)
     }
 
-    /// Another router was asked by the server for `pause`.
+    /// Records another router's report that the server requested a backoff.
     pub fn told_of_pause(
         &mut self,
         server: &InstanceId,
         router: NodeId,
-        pause: Duration,
+        duration: Duration,
         now: Timestamp,
     ) {
-        self.mark(server, |server| server.has_asked_for_rest = true);
-        self.rests.told(server, router, pause, now);
+        self.mark_noticed(server, |server| server.has_requested_backoff = true);
+        self.backoffs.apply_peer_backoff(server, router, duration, now);
     }
 
-    /// Servers that asked this router for a rest that isn't over.
+    /// Number of servers that are backing off from this router.
     pub fn resting_servers(&self, now: Timestamp) -> usize {
-        self.rests.count(now)
+        self.backoffs.count_active(now)
     }
 
-    /// Servers of the service that choices pass over for what they asked for.
+    /// Servers of the service that are excluded from choices because of a notice, with the reason.
     pub fn passed_over(&self, service: &str, now: Timestamp) -> Vec<(InstanceId, PassedOver)> {
-        let known = self.marked.iter().filter_map(|name| self.servers.get(name));
+        let known = self.noticed.iter().filter_map(|name| self.servers.get(name));
         let known = known.filter(|server| server.instance.report.service == service);
         let over = known.filter_map(|server| {
             let id = &server.instance.id;
-            let reason = if server.is_leaving {
+            let reason = if server.is_departing {
                 PassedOver::Leaving
-            } else if self.rest_of(server, now).is_some() {
+            } else if self.active_backoff(server, now).is_some() {
                 PassedOver::Resting
-            } else if self.turns_others_away(server, now) {
+            } else if self.is_backing_off_from_peers(server, now) {
                 PassedOver::TurnsOthersAway
             } else {
                 return None;
--- a/crates/placement/src/placement.rs
+++ b/crates/placement/src/placement.rs
@@ -1,4 +1,4 @@
-//! The servers as one router knows them.
+//! State of all servers as known to one router.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddrV4;
@@ -8,90 +8,88 @@
 use juniper_registry::{Departures, Instance, InstanceId, InstanceMap, InstanceName};
 use juniper_types::{NodeId, Timestamp};
 
+use crate::backoffs::Backoffs;
+use crate::cached_segments::DispatchedPrompt;
 use crate::choice::{Choice, ServiceProfile, Ticket};
-use crate::fleet_load::is_forgotten;
+use crate::dispatch_record::{ChainSighting, ToldRequest};
+use crate::fleet_load::is_expired;
 use crate::health::Outcome;
-use crate::kept_parts::SentParts;
 use crate::lanes::Lanes;
-use crate::load::ReadingSpeed;
-use crate::reports::Reporter;
-use crate::rest::Rests;
+use crate::load::PrefillSpeed;
+use crate::reachability_reports::Reporter;
 use crate::server::Server;
-use crate::sighting::{ChainSighting, ToldRequest};
 
-/// Most that a server may be still to read, relative to a prompt, for the time to that prompt's
-/// first output to tell how fast servers read. Beyond it the time tells how long the queue is.
-const MAX_PART_AHEAD: f64 = 0.25;
+/// Maximum queued prefill at dispatch, relative to the prompt's own prefill, for the time to first
+/// output to count as a sample of the prefill speed. Above it the time mostly measures the queue.
+const MAX_QUEUE_SHARE: f64 = 0.25;
 
-/// Requests of others below which forgotten ones aren't looked for. The fleet designed for has some
-/// thousands under way.
-const LEAST_TOLD: usize = 4_096;
+/// Minimum number of reported requests before expired ones are removed.
+const MIN_CLEANUP_THRESHOLD: usize = 4_096;
 
-/// Stands for this router in the names of its own requests; no router has this number.
-const THIS_ROUTER: NodeId = NodeId(0);
+/// Router id of this router's own requests; never assigned to another router.
+const LOCAL_ROUTER: NodeId = NodeId(0);
 
-/// The servers as one router knows them.
+/// State of all servers as known to one router, and the choice among them.
 #[derive(Clone, Debug)]
 pub struct Placement {
     pub(crate) zone: String,
-    /// The servers that may be used, as they were taken over last.
-    known: InstanceMap,
+    /// Instances of the last update.
+    instances: InstanceMap,
     pub(crate) servers: HashMap<InstanceName, Server>,
     pub(crate) services: HashMap<String, Vec<InstanceName>>,
     renewing: BTreeSet<InstanceId>,
-    pub(crate) rests: Rests,
-    /// Servers that said themselves that they leave.
+    pub(crate) backoffs: Backoffs,
+    /// Departures that servers have announced.
     pub(crate) departures: Departures,
-    /// Servers in view that have asked for something.
-    pub(crate) marked: BTreeSet<InstanceName>,
-    pub(crate) speeds: HashMap<String, ReadingSpeed>,
+    /// Listed servers that have requested a backoff or announced their departure.
+    pub(crate) noticed: BTreeSet<InstanceName>,
+    pub(crate) speeds: HashMap<String, PrefillSpeed>,
     pub(crate) profiles: HashMap<String, ServiceProfile>,
     pub(crate) lanes: HashMap<String, Lanes>,
-    /// Servers of the requests that other routers told of, with the time of each.
-    told: HashMap<ToldRequest, (InstanceId, Timestamp)>,
-    /// Number of requests told of at which forgotten ones are looked for.
-    look_at: usize,
-    /// Number of the latest request of this router.
-    last_own: u16,
+    /// Requests reported by other routers, with their server and the time of the report.
+    reported_requests: HashMap<ToldRequest, (InstanceId, Timestamp)>,
+    /// Number of reported requests at which expired ones are removed.
+    cleanup_threshold: usize,
+    /// Number of this router's most recent request.
+    last_request_number: u16,
 }
 
 impl Placement {
-    /// Knows no server yet. The router is in `zone`.
+    /// A placement without servers, for a router in `zone`.
     pub fn new(zone: impl Into<String>) -> Self {
         Placement {
             zone: zone.into(),
-            known: InstanceMap::default(),
+            instances: InstanceMap::default(),
             servers: HashMap::new(),
             services: HashMap::new(),
             renewing: BTreeSet::new(),
-            rests: Rests::default(),
+            backoffs: Backoffs::default(),
             departures: Departures::default(),
-            marked: BTreeSet::new(),
+            noticed: BTreeSet::new(),
             speeds: HashMap::new(),
             profiles: HashMap::new(),
             lanes: HashMap::new(),
-            told: HashMap::new(),
-            look_at: LEAST_TOLD,
-            last_own: 0,
+            reported_requests: HashMap::new(),
+            cleanup_threshold: MIN_CLEANUP_THRESHOLD,
+            last_request_number: 0,
         }
     }
 
-    /// These servers, and no others, may be used from now on. What is known of those that stay is
-    /// kept; of one that has started again nothing is. The work is in proportion to what changes,
-    /// and not to the servers that there are.
+    /// Replaces the set of servers. State of unchanged incarnations is kept, that of restarted ones
+    /// is reset. The cost is proportional to the number of changes.
     pub fn set_instances(&mut self, instances: &InstanceMap) {
-        let changes = instances.changes_from(&self.known);
+        let changes = instances.changes_from(&self.instances);
         changes.removed.iter().for_each(|name| self.remove(name));
-        changes.changed.into_iter().for_each(|instance| self.take_in(instance));
-        self.known = instances.clone();
+        changes.changed.into_iter().for_each(|instance| self.upsert_instance(instance));
+        self.instances = instances.clone();
     }
 
-    fn take_in(&mut self, instance: Arc<Instance>) {
+    fn upsert_instance(&mut self, instance: Arc<Instance>) {
         let name = instance.id.name();
         let service = &instance.report.service;
         if let Some(known) = self.servers.get_mut(name) {
-            let stays = known.instance.id == instance.id;
-            if stays && known.instance.report.service == *service {
+            let is_same_incarnation = known.instance.id == instance.id;
+            if is_same_incarnation && known.instance.report.service == *service {
                 known.instance = instance;
                 return;
             }
@@ -99,41 +97,41 @@
         self.remove(name);
         let members = self.services.entry(service.clone()).or_default();
         members.push(name.clone());
-        let place = members.len() - 1;
-        let mut server = Server::new(Arc::clone(&instance), place);
+        let member_index = members.len() - 1;
+        let mut server = Server::new(Arc::clone(&instance), member_index);
         server.renewing = self.renewing.contains(&instance.id);
-        self.mark_new(&mut server);
+        self.restore_notices(&mut server);
         self.servers.insert(name.clone(), server);
     }
 
     fn remove(&mut self, name: &InstanceName) {
         let Some(server) = self.servers.remove(name) else { return };
-        self.marked.remove(name);
+        self.noticed.remove(name);
         let service = &server.instance.report.service;
         let Some(members) = self.services.get_mut(service) else { return };
-        members.swap_remove(server.place);
-        if let Some(moved) = members.get(server.place)
+        members.swap_remove(server.member_index);
+        if let Some(moved) = members.get(server.member_index)
             && let Some(moved) = self.servers.get_mut(moved)
         {
-            moved.place = server.place;
+            moved.member_index = server.member_index;
         }
     }
 
-    /// What is known of an incarnation, if it may be used.
+    /// State of a listed incarnation.
     pub(crate) fn server(&self, id: &InstanceId) -> Option<&Server> {
         self.servers.get(id.name()).filter(|server| server.instance.id.is_same(id))
     }
 
     pub(crate) fn server_mut(&mut self, id: &InstanceId) -> Option<&mut Server> {
-        incarnation(&mut self.servers, id)
+        incarnation_mut(&mut self.servers, id)
     }
 
-    /// What moves of memory cost, by service.
+    /// Sets the KV transfer costs and cache capacities, by service.
     pub fn set_profiles(&mut self, profiles: HashMap<String, ServiceProfile>) {
         self.profiles = profiles;
     }
 
-    /// These servers, and no others, take no new requests for now.
+    /// Sets the servers that accept no new requests during a rollout of new weights.
     pub fn set_renewing(&mut self, renewing: &BTreeSet<InstanceId>) {
         if self.renewing == *renewing {
             return;
@@ -146,61 +144,62 @@
         }
     }
 
-    /// The request is sent to the chosen server.
+    /// Records the dispatch of a request to the chosen server.
     pub fn begin(&mut self, choice: &Choice, has_prompt: bool, now: Timestamp) -> Ticket {
         let tokens_ahead = self.tokens_ahead(&choice.instance, now);
-        self.last_own = self.last_own.wrapping_add(1);
-        let request = ToldRequest { router: THIS_ROUTER, number: self.last_own };
-        self.note_sent(Some(request), &choice.sighting(), now);
+        self.last_request_number = self.last_request_number.wrapping_add(1);
+        let request = ToldRequest { router: LOCAL_ROUTER, number: self.last_request_number };
+        self.apply_dispatch(Some(request), &choice.sighting(), now);
         if has_prompt && let Some(server) = self.server(&choice.instance) {
             let service = server.instance.report.service.clone();
             let tokens = choice.kept_tokens + choice.missed_tokens;
             self.lanes.entry(service).or_default().record(tokens, choice.missed_tokens, now);
         }
         if let Some(server) = self.server_mut(&choice.instance) {
-            server.load.begin(choice.tokens_in_line());
+            server.load.add_request(choice.queued_tokens());
         }
         Ticket {
             instance: choice.instance.clone(),
-            missed_tokens: choice.tokens_in_line(),
-            // The time of one that gives way tells nothing of the server.
+            missed_tokens: choice.queued_tokens(),
+            // Late requests run after others, so their timing isn't a sample of the server's speed.
             is_measured: has_prompt && !choice.is_late,
-            begun: now,
+            started_at: now,
             had_output: false,
             request,
             tokens_ahead,
         }
     }
 
-    /// Tokens that a server is still to read, as far as routers tell each other.
+    /// Queued prefill tokens of all routers at a server.
     fn tokens_ahead(&self, instance: &InstanceId, now: Timestamp) -> f64 {
         let Some(server) = self.server(instance) else { return 0.0 };
         let speed = self.speeds.get(&server.instance.report.service).copied().unwrap_or_default();
-        server.fleet_load.waiting_tokens(speed, now)
+        server.fleet_load.queued_tokens(speed, now)
     }
 
-    /// A request was sent to a server. Its end will not be told of.
+    /// Records a dispatch report without a request number: the end of the request won't be
+    /// reported.
     pub fn sighted(&mut self, sighting: &ChainSighting, now: Timestamp) {
-        self.note_sent(None, sighting, now);
+        self.apply_dispatch(None, sighting, now);
     }
 
-    /// Another router has sent a request to a server, and will tell of its end.
+    /// Records another router's dispatch report; the end of the request will be reported too.
     pub fn heard_sent(&mut self, request: ToldRequest, sighting: &ChainSighting, now: Timestamp) {
-        if self.told.len() >= self.look_at {
-            self.told.retain(|_, (_, begun)| !is_forgotten(*begun, now));
-            self.look_at = (self.told.len() * 2).max(LEAST_TOLD);
+        if self.reported_requests.len() >= self.cleanup_threshold {
+            self.reported_requests.retain(|_, (_, started_at)| !is_expired(*started_at, now));
+            self.cleanup_threshold = (self.reported_requests.len() * 2).max(MIN_CLEANUP_THRESHOLD);
         }
-        self.told.insert(request, (sighting.instance.clone(), now));
-        self.note_sent(Some(request), sighting, now);
+        self.reported_requests.insert(request, (sighting.instance.clone(), now));
+        self.apply_dispatch(Some(request), sighting, now);
     }
 
-    fn note_sent(
+    fn apply_dispatch(
         &mut self,
         request: Option<ToldRequest>,
         sighting: &ChainSighting,
         now: Timestamp,
     ) {
-        let Some(server) = incarnation(&mut self.servers, &sighting.instance) else { return };
+        let Some(server) = incarnation_mut(&mut self.servers, &sighting.instance) else { return };
         server.turnover.record(sighting.tokens, now);
         let service = &server.instance.report.service;
         let speed = self.speeds.get(service).copied().unwrap_or_default();
@@ -209,25 +208,25 @@
             return;
         }
         let capacity = self.profiles.get(service).map_or(0, |profile| profile.cache_tokens);
-        let parts = SentParts {
+        let prompt = DispatchedPrompt {
             keys: &sighting.keys,
             tokens: &sighting.part_tokens,
             own_tokens: sighting.own_tokens,
-            read_at: now.after(speed.time_for(server.fleet_load.waiting_tokens(speed, now))),
+            computed_at: now.after(speed.time_for(server.fleet_load.queued_tokens(speed, now))),
         };
-        server.kept.record(sighting.version, parts, capacity);
+        server.cached.record(sighting.version, prompt, capacity);
     }
 
-    /// A request that another router had told of has ended.
+    /// Records the end of a request that another router has reported.
     pub fn heard_end(&mut self, request: ToldRequest) {
-        let Some((instance, _)) = self.told.remove(&request) else { return };
+        let Some((instance, _)) = self.reported_requests.remove(&request) else { return };
         if let Some(server) = self.server_mut(&instance) {
             server.fleet_load.end(request);
         }
     }
 
-    /// Another router has tried to reach the server. Returns whether the server counts as
-    /// unreachable from now on and did not before.
+    /// Records another router's report on whether it can reach the server. Returns whether the
+    /// report changes the server to unreachable for this router.
     pub fn heard_reachability(
         &mut self,
         reporter: Reporter<'_>,
@@ -235,51 +234,50 @@
         reached: bool,
         now: Timestamp,
     ) -> bool {
-        let Some(server) = incarnation(&mut self.servers, instance) else { return false };
+        let Some(server) = incarnation_mut(&mut self.servers, instance) else { return false };
         if reached {
-            server.reports.reached();
+            server.unreachable_reports.clear();
             return false;
         }
-        let was_believed = server.reports.are_believed(&self.zone, now);
-        server.reports.unreachable(reporter, now);
-        !was_believed && server.reports.are_believed(&self.zone, now)
+        let was_confirmed = server.unreachable_reports.is_confirmed(&self.zone, now);
+        server.unreachable_reports.add(reporter, now);
+        !was_confirmed && server.unreachable_reports.is_confirmed(&self.zone, now)
     }
 
-    /// The server has begun to answer.
+    /// Records the first output of a request.
     pub fn first_output(&mut self, ticket: &mut Ticket, now: Timestamp) {
         if std::mem::replace(&mut ticket.had_output, true) {
             return;
         }
-        let took = now.since(ticket.begun);
-        let Some(server) = incarnation(&mut self.servers, &ticket.instance) else { return };
-        server.reports.reached();
+        let took = now.since(ticket.started_at);
+        let Some(server) = incarnation_mut(&mut self.servers, &ticket.instance) else { return };
+        server.unreachable_reports.clear();
         server.load.first_output(ticket.missed_tokens);
         if !ticket.is_measured {
             return;
         }
         let speed = self.speeds.entry(server.instance.report.service.clone()).or_default();
         let expected_ms = speed.ms_for(f64::from(ticket.missed_tokens));
-        if ticket.tokens_ahead < f64::from(ticket.missed_tokens) * MAX_PART_AHEAD {
+        if ticket.tokens_ahead < f64::from(ticket.missed_tokens) * MAX_QUEUE_SHARE {
             speed.record(ticket.missed_tokens, took);
         }
         let expected = Duration::from_secs_f64(expected_ms / 1_000.0);
         server.health.record_delay(took.saturating_sub(expected), now);
     }
 
-    /// The request has ended on its server.
+    /// Records the end of a request.
     pub fn end(&mut self, mut ticket: Ticket, outcome: Outcome, now: Timestamp) {
         let Some(server) = self.server_mut(&ticket.instance) else { return };
         if !std::mem::replace(&mut ticket.had_output, true) {
             server.load.first_output(ticket.missed_tokens);
         }
-        server.load.end();
+        server.load.remove_request();
         server.fleet_load.end(ticket.request);
         server.health.record(outcome, now);
     }
 
-    /// Servers that could not be connected to and are to be probed now, with their
-    /// addresses. Until a probe succeeds a request is sent to them only if no other server
-    /// may be used.
+    /// Takes the unreachable servers whose next probe is due, with their addresses. Until a probe
+    /// succeeds, they only get requests if no other server is available.
     pub fn take_due_probes(&mut self, now: Timestamp) -> Vec<(InstanceId, SocketAddrV4)> {
         let due = self.servers.values_mut().filter_map(|server| {
             let is_due = server.health.take_due_probe(now);
@@ -288,29 +286,29 @@
         due.collect()
     }
 
-    /// A probe of the server has succeeded.
+    /// Records a successful probe of the server.
     pub fn reached(&mut self, instance: &InstanceId) {
         if let Some(server) = self.server_mut(instance) {
-            server.health.reached();
-            server.reports.reached();
+            server.health.mark_reachable();
+            server.unreachable_reports.clear();
         }
     }
 
-    /// A server answered with weights of this version.
+    /// Records the version of the weights in an answer of the server.
     pub fn saw_version(&mut self, instance: &InstanceId, version: u64) {
         if let Some(server) = self.server_mut(instance) {
-            server.seen_version = server.seen_version.max(version);
+            server.observed_version = server.observed_version.max(version);
         }
     }
 
-    /// Version of the weights of `model` that a server is known to have.
+    /// Version of the weights of `model` on the server.
     pub fn version_of(&self, instance: &InstanceId, model: &str) -> Option<u64> {
         self.server(instance).map(|server| server.version_of(model))
     }
 }
 
-/// What is known of an incarnation, to be changed.
-fn incarnation<'a>(
+/// State of a listed incarnation.
+fn incarnation_mut<'a>(
     servers: &'a mut HashMap<InstanceName, Server>,
     id: &InstanceId,
 ) -> Option<&'a mut Server> {
--- a/crates/placement/src/prompt_work.rs
+++ b/crates/placement/src/prompt_work.rs
@@ -1,4 +1,4 @@
-//! What a prompt means for each server: what it keeps, reads, fetches and displaces.
+//! Work that a prompt causes on each server: cache hits, prefill, KV transfer and evictions.
 
 use std::collections::HashMap;
 
@@ -11,33 +11,34 @@
 use crate::request::ServerRequest;
 use crate::server::Server;
 
-/// Fewest shared tokens that are worth a move between servers.
-const MIN_MOVED_TOKENS: u32 = 64;
+/// Minimum shared tokens for a KV transfer between servers.
+const MIN_TRANSFER_TOKENS: u32 = 64;
 
-/// Shared parts that nobody has, placed elsewhere than at their home, count as read
-/// again by one part in so many: another router may be reading them at the home.
+/// Uncached shared segments that are placed away from their home count as recomputed at one part in
+/// this many: another router may be computing them at the home.
 const OFF_HOME_DIVISOR: u32 = 8;
 
-/// What a prompt means for one server.
+/// Work that a prompt causes on one server.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PromptWork {
-    /// Shared tokens that it should have read by now, so that others can fetch them.
+    /// Shared tokens whose prefill is expected to be complete, so that other servers can fetch
+    /// them.
     pub ready_tokens: u32,
-    /// Tokens that it would have to read.
+    /// Prompt tokens that the server must compute.
     pub missed_tokens: u32,
-    /// Tokens of shared parts among those that some server has read already.
-    pub reread_tokens: u32,
-    /// Time to move the shared parts to it.
+    /// Shared tokens among those that are already cached on some server.
+    pub recomputed_tokens: u32,
+    /// Time to transfer shared segments to the server, in milliseconds.
     pub move_ms: f64,
-    /// Whether it belongs to the lane of prompts of the other length.
+    /// Whether the server belongs to the lane for prompts of the other length.
     pub other_lane: bool,
-    /// Tokens that come into its memory.
+    /// Tokens inserted into the server's cache.
     pub inserted_tokens: u32,
-    /// Chance that what gives way to them would have been asked for again.
-    pub displacement_loss: f64,
-    /// Whether parts can be moved at all.
-    pub can_move: bool,
-    /// Index of a server that they can be moved from; others may have as much.
+    /// Probability that the tokens evicted for them would have been requested again.
+    pub eviction_loss: f64,
+    /// Whether KV transfer is available and worthwhile.
+    pub can_transfer: bool,
+    /// Index of a server to fetch segments from; other servers may have as many.
     pub source: Option<usize>,
     /// Why this server would be chosen.
     pub reason: Reason,
@@ -48,12 +49,12 @@
         PromptWork {
             ready_tokens: 0,
             missed_tokens: 0,
-            reread_tokens: 0,
+            recomputed_tokens: 0,
             move_ms: 0.0,
             other_lane: false,
             inserted_tokens: 0,
-            displacement_loss: 0.0,
-            can_move: false,
+            eviction_loss: 0.0,
+            can_transfer: false,
             source: None,
             reason: Reason::LeastCost,
         }
@@ -61,19 +62,18 @@
 }
 
 impl PromptWork {
-    /// Whether the parts that the server reads should be saved in a store. A server sends
-    /// everything that it has read, the request's own part too, which nobody will ask for: it takes
-    /// the store's link and room. So the server has to read shared parts, and those have to be
-    /// most of the prompt.
-    pub(crate) fn is_worth_saving(&self, tokens: u32, shared_tokens: u32) -> bool {
+    /// Whether the computed segments should be saved in a store. The server saves the whole prompt
+    /// including its unshared end, which takes up bandwidth and space of the store. So shared
+    /// segments must be computed, and they must be most of the prompt.
+    pub(crate) fn should_store(&self, tokens: u32, shared_tokens: u32) -> bool {
         let own_tokens = tokens.saturating_sub(shared_tokens);
         self.missed_tokens > own_tokens && tokens < 2 * shared_tokens
     }
 }
 
 impl Placement {
-    /// What the prompt means for each server.
-    pub(crate) fn prompt_works(
+    /// Computes the work that the prompt causes on each server.
+    pub(crate) fn prompt_work(
         &self,
         servers: &[&Server],
         request: &ServerRequest<'_>,
@@ -82,43 +82,43 @@
     ) -> Vec<PromptWork> {
         let tokens = request.prompt.map_or(0, |prompt| prompt.tokens);
         let model = request.prompt.map_or("", |prompt| prompt.model.as_str());
-        let all = chain.all_tokens();
+        let shared_tokens = chain.all_tokens();
         let other_lane = self.other_lane(servers, request, now);
         let ServiceProfile { move_ms, cache_tokens, .. } = *self.profile(request.service);
-        let can_move = move_ms > 0.0 && all >= MIN_MOVED_TOKENS;
+        let can_transfer = move_ms > 0.0 && shared_tokens >= MIN_TRANSFER_TOKENS;
         let home = chain.home(servers.iter().map(|server| server.hash));
         let versions: Vec<u64> = servers.iter().map(|server| server.version_of(model)).collect();
-        let kept = shared_tokens(servers, &versions, chain, |server, version, key| {
-            server.kept.holds(version, key)
+        let cached = tokens_by_server(servers, &versions, chain, |server, version, key| {
+            server.cached.contains(version, key)
         });
-        let ready = shared_tokens(servers, &versions, chain, |server, version, key| {
-            server.kept.has_read(version, key, now)
+        let ready = tokens_by_server(servers, &versions, chain, |server, version, key| {
+            server.cached.is_computed(version, key, now)
         });
         let holders = best_holders(&versions, &ready);
-        let nobody_has_any = kept.iter().all(|tokens| *tokens == 0);
+        let is_uncached = cached.iter().all(|tokens| *tokens == 0);
         let work = |index: usize| {
-            let own = kept[index];
+            let cached_tokens = cached[index];
             let holder = holders.get(&versions[index]).copied();
-            let source = holder.filter(|holder| can_move && ready[*holder] > own);
-            let fetched = source.map_or(0, |source| ready[source] - own);
-            let missed = all - own - fetched;
+            let source = holder.filter(|holder| can_transfer && ready[*holder] > cached_tokens);
+            let transferred = source.map_or(0, |source| ready[source] - cached_tokens);
+            let uncached = shared_tokens - cached_tokens - transferred;
             let is_home = home == Some(index);
-            let reread = match (is_home, nobody_has_any) {
+            let recomputed = match (is_home, is_uncached) {
                 (true, _) => 0,
-                (false, true) => missed / OFF_HOME_DIVISOR,
-                (false, false) => missed,
+                (false, true) => uncached / OFF_HOME_DIVISOR,
+                (false, false) => uncached,
             };
             PromptWork {
                 ready_tokens: ready[index],
-                missed_tokens: tokens.saturating_sub(own + fetched),
-                reread_tokens: reread,
-                move_ms: move_ms * f64::from(fetched),
+                missed_tokens: tokens.saturating_sub(cached_tokens + transferred),
+                recomputed_tokens: recomputed,
+                move_ms: move_ms * f64::from(transferred),
                 other_lane: other_lane[index],
-                inserted_tokens: tokens.saturating_sub(own),
-                displacement_loss: servers[index].turnover.loss(cache_tokens, now),
-                can_move,
+                inserted_tokens: tokens.saturating_sub(cached_tokens),
+                eviction_loss: servers[index].turnover.eviction_loss(cache_tokens, now),
+                can_transfer,
                 source,
-                reason: match (own > 0, fetched > 0, is_home) {
+                reason: match (cached_tokens > 0, transferred > 0, is_home) {
                     (true, false, _) => Reason::Holder,
                     (_, true, _) => Reason::Fetch,
                     (false, false, true) => Reason::Home,
@@ -129,9 +129,9 @@
         (0..servers.len()).map(work).collect()
     }
 
-    /// Whether each server belongs to the lane of prompts of the other length. The
-    /// lanes are parts of all servers, so that they stay the same while some are
-    /// renewed or can't be reached.
+    /// For each server, whether it belongs to the lane for prompts of the other length. Lanes
+    /// divide all servers, including unreachable and renewing ones, so that they don't change with
+    /// availability.
     fn other_lane(
         &self,
         servers: &[&Server],
@@ -157,21 +157,21 @@
     }
 }
 
-/// The server that has most of the prompt, by version of weights. Looked for once: to look
-/// anew for each server would take the square of their number.
-fn best_holders(versions: &[u64], kept: &[u32]) -> HashMap<u64, usize> {
+/// The server with most of the prompt in its cache, for each version of the weights. Computed once
+/// for all servers, as searching per server would take quadratic time.
+fn best_holders(versions: &[u64], cached: &[u32]) -> HashMap<u64, usize> {
     let mut holders: HashMap<u64, usize> = HashMap::new();
     for (index, version) in versions.iter().enumerate() {
         let best = holders.entry(*version).or_insert(index);
-        if kept[index] >= kept[*best] {
+        if cached[index] >= cached[*best] {
             *best = index;
         }
     }
     holders
 }
 
-/// Shared tokens that each server has, where `has` tells whether it has a beginning of the chain.
-fn shared_tokens(
+/// For each server, the tokens of the longest prefix for which `has` holds.
+fn tokens_by_server(
     servers: &[&Server],
     versions: &[u64],
     chain: &ChainKeys,
--- a/crates/placement/src/request.rs
+++ b/crates/placement/src/request.rs
@@ -1,33 +1,33 @@
-//! What a choice is asked about.
+//! The request for which a server is chosen.
 
 use std::time::Duration;
 
 use juniper_registry::InstanceId;
 
-/// A part of a prompt.
+/// A prefix segment of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Names its content.
+    /// Hash of the content.
     pub id: u64,
-    /// Its length.
+    /// Length in tokens.
     pub tokens: u32,
 }
 
-/// A prompt, by the chain of its parts. The last part is the request's own.
+/// A prompt as a chain of segments. The last segment belongs to this request only.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Prompt {
-    /// The model that is asked.
+    /// Model name.
     pub model: String,
-    /// The parts, in order.
+    /// Segments in prompt order.
     pub parts: Vec<PromptPart>,
     /// Tokens of the whole prompt.
     pub tokens: u32,
-    /// Most tokens generated.
+    /// Maximum number of generated tokens.
     pub output_tokens: u32,
 }
 
 impl Prompt {
-    /// The parts that other requests may have too: all but the last.
+    /// Segments that other requests may share: all but the last.
     pub fn shared(&self) -> &[PromptPart] {
         match self.parts.split_last() {
             Some((_own, shared)) => shared,
@@ -35,35 +35,36 @@
         }
     }
 
-    /// Tokens of the shared parts.
+    /// Total tokens of the shared segments.
     pub fn shared_tokens(&self) -> u32 {
         self.shared().iter().map(|part| part.tokens).sum()
     }
 }
 
-/// A request for which a server is wanted.
+/// A request for which a server is chosen.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerRequest<'a> {
-    /// The service.
+    /// Service name.
     pub service: &'a str,
     /// The prompt, if the service runs a model.
     pub prompt: Option<&'a Prompt>,
-    /// Names the callers among whom cached parts are shared.
+    /// Key of the callers that share cached segments with each other.
     pub sharing: u64,
-    /// Servers that failed this request already.
+    /// Servers that have already failed this request.
     pub excluded: &'a [InstanceId],
-    /// Whether servers are left out that state what they take from all routers together.
+    /// Whether servers with an advertised limit are excluded.
     pub spares_limited: bool,
-    /// Least version of the model's weights that may be used.
+    /// Minimum version of the model weights.
     pub min_version: u64,
-    /// Time within which an answer earns its full worth.
+    /// Latency objective: an answer within this time has its full value.
     pub objective: Duration,
-    /// Time until the first output is late.
+    /// Remaining time until the first output is late.
     pub time_left: Duration,
-    /// Rank among the requests of the service, 0 for the most urgent.
+    /// Priority rank among the requests of the service, 0 for the most urgent.
     pub rank: u8,
-    /// Whether it is turned away if too much waits: nothing was sent of it yet.
+    /// Whether the request may be rejected under overload. Set while nothing of it has been sent.
     pub may_be_refused: bool,
-    /// Longest pause within an answer that still earns its full worth, if it is a stream.
+    /// Longest gap between events of a stream that still counts as in time; `None` without a
+    /// stream.
     pub max_pause: Option<Duration>,
 }
--- a/crates/placement/src/budget.rs
+++ b/crates/placement/src/retry_budget.rs
@@ -1,30 +1,29 @@
-//! The retry budget: repeats are a bounded share of the requests of a service.
+//! Retry budget: bounds retries to a share of the requests of a service.
 //!
-//! The bound holds for all routers together. Each keeps to its part: the share
-//! of its own requests, and the free repeats divided by the number of routers.
-//! No router has to be asked, and when the number is wrong by some for a while
-//! the margin covers it.
+//! The bound holds for all routers together without coordination: each router limits itself to a
+//! share of its own requests plus its part of the free retries. A margin covers temporary errors in
+//! the number of routers.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
 use juniper_types::Timestamp;
 
-/// Part of what is allowed that is used. The rest covers the error in the number
-/// of routers, and repeats that a router forgets when it restarts.
-const USED_PART: f64 = 0.8;
+/// Share of the budget that is used. The rest covers errors in the number of routers and retries
+/// that a restarted router no longer counts.
+const BUDGET_SHARE: f64 = 0.8;
 
-/// Parts in which the window slides.
+/// Buckets of the sliding window.
 const BUCKETS: u32 = 10;
 
-/// Bounds on repeats.
+/// Bounds on retries.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetrySettings {
-    /// Repeats for each request.
+    /// Retries per request.
     pub ratio: f64,
-    /// Repeats that are free in each window, for all routers together.
+    /// Free retries per window, for all routers together.
     pub free: f64,
-    /// The window.
+    /// Length of the sliding window.
     pub window: Duration,
 }
 
@@ -32,15 +31,15 @@
 struct Bucket {
     number: u64,
     requests: u32,
-    repeats: u32,
+    retries: u32,
 }
 
-/// Counts of one service.
+/// Counts of one service, by bucket.
 #[derive(Clone, Debug, Default)]
 struct Counts(VecDeque<Bucket>);
 
 impl Counts {
-    fn at(&mut self, number: u64) -> Option<&mut Bucket> {
+    fn bucket_at(&mut self, number: u64) -> Option<&mut Bucket> {
         while self.0.front().is_some_and(|bucket| bucket.number + u64::from(BUCKETS) < number) {
             self.0.pop_front();
         }
@@ -52,11 +51,11 @@
 
     fn totals(&self) -> (f64, f64) {
         let sum = |count: fn(&Bucket) -> u32| self.0.iter().map(|b| f64::from(count(b))).sum();
-        (sum(|bucket| bucket.requests), sum(|bucket| bucket.repeats))
+        (sum(|bucket| bucket.requests), sum(|bucket| bucket.retries))
     }
 }
 
-/// The part of the budget that one router keeps to, by service.
+/// This router's part of the retry budget, by service.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     settings: RetrySettings,
@@ -64,12 +63,12 @@
 }
 
 impl RetryBudget {
-    /// An unused budget.
+    /// A budget without any requests or retries.
     pub fn new(settings: RetrySettings) -> Self {
         RetryBudget { settings, services: HashMap::new() }
     }
 
-    fn bucket(&self, now: Timestamp) -> u64 {
+    fn bucket_number(&self, now: Timestamp) -> u64 {
         let width = self.settings.window.as_micros() as u64 / u64::from(BUCKETS);
         now.0 / width.max(1)
     }
@@ -80,28 +79,29 @@
 
     /// Counts a caller's request to the service.
     pub fn record_request(&mut self, service: &str, now: Timestamp) {
-        let number = self.bucket(now);
-        if let Some(bucket) = self.counts(service).at(number) {
+        let number = self.bucket_number(now);
+        if let Some(bucket) = self.counts(service).bucket_at(number) {
             bucket.requests += 1;
         }
     }
 
-    /// Takes one repeat from the budget, if `routers` routers together stay within it.
+    /// Takes one retry from the budget. Returns whether `routers` routers together stay within the
+    /// bound.
     pub fn take(&mut self, service: &str, routers: u32, now: Timestamp) -> bool {
-        let number = self.bucket(now);
+        let number = self.bucket_number(now);
         let settings = self.settings;
         let counts = self.counts(service);
-        if counts.at(number).is_none() {
+        if counts.bucket_at(number).is_none() {
             return false;
         }
-        let (requests, repeats) = counts.totals();
+        let (requests, retries) = counts.totals();
         let free = settings.free / f64::from(routers.max(1));
-        let allowed = USED_PART * (settings.ratio * requests + free);
-        if repeats + 1.0 > allowed {
+        let allowed = BUDGET_SHARE * (settings.ratio * requests + free);
+        if retries + 1.0 > allowed {
             return false;
         }
-        if let Some(bucket) = counts.at(number) {
-            bucket.repeats += 1;
+        if let Some(bucket) = counts.bucket_at(number) {
+            bucket.retries += 1;
         }
         true
     }
--- a/crates/placement/src/search.rs
+++ b/crates/placement/src/search.rs
@@ -1,4 +1,4 @@
-//! The search for the server that costs least.
+//! Search for the server with the lowest expected cost.
 
 use juniper_prefix_index::rendezvous;
 use juniper_types::Timestamp;
@@ -13,25 +13,25 @@
 use crate::request::ServerRequest;
 use crate::server::Server;
 
-/// Costs that differ by less count as equal, in milliseconds.
-const NEAR_EQUAL_MS: f64 = 1.0;
+/// Costs that differ by less than this many milliseconds count as equal.
+const TIE_MARGIN_MS: f64 = 1.0;
 
-/// Bits by which the random number is turned for each server, so that ties fall
-/// differently among them.
+/// Bits by which the random number is rotated from one server to the next, to break ties
+/// differently for each.
 const TIE_ROTATION: u32 = 7;
 
-/// The profile of a service of which nothing is known.
-static NO_MOVES: ServiceProfile =
+/// Profile of an unknown service.
+static DEFAULT_PROFILE: ServiceProfile =
     ServiceProfile { move_ms: 0.0, cache_tokens: 0, stores: Vec::new() };
 
-/// What a server that is cold costs more, in milliseconds, at most.
-const MAX_COLD_MS: f64 = 400.0;
+/// Maximum cost of a cold server, in milliseconds.
+const MAX_COLD_COST_MS: f64 = 400.0;
 
 impl Placement {
     /// Chooses a server for the request.
     ///
     /// # Errors
-    /// A [`NoChoice`] when none may be used.
+    /// Returns a [`NoChoice`] if no server may be used.
     pub fn choose(
         &self,
         request: &ServerRequest<'_>,
@@ -48,14 +48,18 @@
         if usable.is_empty() {
             return Ok(last_resort(&candidates, request, random));
         }
-        // Where others can reach none, or are turned away by all, this router may still be served.
-        let reachable = prefer(usable, |server| !server.reports.are_believed(&self.zone, now));
-        let preferred = prefer(reachable, |server| !self.turns_others_away(server, now));
-        self.cheapest(&preferred, request, now, random)
+        // If other routers can reach no server or are rejected by all, this router may still
+        // succeed.
+        let reachable = prefer_matching(usable, |server| {
+            !server.unreachable_reports.is_confirmed(&self.zone, now)
+        });
+        let preferred =
+            prefer_matching(reachable, |server| !self.is_backing_off_from_peers(server, now));
+        self.choose_cheapest(&preferred, request, now, random)
     }
 
-    /// Chooses the server that costs least; `random` decides among nearly equal ones.
-    fn cheapest(
+    /// Chooses the server with the lowest cost; `random` breaks ties.
+    fn choose_cheapest(
         &self,
         servers: &[&Server],
         request: &ServerRequest<'_>,
@@ -66,18 +70,18 @@
             speed: self.speeds.get(request.service).copied().unwrap_or_default(),
             objective: request.objective,
             max_pause: request.max_pause,
-            mean_failures: mean_failures(servers, now),
+            mean_failure_rate: mean_failure_rate(servers, now),
             now,
         };
         let chain = request.prompt.map(|prompt| ChainKeys::of(prompt, request.sharing));
         let chain = chain.unwrap_or_default();
-        let works = self.prompt_works(servers, request, &chain, now);
+        let work_by_server = self.prompt_work(servers, request, &chain, now);
         let mut best: Option<(f64, u64, usize)> = None;
         for (index, server) in servers.iter().enumerate() {
-            let cost = context.cost_ms(&self.view(server, works[index], &context));
+            let cost = context.cost_ms(&self.server_view(server, work_by_server[index], &context));
             let tie = random.rotate_left(index as u32 * TIE_ROTATION) ^ server.hash;
             let is_better = best.is_none_or(|(least, least_tie, _)| {
-                cost < least - NEAR_EQUAL_MS || (cost < least + NEAR_EQUAL_MS && tie < least_tie)
+                cost < least - TIE_MARGIN_MS || (cost < least + TIE_MARGIN_MS && tie < least_tie)
             });
             if is_better {
                 best = Some((cost, tie, index));
@@ -85,57 +89,58 @@
         }
         let (cost_ms, _, index) = best.ok_or(NoChoice::NoServer)?;
         let model = request.prompt.map_or("", |prompt| prompt.model.as_str());
-        let source =
-            works[index].source.map(|known| spread(servers, &works, index, known, (model, random)));
-        let work = PromptWork { source, ..works[index] };
-        let view = self.view(servers[index], work, &context);
+        let source = work_by_server[index]
+            .source
+            .map(|holder| pick_source(servers, &work_by_server, index, holder, (model, random)));
+        let work = PromptWork { source, ..work_by_server[index] };
+        let view = self.server_view(servers[index], work, &context);
         let first_output_ms = context.first_output_ms(&view);
-        let prospect = Prospect { first_output_ms, wait_ms: context.wait_ms(&view) };
+        let estimate = Prospect { first_output_ms, wait_ms: context.wait_ms(&view) };
         if request.prompt.is_some() && request.may_be_refused {
-            let least_waits_ms = || self.least_waits_ms(servers, &works, &context);
-            let overload = prospect.overload(request.rank, request.time_left, least_waits_ms);
+            let least_waits_ms = || self.least_waits_ms(servers, &work_by_server, &context);
+            let overload = estimate.overload(request.rank, request.time_left, least_waits_ms);
             if let Some(overload) = overload {
                 return Err(NoChoice::Overloaded(overload));
             }
         }
-        let found = Found { index, work, cost_ms, first_output_ms };
-        Ok(self.decision(servers, request, chain, found))
+        let cheapest = Cheapest { index, work, cost_ms, first_output_ms };
+        Ok(self.build_choice(servers, request, chain, cheapest))
     }
 
-    /// The lower quartile of the times for which the prompt would wait behind others. While a quarter of
-    /// the servers has little waiting, there is room.
+    /// Lower quartile of the servers' queueing times. There is spare capacity while a quarter of
+    /// the servers have short queues.
     fn least_waits_ms(
         &self,
         servers: &[&Server],
-        works: &[PromptWork],
+        work_by_server: &[PromptWork],
         context: &CostContext,
     ) -> f64 {
-        let waits = servers.iter().zip(works);
+        let waits = servers.iter().zip(work_by_server);
         let mut waits: Vec<f64> = waits
-            .map(|(server, work)| context.wait_ms(&self.view(server, *work, context)))
+            .map(|(server, work)| context.wait_ms(&self.server_view(server, *work, context)))
             .collect();
-        let place = waits.len() / 4;
-        waits.select_nth_unstable_by(place, f64::total_cmp);
-        waits[place]
+        let quartile = waits.len() / 4;
+        waits.select_nth_unstable_by(quartile, f64::total_cmp);
+        waits[quartile]
     }
 
-    /// The choice of the server that was found.
-    fn decision(
+    /// Builds the choice of the server that was found.
+    fn build_choice(
         &self,
         servers: &[&Server],
         request: &ServerRequest<'_>,
         chain: ChainKeys,
-        found: Found,
+        cheapest: Cheapest,
     ) -> Choice {
-        let Found { index, work, cost_ms, first_output_ms } = found;
+        let Cheapest { index, work, cost_ms, first_output_ms } = cheapest;
         let is_late = first_output_ms > request.time_left.as_secs_f64() * 1_000.0;
         let server = servers[index];
         let model = request.prompt.map_or("", |prompt| prompt.model.as_str());
         let tokens = request.prompt.map_or(0, |prompt| prompt.tokens);
         let version = server.version_of(model);
         let profile = self.profile(request.service);
-        let store = profile.store_of(&chain).filter(|_| work.can_move);
-        let holder = work.source.map(|source| servers[source].instance.report.address);
+        let store = profile.store_of(&chain).filter(|_| work.can_transfer);
+        let source = work.source.map(|source| servers[source].instance.report.address);
         Choice {
             instance: server.instance.id.clone(),
             address: server.instance.report.address,
@@ -146,8 +151,8 @@
             missed_tokens: work.missed_tokens,
             candidates: servers.len(),
             version,
-            source: holder.or(store).filter(|_| work.can_move),
-            store: store.filter(|_| work.is_worth_saving(tokens, chain.all_tokens())),
+            source: source.or(store).filter(|_| work.can_transfer),
+            store: store.filter(|_| work.should_store(tokens, chain.all_tokens())),
             part_tokens: chain.part_tokens(),
             own_tokens: tokens.saturating_sub(chain.all_tokens()),
             keys: chain.keys,
@@ -155,13 +160,13 @@
         }
     }
 
-    /// What moves of memory cost at the service.
+    /// KV transfer costs and cache capacity of the service.
     pub(crate) fn profile(&self, service: &str) -> &ServiceProfile {
-        self.profiles.get(service).unwrap_or(&NO_MOVES)
+        self.profiles.get(service).unwrap_or(&DEFAULT_PROFILE)
     }
 
-    /// The server as the request sees it.
-    fn view<'a>(
+    /// Cost inputs of the server for one request.
+    fn server_view<'a>(
         &self,
         server: &'a Server,
         work: PromptWork,
@@ -171,63 +176,64 @@
         ServerView {
             health: &server.health,
             load: server.load,
-            fleet_tokens: server.fleet_load.waiting_tokens(context.speed, context.now),
+            fleet_queued_tokens: server.fleet_load.queued_tokens(context.speed, context.now),
             fleet_requests: server.fleet_load.requests(context.now) as f64,
             slots: report.slots,
             same_zone: report.zone == self.zone,
             silent: server.instance.silent,
-            cold_ms: (report.cold_remaining_ms as f64).min(MAX_COLD_MS),
+            cold_ms: (report.cold_remaining_ms as f64).min(MAX_COLD_COST_MS),
             missed_tokens: work.missed_tokens,
-            reread_tokens: work.reread_tokens,
+            recomputed_tokens: work.recomputed_tokens,
             move_ms: work.move_ms,
             other_lane: work.other_lane,
-            used_part: server.limit.as_ref().map_or(0.0, |limit| limit.used_part(context.now)),
-            displaced: f64::from(work.inserted_tokens) * work.displacement_loss,
+            utilization: server.limit.as_ref().map_or(0.0, |limit| limit.used_part(context.now)),
+            evicted_tokens: f64::from(work.inserted_tokens) * work.eviction_loss,
         }
     }
 }
 
-/// A server that has as much of the prompt as the one at `known`, for the server at `reader`.
+/// Picks the server that `reader` fetches segments from, among those that have as much of the
+/// prompt cached as `holder`.
 ///
-/// A server's moves run one after another. If all routers named the same source of a part that
-/// many servers have, readers would wait for it in line. So it is drawn, first among those in
-/// the reader's zone, from where a move takes half the time.
-fn spread(
+/// A server's KV transfers run one after another, and would queue if all routers picked the same
+/// source. So the source is drawn at random, preferring the reader's zone, where a transfer takes
+/// half the time.
+fn pick_source(
     servers: &[&Server],
-    works: &[PromptWork],
+    work_by_server: &[PromptWork],
     reader: usize,
-    known: usize,
+    holder: usize,
     (model, random): (&str, u64),
 ) -> usize {
-    let version = servers[known].version_of(model);
+    let version = servers[holder].version_of(model);
     let zone = &servers[reader].instance.report.zone;
     let has_as_much = |other: &usize| {
-        works[*other].ready_tokens == works[known].ready_tokens
+        work_by_server[*other].ready_tokens == work_by_server[holder].ready_tokens
             && servers[*other].version_of(model) == version
     };
     let rank = |other: &usize| {
         let is_far = servers[*other].instance.report.zone != *zone;
         (is_far, rendezvous::score(random, servers[*other].hash))
     };
-    (0..servers.len()).filter(has_as_much).min_by_key(rank).unwrap_or(known)
+    (0..servers.len()).filter(has_as_much).min_by_key(rank).unwrap_or(holder)
 }
 
-/// Those of the servers for which the condition holds, or all if it holds for none.
-fn prefer(servers: Vec<&Server>, condition: impl Fn(&Server) -> bool) -> Vec<&Server> {
+/// Keeps the servers that satisfy `condition`, or all if none does.
+fn prefer_matching(servers: Vec<&Server>, condition: impl Fn(&Server) -> bool) -> Vec<&Server> {
     let preferred: Vec<&Server> =
         servers.iter().copied().filter(|server| condition(server)).collect();
     if preferred.is_empty() { servers } else { preferred }
 }
 
-/// The server that costs least.
-struct Found {
+/// The server with the lowest cost.
+struct Cheapest {
     index: usize,
     work: PromptWork,
     cost_ms: f64,
     first_output_ms: f64,
 }
 
-fn mean_failures(servers: &[&Server], now: Timestamp) -> f64 {
-    let sum: f64 = servers.iter().map(|server| server.health.failure_share(now)).sum();
+fn mean_failure_rate(servers: &[&Server], now: Timestamp) -> f64 {
+    let sum: f64 = servers.iter().map(|server| server.health.failure_rate(now)).sum();
     sum / servers.len().max(1) as f64
 }
--- a/crates/placement/src/server.rs
+++ b/crates/placement/src/server.rs
@@ -1,4 +1,4 @@
-//! One server as a router knows it.
+//! State of one server as known to this router.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,77 +7,77 @@
 use juniper_registry::Instance;
 use juniper_types::Timestamp;
 
+use crate::cache_turnover::CacheTurnover;
+use crate::cached_segments::CachedSegments;
 use crate::fleet_load::FleetLoad;
 use crate::health::Health;
-use crate::kept_parts::KeptParts;
 use crate::load::Load;
-use crate::memory::MemoryTurnover;
-use crate::reports::Reports;
+use crate::reachability_reports::UnreachableReports;
 
-/// What is known of a server.
+/// State of one server.
 #[derive(Clone, Debug)]
 pub(crate) struct Server {
     pub(crate) instance: Arc<Instance>,
-    /// Its place in the list of its service.
-    pub(crate) place: usize,
+    /// Index of the server in the member list of its service.
+    pub(crate) member_index: usize,
     pub(crate) hash: u64,
     pub(crate) health: Health,
-    /// What other routers say of it.
-    pub(crate) reports: Reports,
+    /// Reports of other routers that the server is unreachable.
+    pub(crate) unreachable_reports: UnreachableReports,
     pub(crate) load: Load,
-    /// What all routers together have sent to it.
+    /// Requests of all routers to the server.
     pub(crate) fleet_load: FleetLoad,
-    /// Highest version of weights that it answered with.
-    pub(crate) seen_version: u64,
-    /// It takes no new requests, because it is given new weights.
+    /// Highest version of the weights observed in the server's answers.
+    pub(crate) observed_version: u64,
+    /// Whether the server accepts no new requests during a rollout of new weights.
     pub(crate) renewing: bool,
-    /// It has asked a router for a rest, which may be over.
-    pub(crate) has_asked_for_rest: bool,
-    /// It has said in an answer that it leaves.
-    pub(crate) is_leaving: bool,
-    /// What it takes from all routers together, if it states that.
+    /// Whether the server has requested a backoff, which may have expired.
+    pub(crate) has_requested_backoff: bool,
+    /// Whether the server has announced its departure.
+    pub(crate) is_departing: bool,
+    /// Advertised limit of the server, for all routers together.
     pub(crate) limit: Option<ServerLimit>,
-    pub(crate) turnover: MemoryTurnover,
-    /// What it should keep of what all routers have sent.
-    pub(crate) kept: KeptParts,
+    pub(crate) turnover: CacheTurnover,
+    /// Model of the segments in the server's KV cache.
+    pub(crate) cached: CachedSegments,
 }
 
 impl Server {
-    /// A server of which nothing is known but its report.
-    pub(crate) fn new(instance: Arc<Instance>, place: usize) -> Self {
-        let hash = hash_of(instance.id.as_str());
+    /// A server without any observations yet.
+    pub(crate) fn new(instance: Arc<Instance>, member_index: usize) -> Self {
+        let hash = fnv1a(instance.id.as_str());
         let (health, load) = (Health::default(), Load::default());
         Server {
             instance,
-            place,
+            member_index,
             hash,
             health,
-            reports: Reports::default(),
+            unreachable_reports: UnreachableReports::default(),
             load,
             fleet_load: FleetLoad::default(),
-            seen_version: 0,
+            observed_version: 0,
             renewing: false,
-            has_asked_for_rest: false,
-            is_leaving: false,
+            has_requested_backoff: false,
+            is_departing: false,
             limit: None,
-            turnover: MemoryTurnover::default(),
-            kept: KeptParts::default(),
+            turnover: CacheTurnover::default(),
+            cached: CachedSegments::default(),
         }
     }
 
-    /// Time until it takes a request again; `None` if it takes one now.
-    pub(crate) fn pause(&self, now: Timestamp) -> Option<Duration> {
+    /// Time until the advertised limit admits another request; `None` if it admits one now.
+    pub(crate) fn limit_wait(&self, now: Timestamp) -> Option<Duration> {
         self.limit.as_ref()?.pause(now)
     }
 
-    /// Version of the model's weights that it is known to have; zero for none.
+    /// Version of the model weights on the server; zero if it has none.
     pub(crate) fn version_of(&self, model: &str) -> u64 {
-        self.instance.report.version_of(model).unwrap_or(0).max(self.seen_version)
+        self.instance.report.version_of(model).unwrap_or(0).max(self.observed_version)
     }
 }
 
-/// FNV-1a, the same in every process and version.
-fn hash_of(text: &str) -> u64 {
+/// FNV-1a hash: all routers have to compute the same value, whatever their build.
+fn fnv1a(text: &str) -> u64 {
     const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
     text.bytes().fold(OFFSET, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(PRIME))
--- a/crates/placement/src/server_limits.rs
+++ b/crates/placement/src/server_limits.rs
@@ -1,4 +1,4 @@
-//! What servers take from all routers together.
+//! Advertised limits of servers, which hold for all routers together.
 
 use juniper_limits::{Allowance, Decider, RequestRate, ServerLimit, ToldLimit, Verdict};
 use juniper_registry::InstanceId;
@@ -6,27 +6,26 @@
 
 use crate::placement::Placement;
 
-/// When something is heard.
+/// Time of an observation.
 #[derive(Clone, Copy, Debug)]
 pub struct HeardAt {
-    /// The time as this router counts it.
+    /// Time of this router's clock.
     pub now: Timestamp,
-    /// The time of day, in milliseconds since the Unix epoch.
+    /// Wall-clock time, in milliseconds since the Unix epoch.
     pub unix_ms: u64,
 }
 
-/// What is new of a server's limit.
+/// Change of a server's advertised limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LimitChange {
-    /// It takes so many requests a second from all routers together.
+    /// The server advertises this rate for all routers together.
     Stated(RequestRate),
-    /// It states a limit no longer.
+    /// The server no longer advertises a limit.
     Over,
 }
 
 impl Placement {
-    /// An answer of the server states that it takes `rate` from all routers together. Returns what
-    /// is new.
+    /// Records the rate that an answer of the server advertises. Returns the change, if any.
     pub fn heard_limit(
         &mut self,
         instance: &InstanceId,
@@ -44,7 +43,8 @@
         is_new.then_some(LimitChange::Stated(rate))
     }
 
-    /// An answer of the server to what was sent at `sent_at` states no limit.
+    /// Records that an answer of the server, to a request sent at `sent_at`, advertises no limit.
+    /// Returns the change, if any.
     pub fn heard_no_limit(
         &mut self,
         instance: &InstanceId,
@@ -55,7 +55,7 @@
         limit.heard_none(sent_at, at.now, at.unix_ms).then_some(LimitChange::Over)
     }
 
-    /// Another router tells what the server takes.
+    /// Records another router's report of the server's limit. Returns the change, if any.
     pub fn told_limit(
         &mut self,
         instance: &InstanceId,
@@ -75,13 +75,13 @@
         is_new.then_some(change)
     }
 
-    /// What the other routers should be told now of the server's limit.
+    /// Takes the limit to report to other routers, if a report is due.
     pub fn limit_news(&mut self, instance: &InstanceId, now: Timestamp) -> Option<ToldLimit> {
         self.server_mut(instance)?.limit.as_mut()?.news(now)
     }
 
-    /// What all routers together may send to the server; `None` if it states no limit. One that is
-    /// over for good is forgotten.
+    /// Rate that all routers together may send to the server; `None` without a limit. Removes a
+    /// limit that has ended.
     pub fn allowance(&mut self, instance: &InstanceId, now: Timestamp) -> Option<Allowance> {
         let server = self.server_mut(instance)?;
         let allowance = server.limit.as_ref()?.allowance(now);
@@ -91,7 +91,7 @@
         allowance
     }
 
-    /// It was decided whether a request may be sent to the server.
+    /// Records the decision on whether a request may be sent to the server.
     pub fn limit_decided(
         &mut self,
         instance: &InstanceId,
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Servers that state what they take from all routers together.
+    /// Number of servers with an advertised limit.
     pub fn limited_servers(&self) -> usize {
         self.servers.values().filter(|server| server.limit.is_some()).count()
     }
