--- a/crates/placement/src/placement.rs
+++ b/crates/placement/src/placement.rs
@@ -203,7 +203,7 @@
         server.turnover.record(sighting.tokens, now);
         let service = &server.instance.report.service;
         let speed = self.speeds.get(service).copied().unwrap_or_default();
-        server.fleet_load.begin(request, sighting.read_tokens, speed, now);
+        server.fleet_load.add_request(request, sighting.read_tokens, speed, now);
         if sighting.keys.is_empty() && sighting.own_tokens == 0 {
             return;
         }
@@ -221,7 +221,7 @@
     pub fn heard_end(&mut self, request: ToldRequest) {
         let Some((instance, _)) = self.reported_requests.remove(&request) else { return };
         if let Some(server) = self.server_mut(&instance) {
-            server.fleet_load.end(request);
+            server.fleet_load.remove_request(request);
         }
     }
 
@@ -272,7 +272,7 @@
             server.load.first_output(ticket.missed_tokens);
         }
         server.load.remove_request();
-        server.fleet_load.end(ticket.request);
+        server.fleet_load.remove_request(ticket.request);
         server.health.record(outcome, now);
     }
 
