--- a/crates/gateway/src/news.rs
+++ b/crates/gateway/src/news.rs
@@ -111,7 +111,7 @@
         if news.sightings.len() <= allowed {
             return (news, 0);
         }
-        news.sightings.sort_by_key(|sighting| std::cmp::Reverse(sighting.tokens));
+        news.sightings.sort_by_key(|sighting| std::cmp::Reverse(sighting.uncached_tokens));
         let left_out = news.sightings.split_off(allowed);
         (news, left_out.len())
     }
@@ -159,7 +159,7 @@
             learn_notice(&mut placement, notice, *from, now);
         }
         for sighting in &news.sightings {
-            match sighting.number {
+            match sighting.request_number {
                 // A router of an earlier version; the request is forgotten after a while.
                 0 => placement.sighted(&read(sighting), now),
                 number => placement.heard_sent(request(number), &read(sighting), now),
@@ -199,12 +199,12 @@
     DispatchReport {
         instance: instance.name().clone(),
         version,
-        chains: keys,
-        part_tokens,
-        own_tokens,
-        tokens,
-        read_tokens,
-        number,
+        prefix_hashes: keys,
+        segment_tokens: part_tokens,
+        unshared_tokens: own_tokens,
+        uncached_tokens: tokens,
+        prefill_tokens: read_tokens,
+        request_number: number,
     }
 }
 
@@ -212,10 +212,10 @@
     ChainSighting {
         instance: InstanceId::started_at(sighting.instance.clone(), StartTime::UNKNOWN),
         version: sighting.version,
-        keys: sighting.chains.clone(),
-        part_tokens: sighting.part_tokens.clone(),
-        own_tokens: sighting.own_tokens,
-        tokens: sighting.tokens,
-        read_tokens: sighting.read_tokens,
+        keys: sighting.prefix_hashes.clone(),
+        part_tokens: sighting.segment_tokens.clone(),
+        own_tokens: sighting.unshared_tokens,
+        tokens: sighting.uncached_tokens,
+        read_tokens: sighting.prefill_tokens,
     }
 }
--- a/crates/gateway/tests/paths/support/control.rs
+++ b/crates/gateway/tests/paths/support/control.rs
@@ -152,7 +152,7 @@
         let told = self.said.told.lock().expect("no panic");
         let sightings: Vec<_> = told.iter().flat_map(|news| &news.sightings).collect();
         let server_of = |number: &u16| {
-            let told = sightings.iter().find(|sighting| sighting.number == *number);
+            let told = sightings.iter().find(|sighting| sighting.request_number == *number);
             told.expect("only requests that were told of end").instance.clone()
         };
         told.iter().flat_map(|news| news.ended.iter().map(server_of)).collect()
--- a/crates/protocol/src/fleet.rs
+++ b/crates/protocol/src/fleet.rs
@@ -23,25 +23,25 @@
     pub version: u64,
     /// Hash of each prefix made of whole segments, shortest first.
     #[n(2)]
-    pub chains: Vec<u64>,
+    pub prefix_hashes: Vec<u64>,
     /// Prompt tokens not cached on the server: to be computed, or received by KV transfer.
     #[n(3)]
-    pub tokens: u32,
-    /// Tokens among [`tokens`](Self::tokens) that the server had to compute.
+    pub uncached_tokens: u32,
+    /// Tokens among [`uncached_tokens`](Self::uncached_tokens) that the server had to compute.
     #[n(4)]
-    pub read_tokens: u32,
+    pub prefill_tokens: u32,
     /// Tokens of each prefix segment; empty from a peer of an earlier version.
     #[n(5)]
     #[cbor(default)]
-    pub part_tokens: Vec<u32>,
+    pub segment_tokens: Vec<u32>,
     /// Tokens after the last shared segment; zero from a peer of an earlier version.
     #[n(6)]
     #[cbor(default)]
-    pub own_tokens: u32,
+    pub unshared_tokens: u32,
     /// Number of the request on its router; zero from a peer of an earlier version.
     #[n(7)]
     #[cbor(default)]
-    pub number: u16,
+    pub request_number: u16,
 }
 
 /// Report whether a router can open connections to a server.
--- a/crates/protocol/tests/sizes.rs
+++ b/crates/protocol/tests/sizes.rs
@@ -28,12 +28,12 @@
     let report = |number: u64| DispatchReport {
         instance: InstanceName::new("i-0123456789"),
         version: 12,
-        chains: vec![u64::MAX - number; 2],
-        tokens: 20_000,
-        read_tokens: 3_000,
-        part_tokens: vec![9_000; 2],
-        own_tokens: 2_000,
-        number: u16::MAX,
+        prefix_hashes: vec![u64::MAX - number; 2],
+        uncached_tokens: 20_000,
+        prefill_tokens: 3_000,
+        segment_tokens: vec![9_000; 2],
+        unshared_tokens: 2_000,
+        request_number: u16::MAX,
     };
     let with_reports = |sightings| {
         wire_bytes(&Message::RouterUpdate(RouterUpdate { sightings, ..RouterUpdate::default() }))
@@ -67,12 +67,15 @@
     let earlier = ("i-1", 12_u64, [7_u64, 8], 20_000_u32, 3_000_u32);
     let mut bytes = Vec::new();
     let mut encoder = minicbor::Encoder::new(&mut bytes);
-    let (instance, version, chains, tokens, read_tokens) = earlier;
+    let (instance, version, prefix_hashes, uncached_tokens, prefill_tokens) = earlier;
     encoder.array(5).expect("memory").str(instance).expect("memory");
-    encoder.u64(version).expect("memory").encode(chains).expect("memory");
-    encoder.u32(tokens).expect("memory").u32(read_tokens).expect("memory");
+    encoder.u64(version).expect("memory").encode(prefix_hashes).expect("memory");
+    encoder.u32(uncached_tokens).expect("memory").u32(prefill_tokens).expect("memory");
     let decoded: DispatchReport = minicbor::decode(&bytes).expect("decode");
-    assert_eq!((decoded.chains.len(), decoded.tokens, decoded.part_tokens.len()), (2, 20_000, 0));
+    assert_eq!(
+        (decoded.prefix_hashes.len(), decoded.uncached_tokens, decoded.segment_tokens.len()),
+        (2, 20_000, 0)
+    );
 }
 
 #[test]
