--- a/crates/gateway/tests/paths/quarantine.rs
+++ b/crates/gateway/tests/paths/quarantine.rs
@@ -143,8 +143,8 @@
         request,
         instance: InstanceName::new(server),
         age_ms: 0,
-        under_way_ms: 1,
-        ended_well: false,
+        in_flight_ms: 1,
+        completed_before: false,
         started: StartTime::UNKNOWN,
     };
     let crashes = Some(CrashUpdate { crashes: vec![crash], cleared: Vec::new() });
--- a/crates/protocol/src/fleet.rs
+++ b/crates/protocol/src/fleet.rs
@@ -80,10 +80,10 @@
     pub age_ms: u64,
     /// Time for which the request had been in flight when its connection broke, in milliseconds.
     #[n(3)]
-    pub under_way_ms: u64,
+    pub in_flight_ms: u64,
     /// Whether the router has seen the same request complete before.
     #[n(4)]
-    pub ended_well: bool,
+    pub completed_before: bool,
     /// Start time of the crashed incarnation; unknown from a peer of an earlier version.
     #[n(5)]
     #[cbor(default)]
--- a/crates/protocol/tests/sizes.rs
+++ b/crates/protocol/tests/sizes.rs
@@ -85,8 +85,8 @@
         instance: InstanceName::new("i-0123456789"),
         started: StartTime::from_unix_ms(1_784_840_000_000),
         age_ms: 90_000,
-        under_way_ms: 30_000,
-        ended_well: true,
+        in_flight_ms: 30_000,
+        completed_before: true,
     };
     let with_crashes = |crashes: Option<CrashUpdate>| {
         wire_bytes(&Message::RouterUpdate(RouterUpdate { crashes, ..RouterUpdate::default() }))
