--- a/crates/control/tests/earlier_builds.rs
+++ b/crates/control/tests/earlier_builds.rs
@@ -44,7 +44,10 @@
     assert_eq!(news.ids_ended(), [InstanceId::new("i-3")]);
     assert_eq!((news.versions[0].id(), news.versions[0].version), (InstanceId::new("i-2"), 3));
     let Message::RouterUpdate(news) = message("router_news") else { panic!("news of a router") };
-    assert_eq!((news.sightings[0].request_number, news.ended.as_slice()), (77, [76].as_slice()));
+    assert_eq!(
+        (news.dispatches[0].request_number, news.ended_requests.as_slice()),
+        (77, [76].as_slice())
+    );
     assert_eq!(news.reachability[0].id(), InstanceId::new("i-2"));
     let crashes = news.crashes.clone().expect("a crash");
     assert_eq!(crashes.crashes[0].id(), InstanceId::new("i-3"));
--- a/crates/gateway/src/news.rs
+++ b/crates/gateway/src/news.rs
@@ -51,12 +51,12 @@
     /// there was no room for it.
     pub(crate) fn push_sighting(&self, choice: &Choice) -> Option<u16> {
         let mut news = lock(&self.news);
-        if news.sightings.len() >= MAX_QUEUED {
+        if news.dispatches.len() >= MAX_QUEUED {
             return None;
         }
         // Zero stands for no number.
         let number = self.last_number.fetch_add(1, Ordering::Relaxed).wrapping_add(1).max(1);
-        news.sightings.push(message(choice.sighting(), number));
+        news.dispatches.push(message(choice.sighting(), number));
         self.wake.notify_one();
         Some(number)
     }
@@ -65,8 +65,8 @@
     /// after a while by themselves.
     pub(crate) fn push_end(&self, number: u16) {
         let mut news = lock(&self.news);
-        if news.ended.len() < MAX_QUEUED_ENDS {
-            news.ended.push(number);
+        if news.ended_requests.len() < MAX_QUEUED_ENDS {
+            news.ended_requests.push(number);
             self.wake.notify_one();
         }
     }
@@ -108,11 +108,11 @@
     /// are told all the same: who hasn't heard of a request passes over its end.
     fn take(&self, allowed: usize) -> (RouterUpdate, usize) {
         let mut news = std::mem::take(&mut *lock(&self.news));
-        if news.sightings.len() <= allowed {
+        if news.dispatches.len() <= allowed {
             return (news, 0);
         }
-        news.sightings.sort_by_key(|sighting| std::cmp::Reverse(sighting.uncached_tokens));
-        let left_out = news.sightings.split_off(allowed);
+        news.dispatches.sort_by_key(|sighting| std::cmp::Reverse(sighting.uncached_tokens));
+        let left_out = news.dispatches.split_off(allowed);
         (news, left_out.len())
     }
 }
@@ -142,7 +142,7 @@
     let (told, left_out) = gateway.news.take(allowed);
     gateway.metrics.sightings_left_out.inc_by(left_out as u64);
     if !told.is_empty() {
-        budget.spend(told.sightings.len());
+        budget.spend(told.dispatches.len());
         gateway.feed.tell(told).await;
     }
 }
@@ -158,14 +158,14 @@
         for notice in news.notices.iter().flatten() {
             learn_notice(&mut placement, notice, *from, now);
         }
-        for sighting in &news.sightings {
+        for sighting in &news.dispatches {
             match sighting.request_number {
                 // A router of an earlier version; the request is forgotten after a while.
                 0 => placement.sighted(&read(sighting), now),
                 number => placement.heard_sent(request(number), &read(sighting), now),
             }
         }
-        news.ended.iter().for_each(|number| placement.heard_end(request(*number)));
+        news.ended_requests.iter().for_each(|number| placement.heard_end(request(*number)));
         let reporter = Reporter { node: from.0, zone: zone.as_str() };
         for told in &news.reachability {
             let instance = told.id();
--- a/crates/gateway/tests/paths/support/control.rs
+++ b/crates/gateway/tests/paths/support/control.rs
@@ -143,19 +143,19 @@
     /// Servers that the gateway has told of sending requests to.
     pub fn told_sightings(&self) -> Vec<InstanceName> {
         let told = self.said.told.lock().expect("no panic");
-        let sightings = told.iter().flat_map(|news| &news.sightings);
+        let sightings = told.iter().flat_map(|news| &news.dispatches);
         sightings.map(|sighting| sighting.instance.clone()).collect()
     }
 
     /// Servers that the gateway has told of the end of requests on.
     pub fn told_ends(&self) -> Vec<InstanceName> {
         let told = self.said.told.lock().expect("no panic");
-        let sightings: Vec<_> = told.iter().flat_map(|news| &news.sightings).collect();
+        let sightings: Vec<_> = told.iter().flat_map(|news| &news.dispatches).collect();
         let server_of = |number: &u16| {
             let told = sightings.iter().find(|sighting| sighting.request_number == *number);
             told.expect("only requests that were told of end").instance.clone()
         };
-        told.iter().flat_map(|news| news.ended.iter().map(server_of)).collect()
+        told.iter().flat_map(|news| news.ended_requests.iter().map(server_of)).collect()
     }
 
     /// Requests that the gateway asked to have recorded as in quarantine.
--- a/crates/protocol/src/fleet.rs
+++ b/crates/protocol/src/fleet.rs
@@ -166,18 +166,18 @@
 pub struct RouterUpdate {
     /// Requests that the router dispatched.
     #[n(0)]
-    pub sightings: Vec<DispatchReport>,
+    pub dispatches: Vec<DispatchReport>,
     /// Servers that became unreachable from the router or reachable again.
     #[n(1)]
     pub reachability: Vec<Reachability>,
     /// Always empty; earlier versions list here the servers on which requests ended. Without
     /// request numbers, the end of an unreported request was counted for another one.
     #[n(2)]
-    pub ended_at: Vec<InstanceName>,
+    pub ended_at_servers: Vec<InstanceName>,
     /// Numbers of reported requests that have ended.
     #[n(3)]
     #[cbor(default)]
-    pub ended: Vec<u16>,
+    pub ended_requests: Vec<u16>,
     /// Servers that crashed under requests; usually absent, which takes no bytes.
     #[n(4)]
     #[cbor(default)]
@@ -196,9 +196,9 @@
 impl RouterUpdate {
     /// Whether the update has no content.
     pub fn is_empty(&self) -> bool {
-        self.sightings.is_empty()
+        self.dispatches.is_empty()
             && self.reachability.is_empty()
-            && self.ended.is_empty()
+            && self.ended_requests.is_empty()
             && self.crashes.is_none()
             && self.server_limits.is_none()
             && self.notices.is_none()
--- a/crates/protocol/tests/sizes.rs
+++ b/crates/protocol/tests/sizes.rs
@@ -35,15 +35,18 @@
         unshared_tokens: 2_000,
         request_number: u16::MAX,
     };
-    let with_reports = |sightings| {
-        wire_bytes(&Message::RouterUpdate(RouterUpdate { sightings, ..RouterUpdate::default() }))
+    let with_reports = |dispatches| {
+        wire_bytes(&Message::RouterUpdate(RouterUpdate { dispatches, ..RouterUpdate::default() }))
     };
     let one = with_reports(vec![report(0)]);
     let more = with_reports((0..11).map(report).collect());
     let each = (more - one) / 10;
     println!("dispatch report with two prefixes: {each} bytes, message with one: {one}");
-    let with_ended = |ended| {
-        wire_bytes(&Message::RouterUpdate(RouterUpdate { ended, ..RouterUpdate::default() }))
+    let with_ended = |ended_requests| {
+        wire_bytes(&Message::RouterUpdate(RouterUpdate {
+            ended_requests,
+            ..RouterUpdate::default()
+        }))
     };
     let end = (with_ended(vec![u16::MAX; 11]) - with_ended(vec![u16::MAX])) / 10;
     println!("end of a request: {end} bytes");
@@ -130,10 +133,10 @@
     #[derive(minicbor::Decode)]
     struct EarlierUpdate {
         #[n(0)]
-        sightings: Vec<DispatchReport>,
+        dispatches: Vec<DispatchReport>,
         #[n(3)]
         #[cbor(default)]
-        ended: Vec<u16>,
+        ended_requests: Vec<u16>,
     }
     let notice = ServerNoticeUpdate {
         instance: InstanceName::new("i-1"),
@@ -141,10 +144,13 @@
         pause_ms: 3_000,
         is_leaving: true,
     };
-    let update =
-        RouterUpdate { ended: vec![7], notices: Some(vec![notice]), ..RouterUpdate::default() };
+    let update = RouterUpdate {
+        ended_requests: vec![7],
+        notices: Some(vec![notice]),
+        ..RouterUpdate::default()
+    };
     let bytes = minicbor::to_vec(&update).expect("encode");
     let decoded: EarlierUpdate = minicbor::decode(&bytes).expect("decode");
-    assert_eq!((decoded.sightings.len(), decoded.ended), (0, vec![7]));
+    assert_eq!((decoded.dispatches.len(), decoded.ended_requests), (0, vec![7]));
     assert_eq!(minicbor::decode::<RouterUpdate>(&bytes).expect("decode"), update);
 }
