--- a/crates/control/src/relay.rs
+++ b/crates/control/src/relay.rs
@@ -74,8 +74,8 @@
     }
 
     /// A router that listens here tells something.
-    pub(crate) fn hear_router(&self, from: &PeerIdentity, news: RouterUpdate) {
-        let told = RelayedUpdate { from: from.node, zone: from.zone.clone(), news };
+    pub(crate) fn hear_router(&self, from: &PeerIdentity, update: RouterUpdate) {
+        let told = RelayedUpdate { from: from.node, zone: from.zone.clone(), update };
         self.gather(vec![told], |gathered| &mut gathered.from_routers);
     }
 
--- a/crates/control/tests/daemons/relay.rs
+++ b/crates/control/tests/daemons/relay.rs
@@ -80,7 +80,7 @@
     teller.tell(down("i-1")).await;
     for router in [&mut near, &mut far] {
         let heard = router.heard(LONG_AFTER).await;
-        let told: Vec<_> = heard.iter().map(|told| (told.from, &told.news)).collect();
+        let told: Vec<_> = heard.iter().map(|told| (told.from, &told.update)).collect();
         assert_eq!(told, [(NodeId(101), &down("i-1"))]);
     }
     assert_eq!(follower.heard(LONG_AFTER).await, [], "it didn't ask for it");
--- a/crates/control/tests/earlier_builds.rs
+++ b/crates/control/tests/earlier_builds.rs
@@ -53,7 +53,7 @@
     assert_eq!(crashes.crashes[0].id(), InstanceId::new("i-3"));
     assert_eq!(crashes.cleared[0].ids(), [InstanceId::new("i-4")]);
     let Message::RelayedUpdate(told) = message("relayed") else { panic!("relayed") };
-    assert_eq!((told[0].from, &told[0].news), (NodeId(3), &news));
+    assert_eq!((told[0].from, &told[0].update), (NodeId(3), &news));
     for (name, call) in [("follow", 1), ("confirm", 2), ("listen", 3), ("quarantine", 4)] {
         let Message::Request { call: read, request } = message(name) else { panic!("{name}") };
         assert_eq!(read, call);
--- a/crates/crash-watch/src/watch.rs
+++ b/crates/crash-watch/src/watch.rs
@@ -224,7 +224,7 @@
     }
 
     fn hear_batch(&self, batch: &RelayedBatch) {
-        for RelayedUpdate { from, news, .. } in batch.iter() {
+        for RelayedUpdate { from, update, .. } in batch.iter() {
             if let Some(crashes) = &news.crashes {
                 self.hear(*from, crashes);
             }
--- a/crates/gateway/src/news.rs
+++ b/crates/gateway/src/news.rs
@@ -149,25 +149,25 @@
 
 /// Takes in what other routers told.
 fn learn(gateway: &Gateway, batch: &RelayedBatch) {
-    let limits = batch.iter().flat_map(|told| told.news.server_limits.iter().flatten());
+    let limits = batch.iter().flat_map(|told| told.update.server_limits.iter().flatten());
     limits.for_each(|news| gateway.learn_limit(news));
     let now = gateway.now();
     let mut placement = gateway.placement();
-    for RelayedUpdate { from, zone, news } in batch.iter() {
+    for RelayedUpdate { from, zone, update } in batch.iter() {
         let request = |number: u16| ToldRequest { router: *from, number };
-        for notice in news.notices.iter().flatten() {
+        for notice in update.notices.iter().flatten() {
             learn_notice(&mut placement, notice, *from, now);
         }
-        for sighting in &news.dispatches {
+        for sighting in &update.dispatches {
             match sighting.request_number {
                 // A router of an earlier version; the request is forgotten after a while.
                 0 => placement.sighted(&read(sighting), now),
                 number => placement.heard_sent(request(number), &read(sighting), now),
             }
         }
-        news.ended_requests.iter().for_each(|number| placement.heard_end(request(*number)));
+        update.ended_requests.iter().for_each(|number| placement.heard_end(request(*number)));
         let reporter = Reporter { node: from.0, zone: zone.as_str() };
-        for told in &news.reachability {
+        for told in &update.reachability {
             let instance = told.id();
             if placement.heard_reachability(reporter, &instance, told.reached, now) {
                 log::info!("event=server_reported_unreachable instance={instance}");
--- a/crates/gateway/tests/paths/support/control.rs
+++ b/crates/gateway/tests/paths/support/control.rs
@@ -137,7 +137,7 @@
     pub fn relay(&self, from: u64, zone: &str, news: RouterUpdate) {
         let zone = ZoneName::new(zone).expect("a name");
         // Nobody is told before somebody follows.
-        let _ = self.said.relayed.send(RelayedUpdate { from: NodeId(from), zone, news });
+        let _ = self.said.relayed.send(RelayedUpdate { from: NodeId(from), zone, update: news });
     }
 
     /// Servers that the gateway has told of sending requests to.
--- a/crates/protocol/src/fleet.rs
+++ b/crates/protocol/src/fleet.rs
@@ -216,7 +216,7 @@
     pub zone: ZoneName,
     /// Relayed update.
     #[n(2)]
-    pub news: RouterUpdate,
+    pub update: RouterUpdate,
 }
 
 /// An encoded [`juniper_catalog::Catalog`].
--- a/crates/protocol/tests/sizes.rs
+++ b/crates/protocol/tests/sizes.rs
@@ -57,7 +57,7 @@
 #[test]
 fn relay_overhead_per_router() {
     let zone = ZoneName::new("new-england-1").expect("a name");
-    let relayed = RelayedUpdate { from: NodeId(u64::MAX), zone, news: RouterUpdate::default() };
+    let relayed = RelayedUpdate { from: NodeId(u64::MAX), zone, update: RouterUpdate::default() };
     let each = wire_bytes(&Message::RelayedUpdate(vec![relayed.clone(); 2]))
         - wire_bytes(&Message::RelayedUpdate(vec![relayed]));
     println!("overhead per relayed router: {each} bytes");
