--- a/crates/control/src/renewals.rs
+++ b/crates/control/src/renewals.rs
@@ -31,7 +31,7 @@
     /// Everything.
     fn whole(&self) -> RenewalUpdate {
         let versions = self.versions.iter().map(known_version).collect();
-        let news = RenewalUpdate { is_whole: true, versions, ..RenewalUpdate::default() };
+        let news = RenewalUpdate { is_complete: true, versions, ..RenewalUpdate::default() };
         news.with_servers(&self.under_way, [])
     }
 
--- a/crates/control/tests/earlier_builds.rs
+++ b/crates/control/tests/earlier_builds.rs
@@ -38,10 +38,10 @@
     let Message::Push(Push::Fleet(news)) = message("fleet") else { panic!("news") };
     let departed = ["i-1", "i-2"].map(InstanceId::new);
     assert_eq!((news.departed(), news.member_zones.len()), (departed.to_vec(), 0));
-    assert!(news.quarantine.is_some_and(|news| news.is_whole));
+    assert!(news.quarantine.is_some_and(|news| news.is_complete));
     let Message::Push(Push::Renewals(news)) = message("renewals") else { panic!("renewals") };
-    assert_eq!(news.ids_under_way(), [InstanceId::new("i-1")]);
-    assert_eq!(news.ids_ended(), [InstanceId::new("i-3")]);
+    assert_eq!(news.renewing_ids(), [InstanceId::new("i-1")]);
+    assert_eq!(news.ended_ids(), [InstanceId::new("i-3")]);
     assert_eq!((news.versions[0].id(), news.versions[0].version), (InstanceId::new("i-2"), 3));
     let Message::RouterUpdate(news) = message("router_news") else { panic!("news of a router") };
     assert_eq!(
--- a/crates/control/tests/renewals.rs
+++ b/crates/control/tests/renewals.rs
@@ -41,8 +41,8 @@
     let (_, frames) = log.frames_after(Some(sent));
     let [change] = &frames[..] else { panic!("{} frames", frames.len()) };
     let change = read(change);
-    assert!(!change.is_whole);
-    assert_eq!((names(&change.under_way), names(&change.ended)), (["c"].into(), ["a"].into()));
+    assert!(!change.is_complete);
+    assert_eq!((names(&change.renewing), names(&change.ended)), (["c"].into(), ["a"].into()));
     assert_eq!(change.versions.len(), 1);
 }
 
@@ -73,7 +73,7 @@
         let (latest, frames) = log.frames_after(sent);
         assert_eq!((latest, frames.len()), (100, 1));
         let whole = read(&frames[0]);
-        assert!(whole.is_whole);
-        assert_eq!(names(&whole.under_way), ["s-99"].into());
+        assert!(whole.is_complete);
+        assert_eq!(names(&whole.renewing), ["s-99"].into());
     }
 }
--- a/crates/feed/src/fold.rs
+++ b/crates/feed/src/fold.rs
@@ -38,7 +38,7 @@
 impl Source {
     fn take_quarantine(&mut self, news: QuarantineUpdate) {
         let quarantined = Arc::make_mut(&mut self.quarantined);
-        if news.is_whole {
+        if news.is_complete {
             quarantined.clear();
         }
         quarantined.extend(news.added);
@@ -127,12 +127,12 @@
     /// Servers that a replica is renewing, and versions of weights that it knows of.
     pub fn renewals(&mut self, node: NodeId, news: RenewalUpdate) -> FoldOutcome {
         let source = self.sources.entry(node).or_default();
-        if news.is_whole {
+        if news.is_complete {
             source.renewing.clear();
         }
-        let ended: BTreeSet<InstanceId> = news.ids_ended().into_iter().collect();
+        let ended: BTreeSet<InstanceId> = news.ended_ids().into_iter().collect();
         source.renewing.retain(|instance| !ended.contains(instance));
-        source.renewing.extend(news.ids_under_way());
+        source.renewing.extend(news.renewing_ids());
         let changed = self.learn_versions(news.versions);
         FoldOutcome { changed: self.refresh_renewing() || changed, fetch: None }
     }
--- a/crates/feed/tests/fold.rs
+++ b/crates/feed/tests/fold.rs
@@ -158,7 +158,7 @@
     fold.renewals(FIRST, renewing(&["a", "b"], &[], &[]));
     fold.renewals(FIRST, renewing(&["c"], &["a"], &[]));
     assert_eq!(ids(&fold), ["b", "c"].map(InstanceId::new));
-    fold.renewals(FIRST, RenewalUpdate { is_whole: true, ..renewing(&["d"], &[], &[]) });
+    fold.renewals(FIRST, RenewalUpdate { is_complete: true, ..renewing(&["d"], &[], &[]) });
     assert_eq!(ids(&fold), ["d"].map(InstanceId::new));
 }
 
@@ -205,9 +205,9 @@
     assert_eq!(fold.routers(), 3);
 }
 
-fn quarantine(is_whole: bool, added: &[u8], released: &[u8]) -> Option<QuarantineUpdate> {
+fn quarantine(is_complete: bool, added: &[u8], released: &[u8]) -> Option<QuarantineUpdate> {
     let named = |numbers: &[u8]| numbers.iter().map(|it| RequestFingerprint([*it; 16])).collect();
-    Some(QuarantineUpdate { is_whole, added: named(added), released: named(released) })
+    Some(QuarantineUpdate { is_complete, added: named(added), released: named(released) })
 }
 
 fn quarantined(fold: &FleetFold) -> Vec<u8> {
--- a/crates/protocol/src/fleet.rs
+++ b/crates/protocol/src/fleet.rs
@@ -152,7 +152,7 @@
 pub struct QuarantineUpdate {
     /// Whether `added` lists all quarantined requests.
     #[n(0)]
-    pub is_whole: bool,
+    pub is_complete: bool,
     /// Quarantined requests.
     #[n(1)]
     pub added: Vec<RequestFingerprint>,
@@ -276,7 +276,7 @@
 pub struct RenewalUpdate {
     /// Servers that take no new requests until their weights are replaced.
     #[n(0)]
-    pub under_way: Vec<InstanceName>,
+    pub renewing: Vec<InstanceName>,
     /// Known versions of the weights on servers.
     #[n(1)]
     pub versions: Vec<KnownVersion>,
@@ -285,11 +285,11 @@
     pub ended: Vec<InstanceName>,
     /// Whether this is the complete state rather than a change.
     #[n(3)]
-    pub is_whole: bool,
-    /// Start times of the incarnations in `under_way`; empty from a peer of an earlier version.
+    pub is_complete: bool,
+    /// Start times of the incarnations in `renewing`; empty from a peer of an earlier version.
     #[n(4)]
     #[cbor(default)]
-    pub under_way_starts: Vec<StartTime>,
+    pub renewing_starts: Vec<StartTime>,
     /// Start times of the incarnations in `ended`; empty from a peer of an earlier version.
     #[n(5)]
     #[cbor(default)]
@@ -299,27 +299,27 @@
 impl RenewalUpdate {
     /// Whether the update lists no servers.
     pub fn is_empty(&self) -> bool {
-        self.under_way.is_empty() && self.ended.is_empty() && self.versions.is_empty()
+        self.renewing.is_empty() && self.ended.is_empty() && self.versions.is_empty()
     }
 
     /// Replaces the servers being renewed and those whose renewal has ended.
     pub fn with_servers<'a>(
         self,
-        under_way: impl IntoIterator<Item = &'a InstanceId>,
+        renewing: impl IntoIterator<Item = &'a InstanceId>,
         ended: impl IntoIterator<Item = &'a InstanceId>,
     ) -> Self {
-        let (under_way, under_way_starts) = names_and_starts(under_way);
+        let (renewing, renewing_starts) = names_and_starts(renewing);
         let (ended, ended_starts) = names_and_starts(ended);
-        RenewalUpdate { under_way, under_way_starts, ended, ended_starts, ..self }
+        RenewalUpdate { renewing, renewing_starts, ended, ended_starts, ..self }
     }
 
-    /// Incarnations in `under_way`.
-    pub fn ids_under_way(&self) -> Vec<InstanceId> {
-        incarnations(self.under_way.clone(), &self.under_way_starts)
+    /// Incarnations in `renewing`.
+    pub fn renewing_ids(&self) -> Vec<InstanceId> {
+        incarnations(self.renewing.clone(), &self.renewing_starts)
     }
 
     /// Incarnations in `ended`.
-    pub fn ids_ended(&self) -> Vec<InstanceId> {
+    pub fn ended_ids(&self) -> Vec<InstanceId> {
         incarnations(self.ended.clone(), &self.ended_starts)
     }
 }
