--- a/crates/control/src/internal/follower.rs
+++ b/crates/control/src/internal/follower.rs
@@ -252,7 +252,7 @@
         return None;
     }
     let QuarantineChange { is_whole, added, released } = quarantine.change_after(sent);
-    Some(QuarantineUpdate { is_whole, added, released })
+    Some(QuarantineUpdate { is_complete: is_whole, added, released })
 }
 
 /// The configuration in force, for who has an older one.
--- a/crates/crash-watch/src/watch.rs
+++ b/crates/crash-watch/src/watch.rs
@@ -225,7 +225,7 @@
 
     fn hear_batch(&self, batch: &RelayedBatch) {
         for RelayedUpdate { from, update, .. } in batch.iter() {
-            if let Some(crashes) = &news.crashes {
+            if let Some(crashes) = &update.crashes {
                 self.hear(*from, crashes);
             }
         }
