--- a/crates/control/src/fleet_board.rs
+++ b/crates/control/src/fleet_board.rs
@@ -74,16 +74,16 @@
 
 fn frame<'a>(
     servers: impl IntoIterator<Item = &'a Arc<Instance>>,
-    whole: bool,
-    gone: Vec<InstanceName>,
+    is_complete: bool,
+    removed: Vec<InstanceName>,
 ) -> SharedFrame {
-    let heard = |instance: &Arc<Instance>| HeardInstance {
+    let observed = |instance: &Arc<Instance>| HeardInstance {
         report: InstanceReport::clone(&instance.report),
         silent: instance.silent,
         age_ms: 0,
     };
-    let heard = servers.into_iter().map(heard).collect();
-    Arc::new(encode(&Message::Push(Push::Instances { heard, whole, gone })))
+    let observed = servers.into_iter().map(observed).collect();
+    Arc::new(encode(&Message::Push(Push::Instances { observed, is_complete, removed })))
 }
 
 /// What this replica tells of servers: what it has heard itself, and what all replicas know.
--- a/crates/control/src/instances.rs
+++ b/crates/control/src/instances.rs
@@ -112,7 +112,7 @@
     /// change.
     pub fn instances_after(&self, after: Option<u64>) -> (u64, SharedFrame) {
         let mut frame = self.frame.lock().unwrap_or_else(PoisonError::into_inner);
-        let (up_to, heard) = {
+        let (up_to, observed) = {
             let heard = self.lock();
             let up_to = heard.revision();
             let is_same = |known: &&InstanceFrame| {
@@ -124,7 +124,7 @@
             }
             (up_to, heard.changes_after(after.unwrap_or(0), self.now()))
         };
-        let push = Push::Instances { heard, whole: after.is_none(), gone: Vec::new() };
+        let push = Push::Instances { observed, is_complete: after.is_none(), removed: Vec::new() };
         let payload = Arc::new(encode(&Message::Push(push)));
         let made_at = Instant::now();
         *frame = Some(InstanceFrame { after, up_to, payload: Arc::clone(&payload), made_at });
--- a/crates/control/tests/earlier_builds.rs
+++ b/crates/control/tests/earlier_builds.rs
@@ -27,14 +27,15 @@
 
 #[test]
 fn every_message_is_read_and_says_what_it_said() {
-    let Message::Push(Push::Instances { heard, whole, gone }) = message("instances") else {
+    let Message::Push(Push::Instances { observed, is_complete, removed }) = message("instances")
+    else {
         panic!("servers");
     };
     assert_eq!(
-        (heard[0].report.sequence, heard[0].age_ms, whole, gone.len()),
+        (observed[0].report.sequence, observed[0].age_ms, is_complete, removed.len()),
         (41, 1_234, true, 0)
     );
-    assert_eq!(heard[0].report.id(), InstanceId::new("i-7f3a91c2"));
+    assert_eq!(observed[0].report.id(), InstanceId::new("i-7f3a91c2"));
     let Message::Push(Push::Fleet(news)) = message("fleet") else { panic!("news") };
     let departed = ["i-1", "i-2"].map(InstanceId::new);
     assert_eq!((news.departed(), news.member_zones.len()), (departed.to_vec(), 0));
--- a/crates/control/tests/fleet_board.rs
+++ b/crates/control/tests/fleet_board.rs
@@ -32,9 +32,9 @@
 /// Names heard, whether it is everything, and names gone.
 fn read(frame: &SharedFrame) -> (Vec<String>, bool, Vec<String>) {
     match minicbor::decode(frame).expect("a message") {
-        Message::Push(Push::Instances { heard, whole, gone }) => {
-            let heard = heard.iter().map(|known| known.report.name.to_string()).collect();
-            (heard, whole, gone.iter().map(ToString::to_string).collect())
+        Message::Push(Push::Instances { observed, is_complete, removed }) => {
+            let observed = observed.iter().map(|known| known.report.name.to_string()).collect();
+            (observed, is_complete, removed.iter().map(ToString::to_string).collect())
         }
         other => panic!("{other:?}"),
     }
--- a/crates/feed/src/link.rs
+++ b/crates/feed/src/link.rs
@@ -253,9 +253,14 @@
     fn event_of(&mut self, message: Message) -> Option<LinkEvent> {
         match message {
             Message::Push(Push::Fleet(news)) => Some(LinkEvent::News(news)),
-            Message::Push(Push::Instances { heard, whole, gone }) => {
+            Message::Push(Push::Instances { observed, is_complete, removed }) => {
                 let of_fleet = self.follows_fleet;
-                Some(LinkEvent::Instances { heard, whole, gone, of_fleet })
+                Some(LinkEvent::Instances {
+                    heard: observed,
+                    whole: is_complete,
+                    gone: removed,
+                    of_fleet,
+                })
             }
             Message::Unknown { .. } => {
                 log::warn!("event=message_unknown from=replica");
--- a/crates/gateway/tests/paths/support/control.rs
+++ b/crates/gateway/tests/paths/support/control.rs
@@ -307,9 +307,10 @@
 }
 
 fn instances(said: &Said) -> Message {
-    let heard = said.reports.lock().expect("no panic").clone().into_iter();
-    let heard = heard.map(|report| HeardInstance { report, silent: false, age_ms: 0 }).collect();
-    Message::Push(Push::Instances { heard, whole: true, gone: Vec::new() })
+    let observed = said.reports.lock().expect("no panic").clone().into_iter();
+    let observed =
+        observed.map(|report| HeardInstance { report, silent: false, age_ms: 0 }).collect();
+    Message::Push(Push::Instances { observed, is_complete: true, removed: Vec::new() })
 }
 
 /// Answers to the first question for a confirmation and to another call, until both have come.
--- a/crates/protocol/src/push.rs
+++ b/crates/protocol/src/push.rs
@@ -42,15 +42,15 @@
     Instances {
         /// Observed servers.
         #[n(0)]
-        heard: Vec<HeardInstance>,
-        /// Whether `heard` lists all servers that the replica knows.
+        observed: Vec<HeardInstance>,
+        /// Whether `observed` lists all servers that the replica knows.
         #[n(1)]
-        whole: bool,
+        is_complete: bool,
         /// Servers that no longer exist; sent only to subscribers of
         /// [`FollowFleet`](crate::message::Request::FollowFleet).
         #[n(2)]
         #[cbor(default)]
-        gone: Vec<InstanceName>,
+        removed: Vec<InstanceName>,
     },
     /// Servers that the order dispatcher is renewing: first all of them, then changes.
     #[n(5)]
