--- a/crates/gateway/src/news.rs
+++ b/crates/gateway/src/news.rs
@@ -185,11 +185,11 @@
     now: Timestamp,
 ) {
     let instance = notice.id();
-    if notice.is_leaving && placement.heard_leaving(&instance, now) {
+    if notice.is_departing && placement.heard_leaving(&instance, now) {
         log::info!("event=server_leaving_heard request=- instance={instance} from={from}");
     }
-    if notice.pause_ms > 0 {
-        placement.told_of_pause(&instance, from, notice.pause(), now);
+    if notice.backoff_ms > 0 {
+        placement.told_of_pause(&instance, from, notice.backoff(), now);
     }
 }
 
--- a/crates/gateway/src/notices.rs
+++ b/crates/gateway/src/notices.rs
@@ -19,11 +19,16 @@
             return;
         }
         let ServerNotice { pause, departure } = facts.notice;
-        let pause_ms = self.note_pause(instance, pause, request);
-        let is_leaving = self.note_departure(instance, departure, request);
-        if pause_ms > 0 || is_leaving {
+        let backoff_ms = self.note_pause(instance, pause, request);
+        let is_departing = self.note_departure(instance, departure, request);
+        if backoff_ms > 0 || is_departing {
             let (instance, started) = (instance.name().clone(), instance.started());
-            self.news.push_notice(ServerNoticeUpdate { instance, started, pause_ms, is_leaving });
+            self.news.push_notice(ServerNoticeUpdate {
+                instance,
+                started,
+                backoff_ms,
+                is_departing,
+            });
         }
     }
 
--- a/crates/gateway/tests/paths/leaving.rs
+++ b/crates/gateway/tests/paths/leaving.rs
@@ -86,12 +86,12 @@
         sleep(Duration::from_millis(20)).await;
     }
     let told = gateway.control.told_notices();
-    assert_eq!((told[0].instance.clone(), told[0].is_leaving), (server.report().name, true));
+    assert_eq!((told[0].instance.clone(), told[0].is_departing), (server.report().name, true));
 
     let (elsewhere, other) = (good("c").await, good("d").await);
     let gateway = TestGateway::start(&[&elsewhere, &other]).await;
     let (instance, started) = (elsewhere.report().name, StartTime::UNKNOWN);
-    let notice = ServerNoticeUpdate { instance, started, pause_ms: 0, is_leaving: true };
+    let notice = ServerNoticeUpdate { instance, started, backoff_ms: 0, is_departing: true };
     let news = RouterUpdate { notices: Some(vec![notice]), ..RouterUpdate::default() };
     gateway.control.relay(2, "north", news);
     sleep(Duration::from_millis(100)).await;
--- a/crates/gateway/tests/paths/pauses.rs
+++ b/crates/gateway/tests/paths/pauses.rs
@@ -150,9 +150,9 @@
 }
 
 /// What another router tells that was asked for a pause.
-fn told_of_pause(server: &FakeServer, pause_ms: u64) -> RouterUpdate {
+fn told_of_pause(server: &FakeServer, backoff_ms: u64) -> RouterUpdate {
     let (instance, started) = (server.report().name, StartTime::UNKNOWN);
-    let notice = ServerNoticeUpdate { instance, started, pause_ms, is_leaving: false };
+    let notice = ServerNoticeUpdate { instance, started, backoff_ms, is_departing: false };
     RouterUpdate { notices: Some(vec![notice]), ..RouterUpdate::default() }
 }
 
@@ -166,7 +166,7 @@
         sleep(Duration::from_millis(20)).await;
     }
     let told = gateway.control.told_notices();
-    assert_eq!((told.len(), told[0].pause_ms, told[0].is_leaving), (1, 2_000, false));
+    assert_eq!((told.len(), told[0].backoff_ms, told[0].is_departing), (1, 2_000, false));
     assert_eq!(told[0].instance, pausing.report().name);
 }
 
--- a/crates/protocol/src/notices.rs
+++ b/crates/protocol/src/notices.rs
@@ -16,10 +16,10 @@
     pub started: StartTime,
     /// Requested backoff of the reporting router, in milliseconds; zero for none.
     #[n(2)]
-    pub pause_ms: u64,
+    pub backoff_ms: u64,
     /// Whether the server is departing, which concerns all routers.
     #[n(3)]
-    pub is_leaving: bool,
+    pub is_departing: bool,
 }
 
 impl ServerNoticeUpdate {
@@ -29,7 +29,7 @@
     }
 
     /// Requested backoff of the reporting router; zero for none.
-    pub fn pause(&self) -> Duration {
-        Duration::from_millis(self.pause_ms)
+    pub fn backoff(&self) -> Duration {
+        Duration::from_millis(self.backoff_ms)
     }
 }
--- a/crates/protocol/tests/sizes.rs
+++ b/crates/protocol/tests/sizes.rs
@@ -114,8 +114,8 @@
     let notice = || ServerNoticeUpdate {
         instance: InstanceName::new("i-0123456789"),
         started: StartTime::from_unix_ms(1_784_840_000_000),
-        pause_ms: 30_000,
-        is_leaving: false,
+        backoff_ms: 30_000,
+        is_departing: false,
     };
     let with_notices = |notices| {
         wire_bytes(&Message::RouterUpdate(RouterUpdate { notices, ..RouterUpdate::default() }))
@@ -141,8 +141,8 @@
     let notice = ServerNoticeUpdate {
         instance: InstanceName::new("i-1"),
         started: StartTime::UNKNOWN,
-        pause_ms: 3_000,
-        is_leaving: true,
+        backoff_ms: 3_000,
+        is_departing: true,
     };
     let update = RouterUpdate {
         ended_requests: vec![7],
