--- a/crates/gateway/src/server_limits.rs
+++ b/crates/gateway/src/server_limits.rs
@@ -84,7 +84,7 @@
             log::warn!("event=server_limit_unreadable request=- instance={instance} reason=news");
             return;
         };
-        let told = ToldLimit { sequence: news.sequence, rate, is_over: news.is_over };
+        let told = ToldLimit { sequence: news.sequence, rate, is_over: news.is_withdrawn };
         let at = self.heard_at();
         let change = self.placement().told_limit(&instance, told, at);
         log_change(&instance, change, "-");
@@ -98,7 +98,7 @@
             started: instance.started(),
             sequence: told.sequence,
             per_second: told.rate.per_second(),
-            is_over: told.is_over,
+            is_withdrawn: told.is_over,
         });
     }
 
--- a/crates/gateway/tests/paths/pauses.rs
+++ b/crates/gateway/tests/paths/pauses.rs
@@ -104,7 +104,7 @@
         started: StartTime::UNKNOWN,
         sequence: 9,
         per_second: 50.0,
-        is_over: false,
+        is_withdrawn: false,
     };
     let news = RouterUpdate { server_limits: Some(vec![limit]), ..RouterUpdate::default() };
     gateway.control.relay(2, "south", news);
--- a/crates/gateway/tests/paths/server_limits.rs
+++ b/crates/gateway/tests/paths/server_limits.rs
@@ -39,9 +39,9 @@
     }
 }
 
-fn limit_of(server: &FakeServer, sequence: u64, is_over: bool) -> RouterUpdate {
+fn limit_of(server: &FakeServer, sequence: u64, is_withdrawn: bool) -> RouterUpdate {
     let (instance, started) = (server.report().name, StartTime::UNKNOWN);
-    let limit = ServerLimitUpdate { instance, started, sequence, per_second: 2.5, is_over };
+    let limit = ServerLimitUpdate { instance, started, sequence, per_second: 2.5, is_withdrawn };
     RouterUpdate { server_limits: Some(vec![limit]), ..RouterUpdate::default() }
 }
 
@@ -159,7 +159,7 @@
         tokio::time::sleep(Duration::from_millis(50)).await;
         rates.extend(gateway.control.charges().last().map(|charge| charge.per_second));
     }
-    assert!(gateway.control.told_limits().iter().any(|told| told.is_over), "the others know");
+    assert!(gateway.control.told_limits().iter().any(|told| told.is_withdrawn), "the others know");
     rates.dedup();
     assert_eq!(rates, [1.6, 3.2, 6.4, 12.8, 25.6, 51.2]);
     let charged = gateway.control.charges().len();
--- a/crates/protocol/src/limits.rs
+++ b/crates/protocol/src/limits.rs
@@ -51,12 +51,12 @@
     /// Sequence number among the updates about one server; the highest takes precedence.
     #[n(2)]
     pub sequence: u64,
-    /// Limit, in requests per second; the last advertised value if `is_over`.
+    /// Limit, in requests per second; the last advertised value if `is_withdrawn`.
     #[n(3)]
     pub per_second: f64,
     /// Whether the server no longer advertises a limit.
     #[n(4)]
-    pub is_over: bool,
+    pub is_withdrawn: bool,
 }
 
 impl ServerLimitUpdate {
