--- a/crates/control/src/limits.rs
+++ b/crates/control/src/limits.rs
@@ -42,11 +42,11 @@
         let mut owner = self.owner.lock().unwrap_or_else(PoisonError::into_inner);
         match owner.charge(&request, self.now(), rand::random()) {
             Verdict::Admitted { fleet_per_second } => {
-                ChargeAnswer { refused_for_ms: None, fleet_per_second }
+                ChargeAnswer { retry_after_ms: None, fleet_per_second }
             }
             Verdict::Refused { pause, fleet_per_second } => {
                 let pause_ms = u64::try_from(pause.as_millis()).unwrap_or(u64::MAX);
-                ChargeAnswer { refused_for_ms: Some(pause_ms), fleet_per_second }
+                ChargeAnswer { retry_after_ms: Some(pause_ms), fleet_per_second }
             }
         }
     }
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -85,7 +85,7 @@
 
 fn verdict(answer: ChargeAnswer) -> Verdict {
     let fleet_per_second = answer.fleet_per_second;
-    match answer.refused_for_ms {
+    match answer.retry_after_ms {
         None => Verdict::Admitted { fleet_per_second },
         Some(pause_ms) => {
             Verdict::Refused { pause: Duration::from_millis(pause_ms), fleet_per_second }
--- a/crates/gateway/tests/paths/support/control.rs
+++ b/crates/gateway/tests/paths/support/control.rs
@@ -282,8 +282,8 @@
 
 fn charged(said: &Said, charge: &LimitCharge) -> Option<Reply> {
     said.charges.lock().expect("no panic").push(charge.clone());
-    let answer = |refused_for_ms| {
-        Some(Reply::Charged(ChargeAnswer { refused_for_ms, fleet_per_second: 0.0 }))
+    let answer = |retry_after_ms| {
+        Some(Reply::Charged(ChargeAnswer { retry_after_ms, fleet_per_second: 0.0 }))
     };
     match *said.charging.lock().expect("no panic") {
         Charging::Admits | Charging::AdmitsLate => answer(None),
--- a/crates/protocol/src/limits.rs
+++ b/crates/protocol/src/limits.rs
@@ -72,7 +72,7 @@
     /// Time after which a refused request may be retried, in milliseconds; `None` if the request is
     /// within the limit.
     #[n(0)]
-    pub refused_for_ms: Option<u64>,
+    pub retry_after_ms: Option<u64>,
     /// Recently admitted units per second, over all routers.
     #[n(1)]
     pub fleet_per_second: f64,
