--- a/crates/control/src/internal/calls.rs
+++ b/crates/control/src/internal/calls.rs
@@ -35,7 +35,7 @@
             forwarded(face, command).await
         }
         Request::Charge(charge) if peer.identity.role == PeerRole::Router => charged(face, &charge),
-        Request::GiveBack { account, units } if peer.identity.role == PeerRole::Router => {
+        Request::Refund { account, units } if peer.identity.role == PeerRole::Router => {
             face.limits.give_back(&account, units);
             Reply::Done
         }
@@ -52,7 +52,7 @@
         | Request::ListenToRouters { .. }
         | Request::Subscribe { .. }
         | Request::Charge(_)
-        | Request::GiveBack { .. }
+        | Request::Refund { .. }
         | Request::Quarantine(_)
         | Request::Release(_)
         | Request::Lookup { .. }
--- a/crates/feed/src/link.rs
+++ b/crates/feed/src/link.rs
@@ -233,7 +233,7 @@
                 Ok(())
             }
             LinkCommand::GiveBack { account, units } => {
-                self.call(Request::GiveBack { account, units }).await.map(|_| ())
+                self.call(Request::Refund { account, units }).await.map(|_| ())
             }
             LinkCommand::Quarantine(call) => self.call(Request::Quarantine(call)).await.map(|_| ()),
             LinkCommand::Release(request) => self.call(Request::Release(request)).await.map(|_| ()),
--- a/crates/gateway/tests/paths/support/control.rs
+++ b/crates/gateway/tests/paths/support/control.rs
@@ -272,7 +272,7 @@
             said.quarantined.lock().expect("no panic").push(call.clone());
             vec![reply(Reply::Done)]
         }
-        Request::GiveBack { units, .. } => {
+        Request::Refund { units, .. } => {
             said.given_back.lock().expect("no panic").push(*units);
             vec![reply(Reply::Done)]
         }
--- a/crates/protocol/src/message.rs
+++ b/crates/protocol/src/message.rs
@@ -229,7 +229,7 @@
     Charge(#[n(0)] LimitCharge),
     /// Router to control: refund the units of a charged request that no server executed.
     #[n(15)]
-    GiveBack {
+    Refund {
         /// Account of the charge.
         #[n(0)]
         account: String,
