--- a/crates/control/src/internal/calls.rs
+++ b/crates/control/src/internal/calls.rs
@@ -49,7 +49,7 @@
         Request::Confirm => follower::confirmed(face),
         Request::Follow
         | Request::FollowFleet { .. }
-        | Request::ListenToRouters { .. }
+        | Request::RelayRouterUpdates { .. }
         | Request::Subscribe { .. }
         | Request::Charge(_)
         | Request::Refund { .. }
--- a/crates/control/src/internal/session.rs
+++ b/crates/control/src/internal/session.rs
@@ -196,8 +196,8 @@
             }
             continue;
         }
-        if let Request::ListenToRouters { wanted } = request {
-            listening.set(wanted, &face, &sender);
+        if let Request::RelayRouterUpdates { enabled } = request {
+            listening.set(enabled, &face, &sender);
             send_reply(&sender, call, Reply::Done).await;
             continue;
         }
--- a/crates/control/tests/daemons/relay.rs
+++ b/crates/control/tests/daemons/relay.rs
@@ -37,7 +37,7 @@
 
     async fn listening(group: &Group, replica: usize, node: u64) -> Self {
         let mut router = Self::at(group, replica, node).await;
-        router.call(Request::ListenToRouters { wanted: true }).await;
+        router.call(Request::RelayRouterUpdates { enabled: true }).await;
         router
     }
 
@@ -94,7 +94,7 @@
     let mut router = Router::listening(&group, 0, 102).await;
     teller.tell(down("i-1")).await;
     assert_eq!(router.heard(LONG_AFTER).await.len(), 1);
-    router.call(Request::ListenToRouters { wanted: false }).await;
+    router.call(Request::RelayRouterUpdates { enabled: false }).await;
     teller.tell(down("i-2")).await;
     assert_eq!(router.heard(LONG_AFTER).await, []);
     group.stop_all().await;
--- a/crates/feed/src/link.rs
+++ b/crates/feed/src/link.rs
@@ -224,7 +224,7 @@
         match command {
             LinkCommand::Tell(news) => self.write(&Message::RouterUpdate(news)).await,
             LinkCommand::Listen(wanted) => {
-                self.call(Request::ListenToRouters { wanted }).await.map(|_| ())
+                self.call(Request::RelayRouterUpdates { enabled: wanted }).await.map(|_| ())
             }
             LinkCommand::Charge(PendingCharge { charge, answer }) => {
                 self.charges.retain(|_, waiting| !waiting.is_closed());
--- a/crates/gateway/tests/paths/support/control.rs
+++ b/crates/gateway/tests/paths/support/control.rs
@@ -329,7 +329,7 @@
         match request {
             Request::Confirm if self.is_over || !self.confirmed.is_empty() => return Vec::new(),
             Request::Confirm => self.confirmed = answers,
-            Request::ListenToRouters { .. } => self.listening = answers,
+            Request::RelayRouterUpdates { .. } => self.listening = answers,
             _ => return answers,
         }
         self.is_over = !self.confirmed.is_empty() && !self.listening.is_empty();
--- a/crates/protocol/src/message.rs
+++ b/crates/protocol/src/message.rs
@@ -218,10 +218,10 @@
     /// Router to control: start or stop relaying updates of other routers on this connection. A
     /// router subscribes to one replica only, to avoid duplicates.
     #[n(13)]
-    ListenToRouters {
+    RelayRouterUpdates {
         /// Whether to relay updates from now on.
         #[n(0)]
-        wanted: bool,
+        enabled: bool,
     },
     /// Router to control: charge a request against a limit. The reply is [`Reply::Charged`]; a
     /// replica without a recent quorum confirmation refuses.
