--- a/crates/protocol/src/message.rs
+++ b/crates/protocol/src/message.rs
@@ -185,10 +185,10 @@
     Share {
         /// Incarnation of the sending router; update sequences restart with each.
         #[n(0)]
-        life: Incarnation,
+        incarnation: Incarnation,
         /// Updates by engine.
         #[n(1)]
-        news: ShareMessage,
+        updates: ShareMessage,
     },
     /// Router to control: list the nodes and the leader.
     #[n(8)]
@@ -328,7 +328,7 @@
     Shared {
         /// Engines with a gap in their updates, for which the sender must send a full state.
         #[n(0)]
-        in_doubt: Vec<EngineId>,
+        engines_with_gaps: Vec<EngineId>,
     },
 }
 
--- a/crates/router/src/sharing/rounds.rs
+++ b/crates/router/src/sharing/rounds.rs
@@ -61,14 +61,16 @@
     }
 
     async fn deliver(&self, to: RouterLife, link: Option<Link>, news: ShareMessage) {
-        let request = Request::Share { life: self.own.life, news };
+        let request = Request::Share { incarnation: self.own.life, updates: news };
         let reply = match link {
             Some(link) => link.call(request, DELIVERY_TIMEOUT).await.ok(),
             None => None,
         };
         let mut state = self.lock();
         match reply {
-            Some(Reply::Shared { in_doubt }) => state.sharing.in_doubt(to, &in_doubt),
+            Some(Reply::Shared { engines_with_gaps }) => {
+                state.sharing.in_doubt(to, &engines_with_gaps)
+            }
             _ => {
                 log::debug!("event=news_not_delivered peer={}", to.node);
                 state.sharing.delivery_failed(to);
--- a/crates/router/src/sharing/service.rs
+++ b/crates/router/src/sharing/service.rs
@@ -75,9 +75,9 @@
             let now = hub.engines.now();
             Reply::Holders { checkpoints: hub.lock().sharing.lookup(&keys, now) }
         }
-        Request::Share { life, news } => {
-            Reply::Shared { in_doubt: hub.receive(RouterLife { node, life }, &news) }
-        }
+        Request::Share { incarnation, updates } => Reply::Shared {
+            engines_with_gaps: hub.receive(RouterLife { node, life: incarnation }, &updates),
+        },
         _ => Reply::Refused(Refusal::NotAllowed),
     }
 }
