--- a/crates/control/src/peers/link.rs
+++ b/crates/control/src/peers/link.rs
@@ -144,7 +144,7 @@
             let _ = call.answer.send(Err(CallError::Unreachable));
             return;
         }
-        let message = self.calls.begin(call.request, call.answer);
+        let message = self.calls.start_call(call.request, call.answer);
         self.write(&encode(&message)).await;
     }
 }
@@ -153,7 +153,7 @@
     type Reply = ();
 
     async fn handle(&mut self, incoming: IncomingFrame, _context: &mut Context<Self, ()>) {
-        if self.calls.take(incoming) {
+        if self.calls.handle_frame(incoming) {
             self.disconnect();
         }
     }
@@ -183,7 +183,7 @@
     fn use_connection(&mut self, connection: Connection) {
         log::info!("event=replica_connected peer={}", self.target.node);
         self.pause = MIN_PAUSE;
-        let reader = self.calls.connected(connection);
+        let reader = self.calls.set_connection(connection);
         let actor = self.own_ref.clone();
         tokio::spawn(reader.run(async move |incoming| actor.tell(incoming).await.is_ok()));
     }
--- a/crates/protocol/src/calls.rs
+++ b/crates/protocol/src/calls.rs
@@ -79,14 +79,14 @@
     }
 
     /// Replaces the current connection.
-    pub fn connected(&mut self, connection: Connection) -> GenerationReader {
+    pub fn set_connection(&mut self, connection: Connection) -> GenerationReader {
         self.generation += 1;
         self.writer = Some(connection.writer);
         GenerationReader { generation: self.generation, reader: connection.reader }
     }
 
     /// Registers a call and returns the message to send.
-    pub fn begin(&mut self, request: Request, answer: ReplySender) -> Message {
+    pub fn start_call(&mut self, request: Request, answer: ReplySender) -> Message {
         self.next_call += 1;
         self.pending.insert(self.next_call, answer);
         Message::Request { call: self.next_call, request }
@@ -94,7 +94,7 @@
 
     /// Handles an event of a reader task. Returns whether the current connection has ended.
     #[must_use]
-    pub fn take(&mut self, incoming: IncomingFrame) -> bool {
+    pub fn handle_frame(&mut self, incoming: IncomingFrame) -> bool {
         if !self.is_connected() || incoming.generation != self.generation {
             return false;
         }
--- a/crates/protocol/tests/calls.rs
+++ b/crates/protocol/tests/calls.rs
@@ -36,7 +36,7 @@
 /// events of the connection.
 async fn events_of_connection(calls: &mut OpenCalls, messages: &[Message]) -> Vec<IncomingFrame> {
     let (near, far) = connected_pair().await;
-    let reader = calls.connected(near);
+    let reader = calls.set_connection(near);
     send_all(far.writer, messages).await;
     let events = Arc::new(Mutex::new(Vec::new()));
     let deliver = async |incoming| {
@@ -62,10 +62,11 @@
     let mut calls = OpenCalls::default();
     let (first, mut first_reply) = oneshot::channel();
     let (second, mut second_reply) = oneshot::channel();
-    let _ = calls.begin(Request::ConfirmedRevision, first);
-    let _ = calls.begin(Request::ConfirmedRevision, second);
+    let _ = calls.start_call(Request::ConfirmedRevision, first);
+    let _ = calls.start_call(Request::ConfirmedRevision, second);
     let events = events_of_connection(&mut calls, &[reply(2), reply(9)]).await;
-    let ended: Vec<bool> = events.into_iter().map(|incoming| calls.take(incoming)).collect();
+    let ended: Vec<bool> =
+        events.into_iter().map(|incoming| calls.handle_frame(incoming)).collect();
     assert_eq!(ended, [false, false, true]);
     assert_eq!(second_reply.try_recv().expect("a reply"), Ok(Reply::Done));
     calls.disconnect();
@@ -79,14 +80,14 @@
     let late = events_of_connection(&mut calls, &[reply(1)]).await;
     calls.disconnect();
     let (answer, mut outcome) = oneshot::channel();
-    let _ = calls.begin(Request::ConfirmedRevision, answer);
+    let _ = calls.start_call(Request::ConfirmedRevision, answer);
     let current = events_of_connection(&mut calls, &[]).await;
     for incoming in late {
         assert!(
-            !calls.take(incoming),
+            !calls.handle_frame(incoming),
             "end of an earlier connection was taken for the current one"
         );
     }
     assert!(outcome.try_recv().is_err(), "reply on an earlier connection reached a later call");
-    assert!(current.into_iter().any(|incoming| calls.take(incoming)));
+    assert!(current.into_iter().any(|incoming| calls.handle_frame(incoming)));
 }
--- a/crates/router/src/link.rs
+++ b/crates/router/src/link.rs
@@ -70,7 +70,7 @@
             let _ = call.answer.send(Err(CallError::Unreachable));
             return;
         }
-        let message = self.calls.begin(call.request, call.answer);
+        let message = self.calls.start_call(call.request, call.answer);
         let sent = match self.calls.writer() {
             Some(writer) => writer.send(&message).await.is_ok(),
             None => false,
@@ -85,7 +85,7 @@
     type Reply = ();
 
     async fn handle(&mut self, incoming: IncomingFrame, _context: &mut Context<Self, ()>) {
-        if self.calls.take(incoming) {
+        if self.calls.handle_frame(incoming) {
             self.calls.disconnect();
         }
     }
@@ -104,7 +104,7 @@
             return false;
         };
         connection.count_on(&self.target.traffic);
-        let reader = self.calls.connected(connection);
+        let reader = self.calls.set_connection(connection);
         let actor = self.own_ref.clone();
         tokio::spawn(reader.run(async move |incoming| actor.tell(incoming).await.is_ok()));
         true
