--- a/crates/protocol/src/connection.rs
+++ b/crates/protocol/src/connection.rs
@@ -74,7 +74,7 @@
 
 impl Connection {
     /// Adds all later frames, headers included, to `traffic`.
-    pub fn count_on(&mut self, traffic: &Arc<Traffic>) {
+    pub fn count_traffic_in(&mut self, traffic: &Arc<Traffic>) {
         self.reader.traffic = Some(Arc::clone(traffic));
         self.writer.traffic = Some(Arc::clone(traffic));
     }
--- a/crates/router/src/link.rs
+++ b/crates/router/src/link.rs
@@ -103,7 +103,7 @@
         let Ok(Ok(mut connection)) = timeout(CONNECT_TIMEOUT, attempt).await else {
             return false;
         };
-        connection.count_on(&self.target.traffic);
+        connection.count_traffic_in(&self.target.traffic);
         let reader = self.calls.set_connection(connection);
         let actor = self.own_ref.clone();
         tokio::spawn(reader.run(async move |incoming| actor.tell(incoming).await.is_ok()));
--- a/crates/router/src/sharing/service.rs
+++ b/crates/router/src/sharing/service.rs
@@ -53,7 +53,7 @@
             return;
         }
     };
-    connection.count_on(&hub.traffic);
+    connection.count_traffic_in(&hub.traffic);
     let Connection { peer, mut reader, mut writer, .. } = connection;
     while let Ok(message) = reader.receive().await {
         let Message::Request { call, request } = message else {
--- a/crates/router/src/subscription.rs
+++ b/crates/router/src/subscription.rs
@@ -294,7 +294,7 @@
     let opening = connect(replica.address, &config.cluster_key, &own);
     let connected = timeout(CONNECT_TIMEOUT, opening).await;
     let mut connection = connected.map_err(|_| SubscriptionEnd::Silent)??;
-    connection.count_on(&arguments.traffic);
+    connection.count_traffic_in(&arguments.traffic);
     let request = Request::Subscribe { from };
     connection.writer.send(&Frame::Request { call: 0, request }).await?;
     let mut call = 0;
