--- a/crates/crash-watch/src/outbox.rs
+++ b/crates/crash-watch/src/outbox.rs
@@ -29,7 +29,7 @@
         match report {
             Report::Crash(report) => news.crashes.push(message(report)),
             Report::Clear(Clearance { request, instances }) => {
-                news.cleared.push(CrashClearance::of(*request, instances));
+                news.cleared.push(CrashClearance::new(*request, instances));
             }
         }
         drop(news);
--- a/crates/gateway/tests/paths/quarantine.rs
+++ b/crates/gateway/tests/paths/quarantine.rs
@@ -184,7 +184,7 @@
         elsewhere.control.relay(1, "south", crash(name, server));
     }
     let instances = ["e1", "e2"].map(InstanceId::new).to_vec();
-    let cleared = vec![CrashClearance::of(name, &instances)];
+    let cleared = vec![CrashClearance::new(name, &instances)];
     let crashes = Some(CrashUpdate { crashes: Vec::new(), cleared });
     elsewhere.control.relay(2, "south", RouterUpdate { crashes, ..RouterUpdate::default() });
     sleep(Duration::from_millis(200)).await;
--- a/crates/protocol/src/connection.rs
+++ b/crates/protocol/src/connection.rs
@@ -166,7 +166,7 @@
 async fn open_stream(address: SocketAddr) -> Result<TcpStream, FrameError> {
     match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
         Ok(connected) => Ok(connected?),
-        Err(_) => Err(FrameError::Unanswered),
+        Err(_) => Err(FrameError::ConnectTimeout),
     }
 }
 
--- a/crates/protocol/src/fleet.rs
+++ b/crates/protocol/src/fleet.rs
@@ -114,7 +114,7 @@
 
 impl CrashClearance {
     /// Clears `request` of the crashes of these incarnations.
-    pub fn of(request: RequestFingerprint, cleared: &[InstanceId]) -> Self {
+    pub fn new(request: RequestFingerprint, cleared: &[InstanceId]) -> Self {
         let (instances, starts) = names_and_starts(cleared);
         CrashClearance { request, instances, starts }
     }
--- a/crates/protocol/src/frame.rs
+++ b/crates/protocol/src/frame.rs
@@ -24,7 +24,7 @@
     Io(#[from] std::io::Error),
     /// The peer's system did not accept the connection in time.
     #[error("connection setup timed out")]
-    Unanswered,
+    ConnectTimeout,
     /// The peer closed the connection between frames.
     #[error("connection closed by the peer")]
     Closed,
--- a/crates/protocol/src/handshake.rs
+++ b/crates/protocol/src/handshake.rs
@@ -115,7 +115,7 @@
     pub const FOLLOWS_FLEET: BuildLevel = BuildLevel(1);
 
     /// Level of this build.
-    pub const OWN: BuildLevel = BuildLevel::FOLLOWS_FLEET;
+    pub const CURRENT: BuildLevel = BuildLevel::FOLLOWS_FLEET;
 }
 
 #[derive(Encode, Decode)]
@@ -180,7 +180,7 @@
 where
     S: AsyncRead + AsyncWrite + Unpin,
 {
-    let (identity, level) = (own.clone(), BuildLevel::OWN);
+    let (identity, level) = (own.clone(), BuildLevel::CURRENT);
     let greeting = Greeting { identity, nonce: rand::rng().random(), level };
     let own_bytes = crate::message::encode(&greeting);
     write_frame(stream, &own_bytes).await?;
--- a/crates/protocol/tests/connect_timeout.rs
+++ b/crates/protocol/tests/connect_timeout.rs
@@ -30,6 +30,6 @@
     let own = PeerIdentity { node: NodeId(1), role: PeerRole::Router, zone };
     let result =
         timeout(RESULT_TIMEOUT, connect(address, &key, &own)).await.expect("connect times out");
-    assert!(matches!(result, Err(HandshakeError::Frame(FrameError::Unanswered))));
+    assert!(matches!(result, Err(HandshakeError::Frame(FrameError::ConnectTimeout))));
     attempts.iter().for_each(|attempt| attempt.abort());
 }
