--- a/crates/control/examples/control_group/client.rs
+++ b/crates/control/examples/control_group/client.rs
@@ -1,4 +1,4 @@
-//! A connection with several calls under way.
+//! Client connection with several calls in flight.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -7,9 +7,9 @@
 use juniper_protocol::{ClaimAnswer, Connection, Message, PeerRole, Reply, Request, connect};
 use juniper_types::{BlockHash, ClaimKey, TenantName};
 
-use crate::fleet::{identity, key};
+use crate::cluster::{identity, key};
 
-/// A claim under a key of its own.
+/// Claim with a unique key.
 pub fn claim(worker: u64, number: u64) -> Request {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("a set clock").as_secs();
     Request::Claim {
@@ -20,15 +20,14 @@
     }
 }
 
-/// What a run of calls came to.
+/// Result of a run of calls.
 #[derive(Default)]
 pub struct Outcome {
     pub latencies: Vec<Duration>,
     pub refused: usize,
 }
 
-/// Keeps `window` calls under way on one connection until `deadline` or until
-/// `requests` ends.
+/// Keeps `window` calls in flight on one connection until `deadline` or the end of `requests`.
 pub async fn run(
     address: SocketAddr,
     role: PeerRole,
@@ -40,23 +39,23 @@
     let connection = connect(address, &key(), &identity(node, role)).await.expect("a connection");
     let Connection { mut reader, mut writer, .. } = connection;
     let mut outcome = Outcome::default();
-    let mut under_way = HashMap::new();
+    let mut in_flight = HashMap::new();
     let mut call = 0;
     loop {
-        while under_way.len() < window && Instant::now() < deadline {
+        while in_flight.len() < window && Instant::now() < deadline {
             let Some(request) = requests.next() else { break };
             call += 1;
-            under_way.insert(call, Instant::now());
-            writer.send(&Message::Request { call, request }).await.expect("a call is sent");
+            in_flight.insert(call, Instant::now());
+            writer.send(&Message::Request { call, request }).await.expect("send a call");
         }
-        if under_way.is_empty() {
+        if in_flight.is_empty() {
             return outcome;
         }
         let Ok(Message::Reply { call, reply }) = reader.receive().await else { continue };
-        let Some(asked) = under_way.remove(&call) else { continue };
+        let Some(sent_at) = in_flight.remove(&call) else { continue };
         match reply {
             Reply::Claim(ClaimAnswer::Granted) | Reply::Applied { .. } => {
-                outcome.latencies.push(asked.elapsed());
+                outcome.latencies.push(sent_at.elapsed());
             }
             _ => outcome.refused += 1,
         }
--- a/crates/control/examples/control_group/fleet.rs
+++ b/crates/control/examples/control_group/cluster.rs
@@ -1,4 +1,4 @@
-//! Control replicas as child processes of this example.
+//! Cluster of control replicas, run as child processes.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -14,17 +14,17 @@
 const CLUSTER_KEY: &str = "a cluster key for measuring";
 const OPERATOR_KEY: &str = "an operator key for measuring";
 
-/// Longest wait for anything.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Timeout of all conditions waited for.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Runs one replica until it is killed.
 pub async fn run_replica(file: &str) {
-    let file = NodeFile::load(Path::new(file), &[]).expect("a sound node file");
+    let file = NodeFile::load(Path::new(file), &[]).expect("a valid node file");
     let settings = file.control.expect("a control section");
     juniper_control::run(settings, std::future::pending()).await.expect("the replica runs");
 }
 
-/// One replica and its process.
+/// Replica and its process.
 pub struct Replica {
     pub node: u64,
     pub internal: SocketAddr,
@@ -43,7 +43,7 @@
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             child.kill().expect("the replica is killed");
-            child.wait().expect("the replica is gone");
+            child.wait().expect("the replica has exited");
         }
     }
 }
@@ -54,8 +54,8 @@
     }
 }
 
-/// A group of replicas.
-pub struct Fleet {
+/// Running cluster.
+pub struct Cluster {
     pub replicas: Vec<Replica>,
     pub http: reqwest::Client,
     _folder: tempfile::TempDir,
@@ -81,36 +81,36 @@
     text
 }
 
-impl Fleet {
+impl Cluster {
     pub async fn start(count: usize) -> Self {
         let base = std::env::current_dir().expect("a folder").join("target");
         let folder = tempfile::tempdir_in(base).expect("a folder for the data");
-        let make = |node: u64| Replica {
+        let new_replica = |node: u64| Replica {
             node,
             internal: unused_address(),
             operator: unused_address(),
             file: folder.path().join(format!("node-{node}.toml")),
             child: None,
         };
-        let mut replicas: Vec<Replica> = (1..=count as u64).map(make).collect();
+        let mut replicas: Vec<Replica> = (1..=count as u64).map(new_replica).collect();
         let all: Vec<_> = replicas.iter().map(|replica| (replica.node, replica.internal)).collect();
         for replica in &replicas {
             let text = node_file(replica, &all, folder.path());
             std::fs::write(&replica.file, text).expect("a node file");
         }
-        let first = NodeFile::load(&replicas[0].file, &[]).expect("a sound node file");
+        let first = NodeFile::load(&replicas[0].file, &[]).expect("a valid node file");
         juniper_control::found(&first.control.expect("a control section")).expect("a new cluster");
         replicas.iter_mut().for_each(Replica::start);
         let http = reqwest::Client::builder().no_proxy().timeout(Duration::from_secs(10));
         let http = http.build().expect("a client");
-        let fleet = Fleet { replicas, http, _folder: folder };
-        fleet.all_vote().await;
-        fleet
+        let cluster = Cluster { replicas, http, _folder: folder };
+        cluster.wait_until_all_vote().await;
+        cluster
     }
 
-    pub async fn all_vote(&self) {
+    pub async fn wait_until_all_vote(&self) {
         let wanted = self.replicas.len();
-        eventually(async || {
+        wait_for(async || {
             let at = self.leader_now().await?;
             let status = self.get(at, "/v1/status").await?;
             let members = status["members"].as_array()?;
@@ -131,7 +131,7 @@
     }
 
     pub async fn leader(&self) -> usize {
-        eventually(async || self.leader_now().await).await
+        wait_for(async || self.leader_now().await).await
     }
 
     pub async fn get(&self, at: usize, path: &str) -> Option<Value> {
@@ -158,17 +158,17 @@
     PeerIdentity { node: NodeId(node), role, zone: ZoneName::new("zone-1").expect("a zone") }
 }
 
-/// Waits until `check` holds.
-pub async fn eventually<F, T>(mut check: F) -> T
+/// Waits until `check` returns a value.
+pub async fn wait_for<F, T>(mut check: F) -> T
 where
     F: AsyncFnMut() -> Option<T>,
 {
     let start = Instant::now();
-    while start.elapsed() < PATIENCE {
+    while start.elapsed() < WAIT_TIMEOUT {
         if let Some(value) = check().await {
             return value;
         }
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    panic!("waited in vain");
+    panic!("timed out waiting for a condition");
 }
--- a/crates/control/examples/control_group/commit.rs
+++ b/crates/control/examples/control_group/commit.rs
@@ -1,4 +1,4 @@
-//! Time of a commit, one at a time, and claims a second at full load.
+//! Latency of single commits, and throughput of claims at full load.
 
 use std::time::{Duration, Instant};
 
@@ -6,12 +6,12 @@
 use serde_json::json;
 
 use crate::client::{claim, run};
-use crate::fleet::Fleet;
+use crate::cluster::Cluster;
 use crate::report;
 
 const SAMPLES: u64 = 2_000;
 
-/// Below the burst that the limit on settings writes allows.
+/// Number of settings changes, below the burst allowed by the rate limit on settings writes.
 const SETTINGS_SAMPLES: u64 = 200;
 
 const CONNECTIONS: u64 = 8;
@@ -19,12 +19,12 @@
 const LOAD: Duration = Duration::from_secs(5);
 
 pub async fn one_at_a_time(replicas: usize) {
-    let fleet = Fleet::start(replicas).await;
-    let leader = fleet.leader().await;
-    let address = fleet.replicas[leader].internal;
-    let far = Instant::now() + Duration::from_secs(600);
+    let cluster = Cluster::start(replicas).await;
+    let leader = cluster.leader().await;
+    let address = cluster.replicas[leader].internal;
+    let deadline = Instant::now() + Duration::from_secs(600);
     let requests = (0..SAMPLES).map(|number| claim(0, number));
-    let outcome = run(address, PeerRole::Router, 900, 1, far, requests).await;
+    let outcome = run(address, PeerRole::Router, 900, 1, deadline, requests).await;
     assert_eq!(outcome.refused, 0, "no claim is refused");
     report(&format!("claim, one at a time, {replicas} replicas"), outcome.latencies);
     let mut latencies = Vec::new();
@@ -34,18 +34,18 @@
         let change = json!({
             "base_revision": base, "change_id": format!("c{base}"), "edits": edits,
         });
-        let asked = Instant::now();
-        let answer = fleet.post(leader, "/v1/settings/changes", &change).await;
-        latencies.push(asked.elapsed());
+        let sent_at = Instant::now();
+        let answer = cluster.post(leader, "/v1/settings/changes", &change).await;
+        latencies.push(sent_at.elapsed());
         assert!(answer.is_some(), "the change is accepted");
     }
     report(&format!("settings change over HTTP, {replicas} replicas"), latencies);
 }
 
 pub async fn at_full_load(replicas: usize) {
-    let fleet = Fleet::start(replicas).await;
-    let leader = fleet.leader().await;
-    let address = fleet.replicas[leader].internal;
+    let cluster = Cluster::start(replicas).await;
+    let leader = cluster.leader().await;
+    let address = cluster.replicas[leader].internal;
     let begin = Instant::now();
     let worker = |worker: u64| {
         let requests = (0..).map(move |number| claim(worker, number));
--- a/crates/control/examples/control_group/main.rs
+++ b/crates/control/examples/control_group/main.rs
@@ -1,16 +1,16 @@
-//! Measures a group of control replicas: real processes, loopback TCP, synced disks.
+//! Benchmark of a cluster of control replicas: real processes, loopback TCP, synced disks.
 //!
 //! `cargo run --release -p juniper-control --example control_group -- CASE [NUMBERS]`
 //! where a case is one of
 //! `commit REPLICAS`, `claims REPLICAS`, `failover REPLICAS`,
 //! `spread REPLICAS SUBSCRIBERS`, `herd REPLICAS SUBSCRIBERS`, `start CHANGES` and
 //! `snapshot CLAIMS`.
-//! The data goes below the current folder's `target`, so choose the disk by it.
+//! Data is written below `target` in the current folder, which determines the disk.
 
 mod client;
+mod cluster;
 mod commit;
 mod failover;
-mod fleet;
 mod herd;
 mod snapshot;
 mod spread;
@@ -24,7 +24,7 @@
     let case = arguments.first().map(String::as_str).unwrap_or("");
     let runtime = tokio::runtime::Runtime::new().expect("a runtime");
     match case {
-        "replica" => runtime.block_on(fleet::run_replica(&arguments[1])),
+        "replica" => runtime.block_on(cluster::run_replica(&arguments[1])),
         "commit" => runtime.block_on(commit::one_at_a_time(number(1))),
         "claims" => runtime.block_on(commit::at_full_load(number(1))),
         "failover" => runtime.block_on(failover::measure(number(1))),
@@ -36,18 +36,18 @@
     }
 }
 
-/// Prints the usual points of a distribution, in milliseconds.
+/// Prints median, 99th percentile and maximum, in milliseconds.
 fn report(name: &str, mut samples: Vec<Duration>) {
     samples.sort_unstable();
-    let at = |share: f64| {
-        let place = ((samples.len() as f64 * share).ceil() as usize).clamp(1, samples.len());
-        samples[place - 1].as_secs_f64() * 1_000.0
+    let percentile = |share: f64| {
+        let rank = ((samples.len() as f64 * share).ceil() as usize).clamp(1, samples.len());
+        samples[rank - 1].as_secs_f64() * 1_000.0
     };
     println!(
         "{name}: n={} p50={:.2} ms p99={:.2} ms max={:.2} ms",
         samples.len(),
-        at(0.5),
-        at(0.99),
-        at(1.0)
+        percentile(0.5),
+        percentile(0.99),
+        percentile(1.0)
     );
 }
--- a/crates/control/examples/control_group/snapshot.rs
+++ b/crates/control/examples/control_group/snapshot.rs
@@ -1,5 +1,4 @@
-//! Time to encode and decode the whole state with many claims, which a replica
-//! does in one go.
+//! Time to encode and decode a snapshot with many claims.
 
 use std::time::Instant;
 
@@ -37,11 +36,11 @@
     let bytes = state.to_snapshot();
     let encoded = begin.elapsed();
     let begin = Instant::now();
-    let read = ControlState::from_snapshot(&bytes).expect("a sound snapshot");
+    let decoded = ControlState::from_snapshot(&bytes).expect("a valid snapshot");
     println!(
-        "{claims} claims: snapshot of {} bytes, encoded in {encoded:.0?}, read in {:.0?}",
+        "{claims} claims: snapshot of {} bytes, encoded in {encoded:.0?}, decoded in {:.0?}",
         bytes.len(),
         begin.elapsed()
     );
-    assert_eq!(read.claims().len(), claims);
+    assert_eq!(decoded.claims().len(), claims);
 }
--- a/crates/control/examples/control_group/spread.rs
+++ b/crates/control/examples/control_group/spread.rs
@@ -1,8 +1,6 @@
-//! Time from the sending of a change to its arrival at every subscriber, which
-//! is the time from its acceptance to its arrival and the commit before that.
+//! Time from sending a change to its arrival at all subscribers, commit included.
 //!
-//! The subscribers are hollow: they decode a push and report it in force at
-//! once, where a router also writes it to its disk.
+//! Subscribers decode a push and report it as applied at once; a router also writes it to disk.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -13,21 +11,21 @@
 use serde_json::json;
 use tokio::sync::mpsc;
 
-use crate::fleet::{Fleet, eventually, identity, key};
+use crate::cluster::{Cluster, identity, key, wait_for};
 use crate::report;
 
 const CHANGES: u64 = 100;
-const PACE: Duration = Duration::from_millis(50);
+const CHANGE_INTERVAL: Duration = Duration::from_millis(50);
 
 pub async fn measure(replicas: usize, subscribers: usize) {
-    let fleet = Fleet::start(replicas).await;
+    let cluster = Cluster::start(replicas).await;
     let (arrived, mut arrivals) = mpsc::unbounded_channel();
     for number in 0..subscribers {
-        let address = fleet.replicas[number % replicas].internal;
+        let address = cluster.replicas[number % replicas].internal;
         tokio::spawn(subscribe(address, 1_000 + number as u64, arrived.clone()));
     }
-    eventually(async || {
-        let nodes = fleet.get(0, "/v1/nodes").await?;
+    wait_for(async || {
+        let nodes = cluster.get(0, "/v1/nodes").await?;
         (nodes["nodes"].as_array()?.len() == subscribers).then_some(())
     })
     .await;
@@ -40,9 +38,9 @@
         });
         let at = base as usize % replicas;
         sent.insert(Revision(base + 1), Instant::now());
-        let answer = fleet.post(at, "/v1/settings/changes", &change).await;
+        let answer = cluster.post(at, "/v1/settings/changes", &change).await;
         assert!(answer.is_some(), "the change is accepted");
-        tokio::time::sleep(PACE).await;
+        tokio::time::sleep(CHANGE_INTERVAL).await;
     }
     let (mut each, mut last): (Vec<Duration>, HashMap<Revision, Duration>) = Default::default();
     for _ in 0..CHANGES as usize * subscribers {
--- a/crates/control/src/error.rs
+++ b/crates/control/src/error.rs
@@ -1,4 +1,4 @@
-//! Why the control daemon can't start or go on.
+//! Errors that prevent the control daemon from starting or end it.
 
 use std::io;
 use std::net::SocketAddr;
@@ -7,39 +7,39 @@
 
 use crate::replica::ReplicaFailure;
 
-/// Why the control daemon can't start or go on.
+/// Error that prevents the control daemon from starting or ends it.
 #[derive(Debug, thiserror::Error)]
 pub enum ControlError {
-    /// A listener could not be opened.
-    #[error("can't listen on {address}: {source}")]
+    /// Opening a listener failed.
+    #[error("failed to listen on {address}: {source}")]
     Listen {
-        /// Where.
+        /// Address of the listener.
         address: SocketAddr,
-        /// Why.
+        /// Error from the system.
         source: io::Error,
     },
-    /// The cluster key is unusable.
+    /// The cluster key is invalid.
     #[error(transparent)]
     ClusterKey(#[from] juniper_protocol::ClusterKeyError),
-    /// The metrics could not be registered.
-    #[error("can't register metrics: {0}")]
+    /// Registering the metrics failed.
+    #[error("failed to register metrics: {0}")]
     Metrics(#[from] prometheus::Error),
-    /// A face stopped serving.
-    #[error("serving failed: {0}")]
+    /// The operator API stopped serving.
+    #[error("operator API failed: {0}")]
     Serve(io::Error),
-    /// The data folder can't be opened.
-    #[error("can't open the data folder: {0}")]
+    /// Opening the data folder failed.
+    #[error("failed to open the data folder: {0}")]
     Open(#[from] OpenError),
-    /// The data folder can't be formatted.
-    #[error("can't format the data folder: {0}")]
+    /// Formatting the data folder failed.
+    #[error("failed to format the data folder: {0}")]
     Format(#[from] FormatError),
-    /// The data folder can't be made or emptied.
-    #[error("can't prepare the data folder: {0}")]
+    /// Creating or emptying the data folder failed.
+    #[error("failed to prepare the data folder: {0}")]
     Folder(#[from] DiskError),
-    /// The thread that writes can't be started.
-    #[error("can't start the writer thread: {0}")]
+    /// Starting the writer thread failed.
+    #[error("failed to start the writer thread: {0}")]
     Thread(io::Error),
-    /// The replica ended by itself.
-    #[error("the replica ended: {0}")]
+    /// The replica failed.
+    #[error("replica failed: {0}")]
     Replica(#[from] ReplicaFailure),
 }
--- a/crates/control/src/fleet.rs
+++ b/crates/control/src/fleet_calls.rs
@@ -1,7 +1,7 @@
-//! The calls of operators and servers of generic services, which any replica takes.
+//! Calls from operators and from servers of generic services, accepted by any replica.
 //!
-//! What must not be lost (configurations, versions of weights, departures) is
-//! answered once it is committed. Heartbeats are kept in memory only.
+//! Configurations, weight versions and departures are committed before the call is answered.
+//! Heartbeats are kept in memory only.
 
 use std::sync::Arc;
 
@@ -15,50 +15,50 @@
 use juniper_types::NodeId;
 
 use crate::clock::{unix_millis, unix_seconds};
-use crate::fleet_board::{FleetBoard, ServerBoards};
-use crate::forward::Group;
-use crate::instances::InstanceBoard;
+use crate::fleet_publisher::{FleetPublisher, ServerPublishers};
+use crate::instances::InstancePublisher;
 use crate::metrics::Metrics;
-use crate::renewals::Renewals;
+use crate::renewal_log::Renewals;
 use crate::replica::ReplicaView;
+use crate::replica_group::ReplicaGroup;
 
-/// Why a call was not carried out.
+/// Error of a fleet call.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetCallError {
     /// The configuration is invalid.
-    #[error("the configuration has {} fault(s), the first: {}", .0.len(), .0[0])]
+    #[error("configuration has {} fault(s), the first: {}", .0.len(), .0[0])]
     Invalid(Vec<CatalogFault>),
-    /// No quorum carried it out in time.
+    /// The replicas refused the call or no quorum answered in time.
     #[error(transparent)]
     Refused(#[from] Refusal),
 }
 
-/// Takes the calls.
+/// Handler of fleet calls.
 #[derive(Clone)]
 pub struct FleetCalls {
-    group: Group,
-    board: Arc<InstanceBoard>,
+    group: ReplicaGroup,
+    instance_publisher: Arc<InstancePublisher>,
     view: ReplicaView,
-    fleet_board: Arc<FleetBoard>,
+    fleet_publisher: Arc<FleetPublisher>,
     metrics: Arc<Metrics>,
 }
 
 impl FleetCalls {
     pub(crate) fn new(
-        group: Group,
-        boards: ServerBoards,
+        group: ReplicaGroup,
+        publishers: ServerPublishers,
         view: ReplicaView,
         metrics: Arc<Metrics>,
     ) -> Self {
-        let ServerBoards { heard: board, fleet: fleet_board } = boards;
-        FleetCalls { group, board, view, fleet_board, metrics }
+        let ServerPublishers { observed: instance_publisher, fleet: fleet_publisher } = publishers;
+        FleetCalls { group, instance_publisher, view, fleet_publisher, metrics }
     }
 
-    /// Puts a configuration in force, if it is valid and the newest. `document` is
-    /// the operator's own text of it.
+    /// Commits a configuration if it is valid and newer than the current one. `document` is the
+    /// text as written by the operator.
     ///
     /// # Errors
-    /// Fails when it is invalid, whatever its version, or when no quorum takes it.
+    /// Fails if the configuration is invalid, whatever its version, or if no quorum commits it.
     pub async fn put_catalog(
         &self,
         catalog: &Catalog,
@@ -77,53 +77,53 @@
         Ok(answer)
     }
 
-    /// The operator's text of the newest configuration, confirmed by a quorum.
+    /// Reads the operator's text of the latest configuration, confirmed by a quorum.
     ///
     /// # Errors
-    /// Fails when no quorum confirms it in time.
+    /// Fails if no quorum confirms the read in time.
     pub async fn catalog_document(&self) -> Result<Option<Vec<u8>>, Refusal> {
         let document = |state: &juniper_control_state::ControlState| {
-            state.fleet().catalog().map(|held| held.document.clone())
+            state.fleet().catalog().map(|catalog| catalog.document.clone())
         };
         self.group.read(false, document).await
     }
 
-    /// Takes a heartbeat. That a server is leaving is recorded before the answer.
+    /// Handles a heartbeat. The departure of a draining server is committed before the answer.
     ///
     /// # Errors
-    /// Fails when the server is leaving and no quorum records it in time.
+    /// Fails if the server is draining and no quorum commits its departure in time.
     pub async fn heartbeat(&self, report: InstanceReport) -> Result<(), Refusal> {
-        let leaving = (report.state == InstanceState::Draining).then(|| report.id());
-        let intake = self.board.hear(report);
+        let departing = (report.state == InstanceState::Draining).then(|| report.id());
+        let intake = self.instance_publisher.observe(report);
         if intake == Intake::OtherWriter {
             self.metrics.heartbeats_refused.inc();
             return Ok(());
         }
-        match leaving {
+        match departing {
             Some(id) => self.depart(&id, "draining").await,
             None => Ok(()),
         }
     }
 
-    /// Counts and logs a heartbeat that can't be read. It names no server; the others hold.
+    /// Counts and logs a malformed heartbeat.
     pub fn refuse_heartbeat(&self, name: &str, reason: &dyn std::fmt::Display) {
         self.metrics.heartbeats_refused.inc();
         log::warn!("event=heartbeat_refused instance={name:?} reason=\"{reason}\"");
     }
 
-    /// A server has left. It doesn't tell which incarnation of it: the one that this replica heard
-    /// last, or else every one that started before now. A call that was held up while the server
-    /// started again must not take the new one away.
+    /// Records the departure of a server that doesn't state its incarnation: of the incarnation
+    /// last observed by this replica, or else of all that started before now. A delayed call must
+    /// not remove an incarnation that started in the meantime.
     ///
     /// # Errors
-    /// Fails when no quorum records it in time.
+    /// Fails if no quorum commits the departure in time.
     pub async fn leave(&self, name: InstanceName) -> Result<(), Refusal> {
         let now = || StartTime::from_unix_ms(unix_millis());
-        let started = self.board.start_of(&name).unwrap_or_else(now);
+        let started = self.instance_publisher.start_of(&name).unwrap_or_else(now);
         self.depart(&InstanceId::started_at(name, started), "left").await
     }
 
-    async fn depart(&self, id: &InstanceId, word: &str) -> Result<(), Refusal> {
+    async fn depart(&self, id: &InstanceId, cause: &str) -> Result<(), Refusal> {
         if self.view.fleet.borrow().has_departed(id) {
             return Ok(());
         }
@@ -131,14 +131,14 @@
         let command = Command::Depart { instance, through, at: unix_seconds() };
         self.write("departure", command).await?;
         let started = id.started().unix_ms();
-        log::info!("event=departure_recorded instance={id} started={started} word={word}");
+        log::info!("event=departure_recorded instance={id} started={started} word={cause}");
         Ok(())
     }
 
-    /// Names the version of weights that a model should have.
+    /// Sets the target version of a model's weights.
     ///
     /// # Errors
-    /// Fails when no quorum takes it in time.
+    /// Fails if no quorum commits the version in time.
     pub async fn name_weights(&self, model: String, version: u64) -> Result<(), Refusal> {
         let command = Command::NameWeights { model: model.clone(), version };
         self.write("weights", command).await?;
@@ -146,10 +146,10 @@
         Ok(())
     }
 
-    /// Makes `node` the one that gives orders.
+    /// Grants the lease of the order dispatcher to `node`.
     ///
     /// # Errors
-    /// Fails when no quorum takes it in time.
+    /// Fails if no quorum commits the lease in time.
     pub async fn take_order_lease(
         &self,
         node: NodeId,
@@ -160,27 +160,27 @@
         }
     }
 
-    /// Tells those who follow this replica which servers are being renewed.
+    /// Publishes the rollout state to subscribers of this replica.
     pub fn announce(&self, latest: Renewals) {
-        self.board.announce(latest);
+        self.instance_publisher.set_renewals(latest);
     }
 
-    /// Tells routers that follow a few replicas what all replicas know of servers and renewals, as
-    /// this node has heard from them.
+    /// Publishes servers and rollout state of the whole fleet, as known to this node, to routers
+    /// subscribed to a few replicas only.
     pub fn publish_fleet(&self, servers: &InstanceMap, renewals: Renewals) {
-        self.fleet_board.publish(servers, renewals);
+        self.fleet_publisher.publish(servers, renewals);
     }
 
-    /// What the replica publishes.
+    /// Published state of the replica.
     pub fn view(&self) -> &ReplicaView {
         &self.view
     }
 
     async fn write(&self, what: &str, command: Command) -> Result<Answer, Refusal> {
-        let written = self.group.write(&command).await;
-        if let Err(refusal) = &written {
+        let result = self.group.write(&command).await;
+        if let Err(refusal) = &result {
             log::warn!("event=write_failed what={what} reason=\"{refusal}\"");
         }
-        written
+        result
     }
 }
--- a/crates/control/src/fleet_board.rs
+++ b/crates/control/src/fleet_publisher.rs
@@ -1,7 +1,7 @@
-//! What all replicas together know of servers, as this replica has heard, for routers that follow a
-//! few replicas.
+//! Servers observed by any replica, published to routers that are subscribed to a few replicas only.
 //!
-//! Changes are gathered by whoever calls [`FleetBoard::publish`] and encoded once for all followers.
+//! The caller of [`FleetPublisher::publish`] batches changes; each batch is encoded once for all
+//! subscribers.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -13,33 +13,33 @@
 };
 use tokio::sync::watch;
 
-use crate::instances::InstanceBoard;
-use crate::renewals::{RenewalLog, Renewals, SharedFrame};
+use crate::instances::InstancePublisher;
+use crate::renewal_log::{RenewalLog, Renewals, SharedFrame};
 
-/// Changes that are kept for followers; one that is further behind gets everything. They are some
-/// seconds of a rollout.
+/// Maximum number of stored changes, some seconds' worth during a rollout; subscribers further
+/// behind get the complete state.
 const MAX_CHANGES: usize = 64;
 
-/// What all replicas know of servers, as a series of changes.
+/// Log of changes of the servers observed by any replica.
 #[derive(Debug, Default)]
 pub struct FleetLog {
     latest: InstanceMap,
-    /// Number of the latest change.
+    /// Revision of the latest change.
     revision: u64,
-    /// The latest changes, encoded, the oldest first.
+    /// Latest changes, encoded, oldest first.
     changes: VecDeque<SharedFrame>,
-    /// Everything, encoded, with the number of the change that it is as of.
-    whole: Option<(u64, SharedFrame)>,
+    /// Complete state, encoded, with its revision.
+    complete: Option<(u64, SharedFrame)>,
 }
 
 impl FleetLog {
-    /// Takes over what is known now. Returns the number of the latest change.
+    /// Records the latest state. Returns the latest revision.
     pub fn publish(&mut self, latest: &InstanceMap) -> u64 {
         let changes = latest.changes_from(&self.latest);
         if changes != InstanceChanges::default() {
             self.latest = latest.clone();
             self.revision += 1;
-            self.changes.push_back(frame(&changes.changed, false, changes.removed));
+            self.changes.push_back(encode_frame(&changes.changed, false, changes.removed));
             if self.changes.len() > MAX_CHANGES {
                 self.changes.pop_front();
             }
@@ -47,32 +47,32 @@
         self.revision
     }
 
-    /// What a follower that has everything up to `sent` has to be told, with the number of the
-    /// latest change.
+    /// Returns the latest revision and the messages that bring a subscriber up to date from
+    /// revision `sent`.
     pub fn frames_after(&mut self, sent: Option<u64>) -> (u64, Vec<SharedFrame>) {
         let missing = sent.and_then(|sent| self.revision.checked_sub(sent));
         let missing = missing.and_then(|missing| usize::try_from(missing).ok());
         let frames = match missing.filter(|missing| *missing <= self.changes.len()) {
             Some(missing) => self.changes.iter().rev().take(missing).rev().cloned().collect(),
-            None => vec![self.whole()],
+            None => vec![self.complete_frame()],
         };
         (self.revision, frames)
     }
 
-    /// Everything in one message: a follower that took it in by parts would know few servers until
-    /// the last part has come.
-    fn whole(&mut self) -> SharedFrame {
-        let known = self.whole.as_ref().filter(|(revision, _)| *revision == self.revision);
+    /// Returns the complete state in a single message: after the first of several, a subscriber would
+    /// take a part of the servers for all of them.
+    fn complete_frame(&mut self) -> SharedFrame {
+        let known = self.complete.as_ref().filter(|(revision, _)| *revision == self.revision);
         if let Some((_, frame)) = known {
             return Arc::clone(frame);
         }
-        let whole = frame(self.latest.iter(), true, Vec::new());
-        self.whole = Some((self.revision, Arc::clone(&whole)));
-        whole
+        let complete = encode_frame(self.latest.iter(), true, Vec::new());
+        self.complete = Some((self.revision, Arc::clone(&complete)));
+        complete
     }
 }
 
-fn frame<'a>(
+fn encode_frame<'a>(
     servers: impl IntoIterator<Item = &'a Arc<Instance>>,
     is_complete: bool,
     removed: Vec<InstanceName>,
@@ -86,25 +86,26 @@
     Arc::new(encode(&Message::Push(Push::Instances { observed, is_complete, removed })))
 }
 
-/// What this replica tells of servers: what it has heard itself, and what all replicas know.
+/// Publishers of servers.
 #[derive(Clone, Default)]
-pub struct ServerBoards {
-    /// What it has heard itself.
-    pub heard: Arc<InstanceBoard>,
-    /// What all replicas know, as this one has heard.
-    pub fleet: Arc<FleetBoard>,
+pub struct ServerPublishers {
+    /// Servers observed by this replica.
+    pub observed: Arc<InstancePublisher>,
+    /// Servers observed by any replica, as known to this one.
+    pub fleet: Arc<FleetPublisher>,
 }
 
-/// What all replicas know of servers and renewals, and numbers that tell of changes.
-pub struct FleetBoard {
+/// Servers and rollout state of the whole fleet, published to subscribers.
+pub struct FleetPublisher {
     servers: Mutex<FleetLog>,
     renewals: Mutex<RenewalLog>,
+    /// Latest published revisions of the servers and of the rollout state.
     published: watch::Sender<(u64, u64)>,
 }
 
-impl Default for FleetBoard {
+impl Default for FleetPublisher {
     fn default() -> Self {
-        FleetBoard {
+        FleetPublisher {
             servers: Mutex::default(),
             renewals: Mutex::default(),
             published: watch::Sender::new((0, 0)),
@@ -112,13 +113,13 @@
     }
 }
 
-impl FleetBoard {
-    /// Takes over what is known now.
+impl FleetPublisher {
+    /// Publishes the latest state.
     pub fn publish(&self, servers: &InstanceMap, renewals: Renewals) {
         let servers = self.servers().publish(servers);
         let renewals = {
             let mut log = self.renewals();
-            log.announce(renewals);
+            log.set_latest(renewals);
             log.publish()
         };
         self.published.send_if_modified(|known| {
@@ -126,17 +127,17 @@
         });
     }
 
-    /// What is told of servers.
+    /// Locks the log of server changes.
     pub fn servers(&self) -> MutexGuard<'_, FleetLog> {
         self.servers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What is told of renewals.
+    /// Locks the log of rollout changes.
     pub fn renewals(&self) -> MutexGuard<'_, RenewalLog> {
         self.renewals.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Tells of changes.
+    /// Subscribes to the published revisions of servers and rollout state.
     pub fn watch(&self) -> watch::Receiver<(u64, u64)> {
         self.published.subscribe()
     }
--- a/crates/control/src/instances.rs
+++ b/crates/control/src/instances.rs
@@ -1,4 +1,4 @@
-//! The servers that send their heartbeats to this replica.
+//! Servers observed by this replica through their heartbeats.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -10,71 +10,71 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::{MissedTickBehavior, interval, sleep};
 
-use crate::renewals::{RenewalLog, Renewals, SharedFrame};
+use crate::renewal_log::{RenewalLog, Renewals, SharedFrame};
 
-/// Silence after which a server counts as gone. Heartbeats come about every
-/// second and may be late by some.
+/// Time without a heartbeat after which a server is considered silent. Servers send a heartbeat
+/// about once a second.
 const SILENT_AFTER: Duration = Duration::from_secs(6);
 
-/// Pace at which silence is looked for.
+/// Interval between checks for silent servers.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Shortest time between two pushes to the nodes that follow this replica. While weights are
-/// rolled out, dozens of servers change each second; hundreds of nodes are told of each change.
+/// Minimum interval between publications. During a rollout, dozens of servers change each second,
+/// and each publication goes to hundreds of subscribers.
 const PUBLISH_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time after which a push is encoded anew, since it tells how long servers have lived.
-const FRAME_AGE: Duration = Duration::from_millis(500);
+/// Maximum age of a cached push, which contains the ages of servers.
+const MAX_FRAME_AGE: Duration = Duration::from_millis(500);
 
-/// An encoded push of what changed between two numbers.
+/// Encoded push of the changes between two revisions.
 #[derive(Debug)]
 struct InstanceFrame {
     after: Option<u64>,
     up_to: u64,
     payload: SharedFrame,
-    made_at: Instant,
+    encoded_at: Instant,
 }
 
-/// What this replica heard, and numbers that tell of changes.
-pub struct InstanceBoard {
+/// Servers observed by this replica and its rollout state, published to subscribers.
+pub struct InstancePublisher {
     started: Instant,
-    heard: Mutex<HeardInstances>,
+    observed: Mutex<HeardInstances>,
     renewals: Mutex<RenewalLog>,
-    /// Something is to be published.
+    /// Notified when there are changes to publish.
     wake: Notify,
-    /// Number of the latest change of servers that is published.
+    /// Latest published revision of the servers.
     instances_published: watch::Sender<u64>,
-    /// Number of the latest change of renewals that is published.
+    /// Latest published revision of the rollout state.
     renewals_published: watch::Sender<u64>,
-    /// The latest push of servers: most followers have the same behind them.
-    frame: Mutex<Option<InstanceFrame>>,
+    /// Latest encoded push of servers, cached because most subscribers need the same one.
+    cached_frame: Mutex<Option<InstanceFrame>>,
 }
 
-impl Default for InstanceBoard {
+impl Default for InstancePublisher {
     fn default() -> Self {
-        InstanceBoard {
+        InstancePublisher {
             started: Instant::now(),
-            heard: Mutex::new(HeardInstances::new(SILENT_AFTER)),
+            observed: Mutex::new(HeardInstances::new(SILENT_AFTER)),
             renewals: Mutex::default(),
             wake: Notify::new(),
             instances_published: watch::Sender::new(0),
             renewals_published: watch::Sender::new(0),
-            frame: Mutex::new(None),
+            cached_frame: Mutex::new(None),
         }
     }
 }
 
-impl InstanceBoard {
+impl InstancePublisher {
     fn lock(&self) -> MutexGuard<'_, HeardInstances> {
-        self.heard.lock().unwrap_or_else(PoisonError::into_inner)
+        self.observed.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn now(&self) -> Timestamp {
         Timestamp::ZERO.after(self.started.elapsed())
     }
 
-    /// Takes a heartbeat in.
-    pub fn hear(&self, report: InstanceReport) -> Intake {
+    /// Records a heartbeat.
+    pub fn observe(&self, report: InstanceReport) -> Intake {
         let described = format!(
             "instance={} started={} service={} address={} zone={} state={:?} models={:?} sequence={}",
             report.name,
@@ -83,7 +83,7 @@
             report.address,
             report.zone,
             report.state,
-            report.models.iter().map(|held| held.version).collect::<Vec<_>>(),
+            report.models.iter().map(|model| model.version).collect::<Vec<_>>(),
             report.sequence
         );
         let intake = self.lock().hear(report, self.now());
@@ -103,59 +103,61 @@
         intake
     }
 
-    /// When the incarnation started that this replica heard last under a name, if it tells.
+    /// Start time of the incarnation last observed under a name, if it reports one.
     pub fn start_of(&self, name: &InstanceName) -> Option<StartTime> {
         self.lock().start_of(name)
     }
 
-    /// A push of what changed after `after`, or of everything, with the number of the latest
-    /// change.
+    /// Returns the latest revision and a push of the changes after revision `after`, or of all
+    /// servers.
     pub fn instances_after(&self, after: Option<u64>) -> (u64, SharedFrame) {
-        let mut frame = self.frame.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut cached = self.cached_frame.lock().unwrap_or_else(PoisonError::into_inner);
         let (up_to, observed) = {
-            let heard = self.lock();
-            let up_to = heard.revision();
+            let instances = self.lock();
+            let up_to = instances.revision();
             let is_same = |known: &&InstanceFrame| {
-                known.after == after && known.up_to == up_to && known.made_at.elapsed() < FRAME_AGE
+                known.after == after
+                    && known.up_to == up_to
+                    && known.encoded_at.elapsed() < MAX_FRAME_AGE
             };
-            let same = frame.as_ref().filter(is_same);
+            let same = cached.as_ref().filter(is_same);
             if let Some(known) = same {
                 return (up_to, Arc::clone(&known.payload));
             }
-            (up_to, heard.changes_after(after.unwrap_or(0), self.now()))
+            (up_to, instances.changes_after(after.unwrap_or(0), self.now()))
         };
         let push = Push::Instances { observed, is_complete: after.is_none(), removed: Vec::new() };
         let payload = Arc::new(encode(&Message::Push(push)));
-        let made_at = Instant::now();
-        *frame = Some(InstanceFrame { after, up_to, payload: Arc::clone(&payload), made_at });
+        let encoded_at = Instant::now();
+        *cached = Some(InstanceFrame { after, up_to, payload: Arc::clone(&payload), encoded_at });
         (up_to, payload)
     }
 
-    /// Notes which servers are being renewed, for those who follow this replica.
-    pub fn announce(&self, latest: Renewals) {
-        if self.renewals().announce(latest) {
+    /// Sets the rollout state to publish to subscribers of this replica.
+    pub fn set_renewals(&self, latest: Renewals) {
+        if self.renewals().set_latest(latest) {
             self.wake.notify_one();
         }
     }
 
-    /// What is told of renewals.
+    /// Locks the log of rollout changes.
     pub fn renewals(&self) -> MutexGuard<'_, RenewalLog> {
         self.renewals.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Tells of changes of servers.
+    /// Subscribes to the published revision of the servers.
     pub fn watch_instances(&self) -> watch::Receiver<u64> {
         self.instances_published.subscribe()
     }
 
-    /// Tells of changes of renewals.
+    /// Subscribes to the published revision of the rollout state.
     pub fn watch_renewals(&self) -> watch::Receiver<u64> {
         self.renewals_published.subscribe()
     }
 
-    /// Publishes what has changed, for ever: the first change at once, what follows it within
+    /// Publishes changes until cancelled: the first change at once, all that follow within
     /// `PUBLISH_INTERVAL` together.
-    pub async fn keep_publishing(&self) {
+    pub async fn run_publishing(&self) {
         loop {
             self.wake.notified().await;
             let instances = self.lock().revision();
@@ -166,9 +168,9 @@
         }
     }
 
-    fn expire(&self) {
-        let mut heard = self.lock();
-        let expired = heard.expire(self.now());
+    fn expire_silent(&self) {
+        let mut instances = self.lock();
+        let expired = instances.expire(self.now());
         for id in &expired {
             log::warn!("event=instance_silent instance={id} after_ms={}", SILENT_AFTER.as_millis());
         }
@@ -177,13 +179,13 @@
         }
     }
 
-    /// Looks for silent servers, for ever.
-    pub async fn keep_expiring(&self) {
+    /// Expires silent servers until cancelled.
+    pub async fn run_expiry(&self) {
         let mut ticks = interval(EXPIRY_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
-            self.expire();
+            self.expire_silent();
         }
     }
 }
--- a/crates/control/src/internal/follower.rs
+++ b/crates/control/src/internal/follower.rs
@@ -1,5 +1,4 @@
-//! Pushes what the fleet of generic services agrees on, and the servers that
-//! this replica hears of, to one node.
+//! Pushes of fleet state, servers and rollout state to one subscribed node.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -10,185 +9,190 @@
 use juniper_types::{NodeId, ZoneName};
 use tokio::sync::watch;
 
-use super::InternalFace;
+use super::InternalApi;
 use super::session::{Outgoing, OutgoingSender, Peer};
-use crate::renewals::SharedFrame;
+use crate::renewal_log::SharedFrame;
 
-/// Replicas that a router follows where it follows a few; `juniper_feed::FOLLOWED`.
-const FOLLOWED_BY_ROUTERS: usize = 3;
+/// Number of replicas that a router subscribes to if not to all; equals `juniper_feed::FOLLOWED`.
+const FOLLOWED_REPLICAS: usize = 3;
 
-/// The session ended, or the replica stopped.
-struct Ended;
+/// Marker that the session has ended or the replica has stopped.
+struct SessionEnded;
 
-/// Counts a router until it is dropped.
-struct Counted(Arc<AtomicU32>);
+/// Guard that counts a router until dropped.
+struct RouterCountGuard(Arc<AtomicU32>);
 
-impl Counted {
+impl RouterCountGuard {
     fn new(count: &Arc<AtomicU32>) -> Self {
         count.fetch_add(1, Ordering::Relaxed);
-        Counted(Arc::clone(count))
+        RouterCountGuard(Arc::clone(count))
     }
 }
 
-impl Drop for Counted {
+impl Drop for RouterCountGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// What a follower asked for.
+/// Scope of a subscription.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum FollowedPart {
-    /// What this replica has heard itself.
-    Own,
-    /// What all replicas know, servers too if they are wanted.
+pub(super) enum FollowScope {
+    /// Servers and rollout state of this replica.
+    Replica,
+    /// Rollout state of the whole fleet, and the servers observed by any replica if requested.
     Fleet { servers: bool },
 }
 
-impl FollowedPart {
-    /// What a call asks to be pushed, if it does.
-    pub(super) fn asked_by(request: &Request) -> Option<Self> {
+impl FollowScope {
+    /// Scope requested by a call, if the call is a subscription.
+    pub(super) fn from_request(request: &Request) -> Option<Self> {
         match request {
-            Request::Follow => Some(FollowedPart::Own),
-            Request::FollowFleet { servers } => Some(FollowedPart::Fleet { servers: *servers }),
+            Request::Follow => Some(FollowScope::Replica),
+            Request::FollowFleet { servers } => Some(FollowScope::Fleet { servers: *servers }),
             _ => None,
         }
     }
 }
 
-/// Pushes until the session ends.
+/// Pushes updates until the session ends.
 pub(super) async fn run(
-    face: Arc<InternalFace>,
+    api: Arc<InternalApi>,
     peer: Peer,
     sender: OutgoingSender,
-    parts: watch::Receiver<FollowedPart>,
+    scopes: watch::Receiver<FollowScope>,
 ) {
     let is_router = peer.identity.role == PeerRole::Router;
-    let part = *parts.borrow();
-    let counted = is_router.then(|| Counted::new(counter(&face, part)));
+    let scope = *scopes.borrow();
+    let count_guard = is_router.then(|| RouterCountGuard::new(router_counter(&api, scope)));
     let follower = Follower {
-        face,
+        api,
         sender,
-        parts,
-        part,
-        counted,
+        scopes,
+        scope,
+        count_guard,
         fleet: None,
         instances: None,
         renewals: None,
     };
-    let Err(Ended) = follower.push_for_ever().await;
+    let Err(SessionEnded) = follower.push_until_ended().await;
 }
 
-/// Where a router that follows a part is counted.
-fn counter(face: &InternalFace, part: FollowedPart) -> &Arc<AtomicU32> {
-    match part {
-        FollowedPart::Own => &face.following_routers,
-        FollowedPart::Fleet { .. } => &face.sharing_routers,
+/// Counter of the routers subscribed with `scope`.
+fn router_counter(api: &InternalApi, scope: FollowScope) -> &Arc<AtomicU32> {
+    match scope {
+        FollowScope::Replica => &api.full_followers,
+        FollowScope::Fleet { .. } => &api.partial_followers,
     }
 }
 
-/// What the node was sent last.
+/// Fleet state last sent to the node.
 struct SentFleet {
     revision: u64,
     members: Vec<(NodeId, ZoneName)>,
+    /// Total number of departures up to then.
     departures: u64,
+    /// Number of quarantine changes up to then.
     quarantine: u64,
 }
 
 struct Follower {
-    face: Arc<InternalFace>,
+    api: Arc<InternalApi>,
     sender: OutgoingSender,
-    parts: watch::Receiver<FollowedPart>,
-    part: FollowedPart,
-    /// Counts the node while it follows, if it is a router.
-    counted: Option<Counted>,
+    scopes: watch::Receiver<FollowScope>,
+    scope: FollowScope,
+    /// Counts the node while subscribed; `None` unless the node is a router.
+    count_guard: Option<RouterCountGuard>,
     fleet: Option<SentFleet>,
-    /// Number of the latest change of servers that was sent.
+    /// Latest revision of the servers sent.
     instances: Option<u64>,
-    /// Number of the latest change of renewals that was sent.
+    /// Latest revision of the rollout state sent.
     renewals: Option<u64>,
 }
 
 impl Follower {
-    async fn push_for_ever(mut self) -> Result<std::convert::Infallible, Ended> {
-        let mut fleet = self.face.view.fleet.clone();
-        let mut status = self.face.view.status.clone();
-        let mut instances = self.face.board.watch_instances();
-        let mut renewals = self.face.board.watch_renewals();
-        let mut known = self.face.fleet_board.watch();
+    async fn push_until_ended(mut self) -> Result<std::convert::Infallible, SessionEnded> {
+        let mut fleet = self.api.view.fleet.clone();
+        let mut status = self.api.view.status.clone();
+        let mut instances = self.api.instance_publisher.watch_instances();
+        let mut renewals = self.api.instance_publisher.watch_renewals();
+        let mut fleet_published = self.api.fleet_publisher.watch();
         loop {
-            // Marked as seen before they are read, so that no change is missed.
+            // Mark changes as seen before reading the state, so that none is missed.
             fleet.mark_unchanged();
             status.mark_unchanged();
             instances.mark_unchanged();
             renewals.mark_unchanged();
-            known.mark_unchanged();
-            self.take_part();
+            fleet_published.mark_unchanged();
+            self.apply_scope();
             self.push_fleet().await?;
             self.push_instances().await?;
             self.push_renewals().await?;
-            let is_own = self.part == FollowedPart::Own;
+            let is_replica_scope = self.scope == FollowScope::Replica;
             tokio::select! {
-                changed = fleet.changed() => changed.map_err(|_| Ended)?,
-                changed = status.changed() => changed.map_err(|_| Ended)?,
-                changed = self.parts.changed() => changed.map_err(|_| Ended)?,
-                changed = instances.changed(), if is_own => changed.map_err(|_| Ended)?,
-                changed = renewals.changed(), if is_own => changed.map_err(|_| Ended)?,
-                changed = known.changed(), if !is_own => changed.map_err(|_| Ended)?,
+                changed = fleet.changed() => changed.map_err(|_| SessionEnded)?,
+                changed = status.changed() => changed.map_err(|_| SessionEnded)?,
+                changed = self.scopes.changed() => changed.map_err(|_| SessionEnded)?,
+                changed = instances.changed(), if is_replica_scope => changed.map_err(|_| SessionEnded)?,
+                changed = renewals.changed(), if is_replica_scope => changed.map_err(|_| SessionEnded)?,
+                changed = fleet_published.changed(), if !is_replica_scope => changed.map_err(|_| SessionEnded)?,
             }
         }
     }
 
-    /// Takes over what the node asks for now. What it was sent of another part counts for nothing.
-    fn take_part(&mut self) {
-        let part = *self.parts.borrow_and_update();
-        if part == self.part {
+    /// Applies the scope that the node requested last. Revisions sent in another scope are reset.
+    fn apply_scope(&mut self) {
+        let scope = *self.scopes.borrow_and_update();
+        if scope == self.scope {
             return;
         }
-        let is_other_kind = (self.part == FollowedPart::Own) != (part == FollowedPart::Own);
-        self.part = part;
+        let is_other_kind = (self.scope == FollowScope::Replica) != (scope == FollowScope::Replica);
+        self.scope = scope;
         self.instances = None;
         if is_other_kind {
             self.renewals = None;
-            let face = &self.face;
-            self.counted = self.counted.as_ref().map(|_| Counted::new(counter(face, part)));
+            let api = &self.api;
+            self.count_guard = self
+                .count_guard
+                .as_ref()
+                .map(|_| RouterCountGuard::new(router_counter(api, scope)));
         }
     }
 
-    async fn push_fleet(&mut self) -> Result<(), Ended> {
-        let state = Arc::clone(&self.face.view.fleet.borrow());
+    async fn push_fleet(&mut self) -> Result<(), SessionEnded> {
+        let state = Arc::clone(&self.api.view.fleet.borrow());
         let members = self.members();
         let sent = self.fleet.as_ref();
         if sent.is_some_and(|sent| sent.revision == state.revision() && sent.members == members) {
             return Ok(());
         }
-        let news = news_after(&state, sent, members.clone());
+        let update = update_since(&state, sent, members.clone());
         let (revision, departures) = (state.revision(), state.departures().total());
         let quarantine = state.quarantine().changes();
         self.fleet = Some(SentFleet { revision, members, departures, quarantine });
-        self.send(Push::Fleet(news)).await
+        self.send(Push::Fleet(update)).await
     }
 
     fn members(&self) -> Vec<(NodeId, ZoneName)> {
-        let status = self.face.view.status.borrow();
+        let status = self.api.view.status.borrow();
         let members = status.membership.members.iter();
         members.map(|member| (member.id.node, member.zone.clone())).collect()
     }
 
-    async fn push_instances(&mut self) -> Result<(), Ended> {
-        let (revision, frames) = match self.part {
-            FollowedPart::Own => return self.push_own_instances().await,
-            FollowedPart::Fleet { servers: false } => return Ok(()),
-            FollowedPart::Fleet { servers: true } => {
-                self.face.fleet_board.servers().frames_after(self.instances)
+    async fn push_instances(&mut self) -> Result<(), SessionEnded> {
+        let (revision, frames) = match self.scope {
+            FollowScope::Replica => return self.push_replica_instances().await,
+            FollowScope::Fleet { servers: false } => return Ok(()),
+            FollowScope::Fleet { servers: true } => {
+                self.api.fleet_publisher.servers().frames_after(self.instances)
             }
         };
         self.instances = Some(revision);
         self.send_all(frames).await
     }
 
-    async fn push_own_instances(&mut self) -> Result<(), Ended> {
-        let (revision, frame) = self.face.board.instances_after(self.instances);
+    async fn push_replica_instances(&mut self) -> Result<(), SessionEnded> {
+        let (revision, frame) = self.api.instance_publisher.instances_after(self.instances);
         if self.instances == Some(revision) {
             return Ok(());
         }
@@ -196,34 +200,37 @@
         self.send_encoded(frame).await
     }
 
-    async fn push_renewals(&mut self) -> Result<(), Ended> {
-        let (revision, frames) = match self.part {
-            FollowedPart::Own => self.face.board.renewals().frames_after(self.renewals),
-            FollowedPart::Fleet { .. } => {
-                self.face.fleet_board.renewals().frames_after(self.renewals)
+    async fn push_renewals(&mut self) -> Result<(), SessionEnded> {
+        let (revision, frames) = match self.scope {
+            FollowScope::Replica => {
+                self.api.instance_publisher.renewals().frames_after(self.renewals)
+            }
+            FollowScope::Fleet { .. } => {
+                self.api.fleet_publisher.renewals().frames_after(self.renewals)
             }
         };
         self.renewals = Some(revision);
         self.send_all(frames).await
     }
 
-    async fn send_all(&self, frames: Vec<SharedFrame>) -> Result<(), Ended> {
+    async fn send_all(&self, frames: Vec<SharedFrame>) -> Result<(), SessionEnded> {
         for frame in frames {
             self.send_encoded(frame).await?;
         }
         Ok(())
     }
 
-    async fn send_encoded(&self, frame: SharedFrame) -> Result<(), Ended> {
-        self.sender.send(Outgoing::encoded(frame)).await.map_err(|_| Ended)
+    async fn send_encoded(&self, frame: SharedFrame) -> Result<(), SessionEnded> {
+        self.sender.send(Outgoing::encoded(frame)).await.map_err(|_| SessionEnded)
     }
 
-    async fn send(&self, push: Push) -> Result<(), Ended> {
-        self.sender.send(Outgoing::message(&Message::Push(push))).await.map_err(|_| Ended)
+    async fn send(&self, push: Push) -> Result<(), SessionEnded> {
+        self.sender.send(Outgoing::message(&Message::Push(push))).await.map_err(|_| SessionEnded)
     }
 }
 
-fn news_after(
+/// Builds the update from the state last sent to `state`; complete if nothing was sent.
+fn update_since(
     state: &FleetState,
     sent: Option<&SentFleet>,
     members: Vec<(NodeId, ZoneName)>,
@@ -241,12 +248,12 @@
         departed_through,
         member_zones,
         members,
-        quarantine: quarantine_after(state, sent.map(|sent| sent.quarantine)),
+        quarantine: quarantine_since(state, sent.map(|sent| sent.quarantine)),
     }
 }
 
-/// What has changed of the quarantine since `sent`; everything for a follower that was sent nothing.
-fn quarantine_after(state: &FleetState, sent: Option<u64>) -> Option<QuarantineUpdate> {
+/// Builds the update of quarantined requests since change `sent`; complete if nothing was sent.
+fn quarantine_since(state: &FleetState, sent: Option<u64>) -> Option<QuarantineUpdate> {
     let quarantine = state.quarantine();
     if sent == Some(quarantine.changes()) {
         return None;
@@ -255,33 +262,34 @@
     Some(QuarantineUpdate { is_complete: is_whole, added, released })
 }
 
-/// The configuration in force, for who has an older one.
-pub(super) fn catalog(face: &InternalFace, above: u64) -> Reply {
-    let state = Arc::clone(&face.view.fleet.borrow());
+/// Replies with the configuration in force if its version is above `above`.
+pub(super) fn catalog_reply(api: &InternalApi, above: u64) -> Reply {
+    let state = Arc::clone(&api.view.fleet.borrow());
     let newer = state.catalog().filter(|catalog| catalog.version > above);
     Reply::Catalog(
         newer.map(|catalog| CatalogBody { version: catalog.version, body: catalog.body.clone() }),
     )
 }
 
-/// How current this replica is.
-pub(super) fn confirmed(face: &InternalFace) -> Reply {
-    let confirmed_at = *face.view.confirmed_at.borrow();
+/// Replies with the freshness of this replica's state.
+pub(super) fn confirmation_reply(api: &InternalApi) -> Reply {
+    let confirmed_at = *api.view.confirmed_at.borrow();
     let Some(confirmed_at) = confirmed_at else {
         return Reply::Refused(juniper_protocol::Refusal::NoQuorum);
     };
     let age_ms = u64::try_from(confirmed_at.elapsed().as_millis()).unwrap_or(u64::MAX);
-    // Read after the time: what was confirmed then is in it.
-    let revision = face.view.fleet.borrow().revision();
-    Reply::Confirmed { age_ms, revision, routers: routers(face) }
+    // Read after the confirmation time, so that the revision covers what was confirmed then.
+    let revision = api.view.fleet.borrow().revision();
+    Reply::Confirmed { age_ms, revision, routers: estimate_routers(api) }
 }
 
-/// Routers of the fleet: those that follow all replicas, and an estimate of those that follow a few.
-/// They are spread over the replicas evenly but for chance; a router takes the highest of the
-/// estimates that it hears, so it errs towards a smaller part of what all of them share.
-fn routers(face: &InternalFace) -> u32 {
-    let members = face.view.status.borrow().membership.members.len();
-    let sharing = f64::from(face.sharing_routers.load(Ordering::Relaxed));
-    let estimate = sharing * members as f64 / FOLLOWED_BY_ROUTERS as f64;
-    face.following_routers.load(Ordering::Relaxed) + estimate.ceil() as u32
+/// Estimates the number of routers in the fleet: those subscribed to all replicas, plus those
+/// subscribed to a few, extrapolated from this replica. A router uses the highest estimate of its
+/// replicas, so that random imbalance makes its share of a common budget too small rather than too
+/// large.
+fn estimate_routers(api: &InternalApi) -> u32 {
+    let members = api.view.status.borrow().membership.members.len();
+    let partial = f64::from(api.partial_followers.load(Ordering::Relaxed));
+    let estimate = partial * members as f64 / FOLLOWED_REPLICAS as f64;
+    api.full_followers.load(Ordering::Relaxed) + estimate.ceil() as u32
 }
--- a/crates/control/src/internal/mod.rs
+++ b/crates/control/src/internal/mod.rs
@@ -1,9 +1,9 @@
-//! The face for other daemons: authenticated connections with calls and pushes.
+//! Internal API for other daemons: calls and pushes over authenticated connections.
 
 mod calls;
 mod follower;
-mod listener;
 mod quarantine;
+mod router_updates;
 mod session;
 mod subscriber;
 
@@ -17,88 +17,88 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Semaphore;
 
-use crate::fleet_board::{FleetBoard, ServerBoards};
-use crate::forward::Group;
-use crate::instances::InstanceBoard;
+use crate::fleet_publisher::{FleetPublisher, ServerPublishers};
+use crate::instances::InstancePublisher;
 use crate::limits::OwnedLimits;
 use crate::metrics::Metrics;
-use crate::relay::NewsRelay;
+use crate::node_reports::NodeReports;
+use crate::relay::UpdateRelay;
 use crate::replica::{ReplicaHandle, ReplicaView};
-use crate::reports::NodeReports;
+use crate::replica_group::ReplicaGroup;
 
-/// Pause after the listener failed, for example for want of file descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+/// Delay before accepting again after an error, such as a lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Snapshots on their way to subscribers at once; each may be megabytes.
-const MAX_SNAPSHOTS_AT_ONCE: usize = 8;
+/// Maximum number of snapshots in flight to subscribers; each may have several megabytes.
+const MAX_CONCURRENT_SNAPSHOTS: usize = 8;
 
-/// What every session needs.
-pub struct InternalFace {
-    /// Who this replica is.
+/// Internal API, shared by all sessions.
+pub struct InternalApi {
+    /// Identity of this replica.
     pub own: PeerIdentity,
     /// Secret shared by the daemons.
     pub key: ClusterKey,
-    /// The replica.
+    /// Local replica.
     pub replica: ReplicaHandle,
-    /// All replicas, through this one.
-    pub group: Group,
-    /// What subscribers see.
+    /// Group of all replicas.
+    pub group: ReplicaGroup,
+    /// Published state of the replica.
     pub view: ReplicaView,
-    /// What nodes have in force.
+    /// Settings revisions reported by nodes.
     pub reports: Arc<NodeReports>,
-    /// Servers that this replica hears of.
-    pub board: Arc<InstanceBoard>,
-    /// What all replicas know of servers, as this one has heard.
-    pub fleet_board: Arc<FleetBoard>,
-    /// What routers tell each other.
-    pub relay: Arc<NewsRelay>,
-    /// Limits of tenants that this replica owns.
+    /// Servers observed by this replica.
+    pub instance_publisher: Arc<InstancePublisher>,
+    /// Servers observed by any replica, as known to this one.
+    pub fleet_publisher: Arc<FleetPublisher>,
+    /// Relay of router updates.
+    pub relay: Arc<UpdateRelay>,
+    /// Limits owned by this replica.
     pub limits: OwnedLimits,
-    /// Counters.
+    /// Metrics of the daemon.
     pub metrics: Arc<Metrics>,
-    /// Routers that follow this replica and all others.
-    pub following_routers: Arc<AtomicU32>,
-    /// Routers that follow this replica and a few others.
-    pub sharing_routers: Arc<AtomicU32>,
+    /// Number of connected routers that are subscribed to all replicas.
+    pub full_followers: Arc<AtomicU32>,
+    /// Number of connected routers that are subscribed to a few replicas only.
+    pub partial_followers: Arc<AtomicU32>,
     snapshots: Arc<Semaphore>,
     connections: Arc<Semaphore>,
     handshakes: Arc<Semaphore>,
 }
 
-impl InternalFace {
-    /// Makes the face with its bounds.
+impl InternalApi {
+    /// Creates the API with the given limits on connections and handshakes.
     pub fn new(
         own: PeerIdentity,
         key: ClusterKey,
-        (replica, group): (ReplicaHandle, Group),
+        (replica, group): (ReplicaHandle, ReplicaGroup),
         view: ReplicaView,
-        shared: (Arc<NodeReports>, ServerBoards, Arc<NewsRelay>, Arc<Metrics>),
+        shared: (Arc<NodeReports>, ServerPublishers, Arc<UpdateRelay>, Arc<Metrics>),
         limits: &ControlLimits,
     ) -> Self {
-        let (reports, boards, relay, metrics) = shared;
-        let ServerBoards { heard: board, fleet: fleet_board } = boards;
-        InternalFace {
+        let (reports, publishers, relay, metrics) = shared;
+        let ServerPublishers { observed: instance_publisher, fleet: fleet_publisher } = publishers;
+        InternalApi {
             own,
             key,
             replica,
             group,
             view,
             reports,
-            board,
-            fleet_board,
+            instance_publisher,
+            fleet_publisher,
             relay,
             limits: OwnedLimits::default(),
             metrics,
-            following_routers: Arc::default(),
-            sharing_routers: Arc::default(),
-            snapshots: Arc::new(Semaphore::new(MAX_SNAPSHOTS_AT_ONCE)),
+            full_followers: Arc::default(),
+            partial_followers: Arc::default(),
+            snapshots: Arc::new(Semaphore::new(MAX_CONCURRENT_SNAPSHOTS)),
             connections: Arc::new(Semaphore::new(limits.max_connections)),
             handshakes: Arc::new(Semaphore::new(limits.max_handshakes)),
         }
     }
 
-    /// Accepts connections for ever. Beyond the limit on handshakes they wait in
-    /// the listen queue, so a herd of restarting routers costs no memory here.
+    /// Accepts connections until cancelled. Beyond the limit on handshakes, connections wait in the
+    /// system's accept queue, so that many restarting routers take no memory here.
     pub async fn serve(self: Arc<Self>, listener: TcpListener) {
         loop {
             let Ok(handshake) = Arc::clone(&self.handshakes).acquire_owned().await else {
@@ -108,12 +108,12 @@
                 Ok((stream, _)) => stream,
                 Err(error) => {
                     log::warn!("event=accept_failed face=internal reason=\"{error}\"");
-                    tokio::time::sleep(ACCEPT_PAUSE).await;
+                    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                     continue;
                 }
             };
-            let face = Arc::clone(&self);
-            tokio::spawn(face.serve_stream(stream, handshake));
+            let api = Arc::clone(&self);
+            tokio::spawn(api.serve_stream(stream, handshake));
         }
     }
 
@@ -136,8 +136,8 @@
         }
     }
 
-    /// Only routers count towards the limit on connections: however many there
-    /// are, the replicas must reach each other.
+    /// Runs the session of an authenticated peer. The connection limit applies to routers only, so
+    /// that replicas can always reach each other.
     async fn serve_peer(self: Arc<Self>, connection: Connection, address: SocketAddr) {
         let is_replica = connection.peer.role == PeerRole::Control;
         let permit = Arc::clone(&self.connections).try_acquire_owned();
--- a/crates/control/src/internal/quarantine.rs
+++ b/crates/control/src/internal/quarantine.rs
@@ -1,29 +1,29 @@
-//! Records which requests are sent to no server any more.
+//! Handlers of quarantine calls from routers.
 
 use juniper_control_state::{Command, QuarantinedRequest};
 use juniper_protocol::message::QuarantineRequest;
 use juniper_protocol::{Refusal, Reply};
 use juniper_types::RequestFingerprint;
 
-use super::InternalFace;
+use super::InternalApi;
 use super::session::Peer;
 use crate::clock::unix_seconds;
 
-/// Servers that a call may name; routers name the three whose ends were counted.
+/// Maximum number of servers in a call; routers list the three whose crashes were counted.
 const MAX_SERVERS: usize = 16;
 
-/// Longest name of a server's life in a call, in bytes.
+/// Maximum length of a server's name in a call, in bytes.
 const MAX_NAME_BYTES: usize = 256;
 
-/// Records a request whose servers ended, unless it is recorded already.
-pub(super) async fn record(face: &InternalFace, peer: &Peer, call: QuarantineRequest) -> Reply {
+/// Quarantines a request under which servers crashed, unless the request is quarantined already.
+pub(super) async fn record(api: &InternalApi, peer: &Peer, call: QuarantineRequest) -> Reply {
     let QuarantineRequest { request, servers } = call;
     let is_bounded = servers.len() <= MAX_SERVERS
         && servers.iter().all(|server| server.as_str().len() <= MAX_NAME_BYTES);
     if !is_bounded {
         return Reply::Refused(Refusal::NotAllowed);
     }
-    if face.view.fleet.borrow().quarantine().contains(&request) {
+    if api.view.fleet.borrow().quarantine().contains(&request) {
         return Reply::Done;
     }
     let names: Vec<&str> = servers.iter().map(|server| server.as_str()).collect();
@@ -33,25 +33,21 @@
         names.join(",")
     );
     let request = QuarantinedRequest { request, servers, since: unix_seconds() };
-    write(face, &Command::Quarantine { request }).await
+    write(api, &Command::Quarantine { request }).await
 }
 
-/// Records that a request may be sent again.
-pub(super) async fn release(
-    face: &InternalFace,
-    peer: &Peer,
-    request: RequestFingerprint,
-) -> Reply {
-    if !face.view.fleet.borrow().quarantine().contains(&request) {
+/// Releases a request from quarantine.
+pub(super) async fn release(api: &InternalApi, peer: &Peer, request: RequestFingerprint) -> Reply {
+    if !api.view.fleet.borrow().quarantine().contains(&request) {
         return Reply::Done;
     }
     let router = peer.identity.node;
     log::info!("event=release_asked fingerprint={request} router={router} reason=answered");
-    write(face, &Command::Release { request }).await
+    write(api, &Command::Release { request }).await
 }
 
-async fn write(face: &InternalFace, command: &Command) -> Reply {
-    match face.group.write(command).await {
+async fn write(api: &InternalApi, command: &Command) -> Reply {
+    match api.group.write(command).await {
         Ok(_) => Reply::Done,
         Err(refusal) => {
             log::warn!("event=quarantine_not_recorded reason=\"{refusal}\"");
--- a/crates/control/src/internal/session.rs
+++ b/crates/control/src/internal/session.rs
@@ -1,4 +1,5 @@
-//! One connection of another daemon: reads calls, runs them side by side, writes replies.
+//! Session of one connection from another daemon: reads calls, runs them concurrently, writes
+//! replies.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -14,38 +15,38 @@
 use tokio::task::JoinSet;
 use tokio::time::timeout;
 
-use super::follower::FollowedPart;
-use super::listener::Listening;
-use super::{InternalFace, calls, follower, subscriber};
-use crate::published::PushFrame;
-use crate::renewals::SharedFrame;
+use super::follower::FollowScope;
+use super::router_updates::RouterUpdateSubscription;
+use super::{InternalApi, calls, follower, subscriber};
+use crate::published_settings::PushFrame;
+use crate::renewal_log::SharedFrame;
 
-/// Calls of one connection that run at once; more wait unread in its socket.
-const MAX_CALLS_AT_ONCE: usize = 512;
+/// Maximum number of concurrent calls of a connection; further ones stay unread in the socket.
+const MAX_CONCURRENT_CALLS: usize = 512;
 
-/// Frames that wait to be written. A subscriber task waits when it is full and
-/// then skips ahead, so a slow node costs a bounded amount of memory.
-const OUTGOING_FRAMES: usize = 64;
+/// Capacity of the queue of outgoing frames. Subscription tasks wait while the queue is full and then
+/// send the latest state, so a slow peer takes a bounded amount of memory.
+const MAX_QUEUED_FRAMES: usize = 64;
 
-/// A peer that takes no byte for this long is cut off.
+/// Timeout of writing one frame, after which the connection is closed.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// An encoded message.
+/// Encoded message.
 #[derive(Debug)]
 enum Payload {
-    /// Encoded for this connection alone.
+    /// Message for this connection only.
     Own(Vec<u8>),
-    /// A change of the settings, encoded once for many.
-    Shared(Arc<PushFrame>),
-    /// Any other message, encoded once for many.
-    Encoded(SharedFrame),
+    /// Push of settings, shared by many connections.
+    Settings(Arc<PushFrame>),
+    /// Any other message shared by many connections.
+    Shared(SharedFrame),
 }
 
-/// A frame to write.
+/// Frame to write.
 #[derive(Debug)]
 pub(super) struct Outgoing {
     payload: Payload,
-    /// Given back once the frame is written.
+    /// Released once the frame is written.
     _permit: Option<OwnedSemaphorePermit>,
 }
 
@@ -55,34 +56,34 @@
         Outgoing { payload: Payload::Own(encode(message)), _permit: None }
     }
 
-    /// A settings change.
+    /// Wraps an encoded settings change.
     pub fn delta(frame: Arc<PushFrame>) -> Self {
-        Outgoing { payload: Payload::Shared(frame), _permit: None }
+        Outgoing { payload: Payload::Settings(frame), _permit: None }
     }
 
-    /// A whole tree, with the permit that bounds how many are on their way.
+    /// Wraps an encoded settings snapshot, with the permit that limits concurrent snapshots.
     pub fn snapshot(frame: Arc<PushFrame>, permit: OwnedSemaphorePermit) -> Self {
-        Outgoing { payload: Payload::Shared(frame), _permit: Some(permit) }
+        Outgoing { payload: Payload::Settings(frame), _permit: Some(permit) }
     }
 
-    /// A message that was encoded once for many.
+    /// Wraps an encoded message shared by many connections.
     pub fn encoded(frame: SharedFrame) -> Self {
-        Outgoing { payload: Payload::Encoded(frame), _permit: None }
+        Outgoing { payload: Payload::Shared(frame), _permit: None }
     }
 
     fn payload(&self) -> &[u8] {
         match &self.payload {
             Payload::Own(payload) => payload,
-            Payload::Shared(frame) => &frame.payload,
-            Payload::Encoded(frame) => frame,
+            Payload::Settings(frame) => &frame.payload,
+            Payload::Shared(frame) => frame,
         }
     }
 }
 
-/// Where frames for the peer go.
+/// Queue of frames for the peer.
 pub(super) type OutgoingSender = mpsc::Sender<Outgoing>;
 
-/// The peer of a session.
+/// Peer of a session.
 #[derive(Clone, Debug)]
 pub(super) struct Peer {
     pub identity: PeerIdentity,
@@ -90,18 +91,18 @@
 }
 
 /// Serves the connection until it ends.
-pub(super) async fn run(face: Arc<InternalFace>, connection: Connection, address: SocketAddr) {
+pub(super) async fn run(api: Arc<InternalApi>, connection: Connection, address: SocketAddr) {
     let Connection { peer: identity, reader, writer, .. } = connection;
     let node = identity.node;
     log::info!("event=peer_connected peer={node} role={:?} address={address}", identity.role);
-    face.metrics.connections.inc();
+    api.metrics.connections.inc();
     let peer = Peer { identity, address };
-    let (sender, receiver) = mpsc::channel(OUTGOING_FRAMES);
+    let (sender, receiver) = mpsc::channel(MAX_QUEUED_FRAMES);
     let reason = tokio::select! {
-        ended = write_frames(writer, receiver) => ended,
-        ended = read_frames(Arc::clone(&face), peer, reader, sender) => ended,
+        error = write_frames(writer, receiver) => error,
+        error = read_frames(Arc::clone(&api), peer, reader, sender) => error,
     };
-    face.metrics.connections.dec();
+    api.metrics.connections.dec();
     log::info!("event=peer_disconnected peer={node} reason=\"{reason}\"");
 }
 
@@ -120,27 +121,27 @@
 }
 
 async fn read_frames(
-    face: Arc<InternalFace>,
+    api: Arc<InternalApi>,
     peer: Peer,
     reader: FrameReader,
     sender: OutgoingSender,
 ) -> FrameError {
-    match read_until_end(face, peer, reader, sender).await {
+    match read_messages(api, peer, reader, sender).await {
         Err(error) => error,
         Ok(never) => match never {},
     }
 }
 
-/// Hands a message of the agreement on. Only another replica may send one, and
-/// only in its own name, save for a request to join that it hands on.
-async fn hand_to_replica(
-    face: &InternalFace,
+/// Passes a consensus message to the local replica. Only replicas may send one, and only on their own
+/// behalf, except for a join request, which a replica may forward.
+async fn deliver_to_replica(
+    api: &InternalApi,
     peer: &Peer,
     payload: &[u8],
 ) -> Result<(), FrameError> {
     let message: juniper_consensus::Message = minicbor::decode(payload)?;
     let is_own = message.from.node == peer.identity.node || is_join_request(&message);
-    if peer.identity.role != PeerRole::Control || !is_own || !face.replica.receive(message).await {
+    if peer.identity.role != PeerRole::Control || !is_own || !api.replica.receive(message).await {
         return Err(FrameError::Closed);
     }
     Ok(())
@@ -150,31 +151,31 @@
     matches!(message.body, juniper_consensus::Body::JoinRequest { .. })
 }
 
-async fn read_until_end(
-    face: Arc<InternalFace>,
+async fn read_messages(
+    api: Arc<InternalApi>,
     peer: Peer,
     mut reader: FrameReader,
     sender: OutgoingSender,
 ) -> Result<Infallible, FrameError> {
-    let slots = Arc::new(Semaphore::new(MAX_CALLS_AT_ONCE));
-    // Dropped with the session, and every call and subscription with it.
+    let slots = Arc::new(Semaphore::new(MAX_CONCURRENT_CALLS));
+    // Calls and subscriptions are aborted when this is dropped at the end of the session.
     let mut tasks = JoinSet::new();
     let mut subscribed = false;
-    let mut following: Option<watch::Sender<FollowedPart>> = None;
-    let mut listening = Listening::default();
+    let mut follow_scopes: Option<watch::Sender<FollowScope>> = None;
+    let mut router_updates = RouterUpdateSubscription::default();
     loop {
         let (call, request) = match reader.receive().await {
             Ok(Message::Request { call, request }) => (call, request),
             Ok(Message::Consensus { payload }) => {
-                hand_to_replica(&face, &peer, &payload).await?;
+                deliver_to_replica(&api, &peer, &payload).await?;
                 continue;
             }
-            Ok(Message::RouterUpdate(news)) if peer.identity.role == PeerRole::Router => {
-                face.relay.hear_router(&peer.identity, news);
+            Ok(Message::RouterUpdate(update)) if peer.identity.role == PeerRole::Router => {
+                api.relay.accept_router_update(&peer.identity, update);
                 continue;
             }
-            Ok(Message::RelayedUpdate(told)) if peer.identity.role == PeerRole::Control => {
-                face.relay.hear_replica(told);
+            Ok(Message::RelayedUpdate(updates)) if peer.identity.role == PeerRole::Control => {
+                api.relay.accept_peer_updates(updates);
                 continue;
             }
             Ok(Message::Unknown { call }) => {
@@ -187,31 +188,31 @@
             Ok(_) => continue,
             Err(error) => return Err(error),
         };
-        face.reports.touch(peer.identity.node);
+        api.reports.record_contact(peer.identity.node);
         if let Request::Subscribe { from } = request {
             if !subscribed {
                 subscribed = true;
-                let face = Arc::clone(&face);
-                tasks.spawn(subscriber::run(face, peer.clone(), sender.clone(), call, from));
+                let api = Arc::clone(&api);
+                tasks.spawn(subscriber::run(api, peer.clone(), sender.clone(), call, from));
             }
             continue;
         }
         if let Request::RelayRouterUpdates { enabled } = request {
-            listening.set(enabled, &face, &sender);
+            router_updates.set(enabled, &api, &sender);
             send_reply(&sender, call, Reply::Done).await;
             continue;
         }
-        if let Some(part) = FollowedPart::asked_by(&request) {
+        if let Some(scope) = FollowScope::from_request(&request) {
             send_reply(&sender, call, Reply::Done).await;
-            match &following {
-                Some(following) => {
-                    following.send_replace(part);
+            match &follow_scopes {
+                Some(scopes) => {
+                    scopes.send_replace(scope);
                 }
                 None => {
-                    let (asked, parts) = watch::channel(part);
-                    let (face, peer, sender) = (Arc::clone(&face), peer.clone(), sender.clone());
-                    tasks.spawn(follower::run(face, peer, sender, parts));
-                    following = Some(asked);
+                    let (scope_sender, scopes) = watch::channel(scope);
+                    let (api, peer, sender) = (Arc::clone(&api), peer.clone(), sender.clone());
+                    tasks.spawn(follower::run(api, peer, sender, scopes));
+                    follow_scopes = Some(scope_sender);
                 }
             }
             continue;
@@ -220,16 +221,16 @@
             return Err(FrameError::Closed);
         };
         while tasks.try_join_next().is_some() {}
-        let (face, peer, sender) = (Arc::clone(&face), peer.clone(), sender.clone());
+        let (api, peer, sender) = (Arc::clone(&api), peer.clone(), sender.clone());
         tasks.spawn(async move {
-            let reply = calls::answer(&face, &peer, request).await;
+            let reply = calls::answer(&api, &peer, request).await;
             send_reply(&sender, call, reply).await;
             drop(slot);
         });
     }
 }
 
-/// Sends a reply; a failure means that the session is ending.
+/// Queues a reply. Failure is ignored, since it means that the session is ending.
 pub(super) async fn send_reply(sender: &OutgoingSender, call: u64, reply: Reply) {
     let _ = sender.send(Outgoing::message(&Message::Reply { call, reply })).await;
 }
--- a/crates/control/src/limits.rs
+++ b/crates/control/src/limits.rs
@@ -1,4 +1,4 @@
-//! Limits that this replica owns, for all routers.
+//! Rate limits owned by this replica on behalf of all routers.
 
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
@@ -7,12 +7,12 @@
 use juniper_protocol::message::{ChargeAnswer, LimitCharge};
 use juniper_types::Timestamp;
 
-/// Age of the latest confirmation by a quorum beyond which a replica owns nothing: it may be cut
-/// off, and routers that don't reach it ask another one 2.1 s after its last word. Replicas ask for
-/// confirmations each 0.5 s, so an election of up to two seconds takes no owner away.
+/// Maximum age of the latest quorum confirmation for a replica to own limits. Beyond that it may be
+/// partitioned from routers, which switch to another owner after 2.1 s of silence. Confirmations
+/// are requested every 0.5 s, so ownership survives elections of up to 2 s.
 pub const MAX_CONFIRMATION_AGE: Duration = Duration::from_millis(2_500);
 
-/// The limits that a replica owns.
+/// Limits owned by a replica.
 pub struct OwnedLimits {
     owner: Mutex<LimitOwner>,
     started: Instant,
@@ -29,7 +29,7 @@
         Timestamp::ZERO.after(self.started.elapsed())
     }
 
-    /// Counts a request.
+    /// Charges a request against its limit.
     pub fn charge(&self, charge: &LimitCharge) -> ChargeAnswer {
         let request = ChargeRequest {
             account: &charge.account,
@@ -45,14 +45,14 @@
                 ChargeAnswer { retry_after_ms: None, fleet_per_second }
             }
             Verdict::Refused { pause, fleet_per_second } => {
-                let pause_ms = u64::try_from(pause.as_millis()).unwrap_or(u64::MAX);
-                ChargeAnswer { retry_after_ms: Some(pause_ms), fleet_per_second }
+                let retry_after_ms = u64::try_from(pause.as_millis()).unwrap_or(u64::MAX);
+                ChargeAnswer { retry_after_ms: Some(retry_after_ms), fleet_per_second }
             }
         }
     }
 
-    /// Takes back what was counted for a request that no server has run.
-    pub fn give_back(&self, account: &str, units: f64) {
+    /// Refunds the units of a charged request that no server executed.
+    pub fn refund(&self, account: &str, units: f64) {
         let mut owner = self.owner.lock().unwrap_or_else(PoisonError::into_inner);
         owner.give_back(account, units, self.now());
     }
--- a/crates/control/src/metrics.rs
+++ b/crates/control/src/metrics.rs
@@ -1,53 +1,53 @@
-//! Counters of the control daemon, in Prometheus text form.
+//! Prometheus metrics of the control daemon.
 
 use juniper_consensus::Status;
 use prometheus::{Encoder, Histogram, HistogramOpts, IntCounter, IntGauge, Registry, TextEncoder};
 
-/// Upper bounds of commit time, in seconds.
+/// Upper bounds of the buckets for commit time, in seconds.
 const COMMIT_BUCKETS: [f64; 12] =
     [0.000_5, 0.001, 0.002, 0.003, 0.005, 0.01, 0.02, 0.05, 0.1, 0.5, 1.0, 5.0];
 
-/// The counters.
+/// Metrics of the control daemon.
 pub struct Metrics {
     registry: Registry,
-    /// Connections of other daemons.
+    /// Open connections from other daemons.
     pub connections: IntGauge,
-    /// Connections of routers turned away because there were too many.
+    /// Connections of routers rejected because of the connection limit.
     pub connections_refused: IntCounter,
-    /// Handshakes that failed.
+    /// Failed handshakes.
     pub handshakes_failed: IntCounter,
-    /// Subscriptions turned away because too many snapshots were under way.
+    /// Subscriptions refused because too many snapshots were in flight.
     pub subscriptions_refused: IntCounter,
-    /// Snapshots pushed to nodes.
+    /// Settings snapshots pushed to subscribers.
     pub snapshots_pushed: IntCounter,
-    /// Bytes of settings pushed to nodes.
+    /// Bytes of settings pushed to subscribers.
     pub pushed_bytes: IntCounter,
     /// Latest committed settings revision on this replica.
     pub revision: IntGauge,
-    /// Whether this replica leads.
+    /// 1 while this replica is the leader, otherwise 0.
     pub leader: IntGauge,
-    /// Current term.
+    /// Current consensus term.
     pub term: IntGauge,
-    /// Last index known to be committed.
+    /// Last committed log index.
     pub commit_index: IntGauge,
     /// Voters in the membership.
     pub voters: IntGauge,
-    /// Members that don't vote.
+    /// Learners in the membership.
     pub learners: IntGauge,
-    /// Messages of routers that were passed on to the routers that listen here.
+    /// Router updates relayed to the routers subscribed to this replica.
     pub relayed: IntCounter,
-    /// Messages of routers that were lost on their way through this replica.
+    /// Router updates dropped by this replica.
     pub relayed_lost: IntCounter,
-    /// Heartbeats that named no server: they could not be read, or came from another writer.
+    /// Heartbeats rejected because they were malformed or came from another writer.
     pub heartbeats_refused: IntCounter,
-    /// Claims kept.
+    /// Stored claims.
     pub claims: IntGauge,
-    /// Time from proposal to answer on the leader.
+    /// Time from proposal to answer on the leader, in seconds.
     pub commit_seconds: Histogram,
 }
 
 impl Metrics {
-    /// Registers every counter.
+    /// Creates and registers all metrics.
     pub fn new() -> Result<Self, prometheus::Error> {
         let registry = Registry::new();
         let counter = |name: &str, help: &str| register(&registry, IntCounter::new(name, help)?);
@@ -88,8 +88,8 @@
         })
     }
 
-    /// Shows where the replica stands.
-    pub fn show_status(&self, status: &Status) {
+    /// Updates the gauges of the replica's consensus status.
+    pub fn set_status(&self, status: &Status) {
         self.leader.set(i64::from(status.is_leader()));
         self.term.set(to_gauge(status.term));
         self.commit_index.set(to_gauge(status.commit));
@@ -98,15 +98,15 @@
         self.learners.set(to_gauge((status.membership.members.len() - voters) as u64));
     }
 
-    /// The Prometheus text.
-    pub fn text(&self) -> Result<String, prometheus::Error> {
+    /// Encodes all metrics in Prometheus text format.
+    pub fn encode_text(&self) -> Result<String, prometheus::Error> {
         let mut text = Vec::new();
         TextEncoder::new().encode(&self.registry.gather(), &mut text)?;
         Ok(String::from_utf8_lossy(&text).into_owned())
     }
 }
 
-/// The nearest value that a gauge holds.
+/// Converts `value` for a gauge, saturating at the largest value.
 pub fn to_gauge(value: u64) -> i64 {
     i64::try_from(value).unwrap_or(i64::MAX)
 }
--- a/crates/control/src/operator/access.rs
+++ b/crates/control/src/operator/access.rs
@@ -1,4 +1,4 @@
-//! Operator calls need an operator key.
+//! Authentication of operators.
 
 use std::sync::Arc;
 
@@ -7,25 +7,26 @@
 use axum::middleware::Next;
 use axum::response::{IntoResponse, Response};
 
-use super::OperatorFace;
+use super::OperatorApi;
 use super::error::OperatorError;
 
-/// Lets a request pass if it presents one of the operator keys.
+/// Rejects requests that don't present an operator key.
 pub(super) async fn require_key(
-    State(face): State<Arc<OperatorFace>>,
+    State(api): State<Arc<OperatorApi>>,
     request: Request,
     next: Next,
 ) -> Response {
     let header = request.headers().get(AUTHORIZATION).and_then(|value| value.to_str().ok());
     let key = header.and_then(|value| value.strip_prefix("Bearer "));
-    if key.is_some_and(|key| is_operator(&face, key)) {
+    if key.is_some_and(|key| is_operator(&api, key)) {
         next.run(request).await
     } else {
         OperatorError::Unauthorized.into_response()
     }
 }
 
-/// Compares with every key, so that the time tells nothing about which one matched.
-fn is_operator(face: &OperatorFace, key: &str) -> bool {
-    face.operator_keys.iter().fold(false, |found, hash| hash.matches(key) | found)
+/// Whether `key` is an operator key. Always compares with all keys, so that the time doesn't reveal
+/// which one matched.
+fn is_operator(api: &OperatorApi, key: &str) -> bool {
+    api.operator_keys.iter().fold(false, |found, hash| hash.matches(key) | found)
 }
--- a/crates/control/src/operator/error.rs
+++ b/crates/control/src/operator/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the operator face: a JSON body with a stable code.
+//! Errors of the operator API, sent as a JSON body with a stable code.
 
 use axum::Json;
 use axum::extract::rejection::{JsonRejection, QueryRejection};
@@ -10,14 +10,14 @@
 use juniper_types::{EngineId, FingerprintError, Revision};
 use serde::Serialize;
 
-/// Why an operator's call was not carried out.
+/// Error of an operator call.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum OperatorError {
-    #[error("an operator key is needed: authorization: Bearer <key>")]
+    #[error("operator key required: authorization: Bearer <key>")]
     Unauthorized,
     #[error("no such resource")]
     NotFound,
-    #[error("method not allowed here")]
+    #[error("method not allowed for this resource")]
     MethodNotAllowed,
     #[error(transparent)]
     Body(#[from] JsonRejection),
@@ -27,27 +27,27 @@
     Path(#[from] juniper_settings::path::PathError),
     #[error(transparent)]
     Fingerprint(#[from] FingerprintError),
-    #[error("the tree has no node {0}")]
+    #[error("settings tree has no node {0}")]
     NoNode(SettingsPath),
-    #[error("the tree has no back end {0}")]
+    #[error("settings tree has no back end {0}")]
     NoBackEnd(EngineId),
-    #[error("revisions {oldest} to {current} are kept")]
+    #[error("revision not available: only {oldest} to {current} are stored")]
     RevisionUnavailable { oldest: Revision, current: Revision },
-    #[error("the author has more than {limit} bytes")]
+    #[error("author is longer than {limit} bytes")]
     AuthorTooLong { limit: usize },
-    #[error("the change has {bytes} encoded bytes, at most {limit} are allowed")]
+    #[error("encoded change has {bytes} bytes, more than the limit of {limit}")]
     TooLarge { bytes: usize, limit: usize },
-    #[error("the tree has moved on: revision {current} is in force")]
+    #[error("base revision is outdated: revision {current} is in force")]
     Conflict { current: Revision, answer: WriteAnswer },
-    #[error("the resulting tree would have {count} fault(s)")]
+    #[error("resulting settings tree would have {count} fault(s)")]
     Invalid { count: usize, answer: WriteAnswer },
-    #[error("the change id was used for another change, which made revision {revision}")]
+    #[error("change id was used before, by the change that made revision {revision}")]
     ChangeIdReused { revision: Revision },
     #[error("too many changes, retry after {retry_after_ms} ms")]
     RateLimited { retry_after_ms: u64 },
     #[error("{0}")]
     Refused(Refusal),
-    #[error("metrics: {0}")]
+    #[error("failed to encode metrics: {0}")]
     Metrics(#[from] prometheus::Error),
 }
 
@@ -66,7 +66,7 @@
 struct Detail<'a> {
     code: &'static str,
     message: String,
-    /// Present and true where it is known that nothing was changed.
+    /// True if the call is known to have had no effect; absent otherwise.
     #[serde(skip_serializing_if = "std::ops::Not::not")]
     not_run: bool,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Whether it is known that nothing was changed.
+    /// Whether the call is known to have had no effect.
     fn is_not_run(&self) -> bool {
         !matches!(
             self,
@@ -158,12 +158,12 @@
     }
 }
 
-/// Answers a path that doesn't exist.
+/// Handles requests to unknown paths.
 pub(super) async fn not_found() -> OperatorError {
     OperatorError::NotFound
 }
 
-/// Answers a method that a path doesn't take.
+/// Handles requests with a method that the path doesn't support.
 pub(super) async fn method_not_allowed() -> OperatorError {
     OperatorError::MethodNotAllowed
 }
--- a/crates/control/src/operator/mod.rs
+++ b/crates/control/src/operator/mod.rs
@@ -1,4 +1,4 @@
-//! The face for operators: JSON over HTTP.
+//! Operator API: JSON over HTTP.
 
 mod access;
 mod error;
@@ -15,36 +15,36 @@
 use axum::routing::{delete, get, post};
 use juniper_settings::ApiKeyHash;
 
-use crate::forward::Group;
 use crate::metrics::Metrics;
+use crate::node_reports::NodeReports;
 use crate::peers::PeerLinks;
 use crate::replica::ReplicaView;
-use crate::reports::NodeReports;
+use crate::replica_group::ReplicaGroup;
 
-/// Largest accepted body, in bytes: the largest command in JSON, which is
-/// somewhat longer than its encoded form.
+/// Maximum size of a request body, in bytes. JSON is somewhat longer than the encoded command, whose
+/// own limit is `MAX_COMMAND_BYTES`.
 const MAX_BODY_BYTES: usize = 8 << 20;
 
-/// What the handlers need.
-pub struct OperatorFace {
-    /// The replicas, called through this one.
-    pub group: Group,
+/// State shared by the handlers of the operator API.
+pub struct OperatorApi {
+    /// Group of all replicas.
+    pub group: ReplicaGroup,
     /// Links to the other replicas.
     pub peers: Arc<PeerLinks>,
-    /// What this replica publishes.
+    /// Published state of the replica.
     pub view: ReplicaView,
-    /// What nodes have in force.
+    /// Settings revisions reported by nodes.
     pub reports: Arc<NodeReports>,
-    /// Counters.
+    /// Metrics of the daemon.
     pub metrics: Arc<Metrics>,
-    /// Hashes of the keys that operators present.
+    /// Hashes of the operator keys.
     pub operator_keys: Vec<ApiKeyHash>,
 }
 
-/// Every route.
-pub fn routes(face: OperatorFace) -> Router {
-    let face = Arc::new(face);
-    let guarded = Router::new()
+/// Builds the HTTP routes of the operator API.
+pub fn routes(api: OperatorApi) -> Router {
+    let api = Arc::new(api);
+    let authenticated = Router::new()
         .route("/v1/settings", get(settings::tree))
         .route("/v1/settings/node", get(settings::node))
         .route("/v1/settings/effective", get(settings::effective))
@@ -57,14 +57,14 @@
         .route("/v1/quarantine", get(quarantine::list))
         .route("/v1/quarantine/{fingerprint}", delete(quarantine::release))
         .route("/v1/status", get(status::status))
-        .layer(axum::middleware::from_fn_with_state(Arc::clone(&face), access::require_key));
+        .layer(axum::middleware::from_fn_with_state(Arc::clone(&api), access::require_key));
     Router::new()
         .route("/healthz", get(status::healthz))
         .route("/readyz", get(status::readyz))
         .route("/metrics", get(status::metrics))
-        .merge(guarded)
+        .merge(authenticated)
         .fallback(error::not_found)
         .method_not_allowed_fallback(error::method_not_allowed)
         .layer(DefaultBodyLimit::max(MAX_BODY_BYTES))
-        .with_state(face)
+        .with_state(api)
 }
--- a/crates/control/src/operator/nodes.rs
+++ b/crates/control/src/operator/nodes.rs
@@ -1,7 +1,7 @@
-//! Every node with the revision that it has in force.
+//! List of nodes and the settings revisions that they have applied.
 //!
-//! A node reports to the replica that it subscribed to, so the replica that is
-//! asked gathers the reports of all the others.
+//! A node reports only to the replica that it is subscribed to, so the answering replica collects the
+//! reports of all others.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,19 +15,19 @@
 use juniper_types::{NodeId, Revision, ZoneName};
 use serde::Serialize;
 
-use super::OperatorFace;
-use super::settings::Face;
+use super::OperatorApi;
+use super::settings::ApiState;
 
-/// Longest wait for another replica's reports.
-const GATHER_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Timeout of getting another replica's reports.
+const COLLECT_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 #[derive(Serialize)]
 pub(super) struct NodesBody {
-    /// The latest committed revision on the replica that answers.
+    /// Latest committed revision on the answering replica.
     revision: Revision,
-    /// Nodes that have not reported `revision` yet.
+    /// Number of nodes that have not reported `revision` yet.
     behind: usize,
-    /// Replicas that gave no reports; nodes known only to them are missing.
+    /// Replicas that didn't answer; nodes known only to them are missing.
     silent_replicas: Vec<NodeId>,
     nodes: Vec<NodeItem>,
 }
@@ -37,18 +37,18 @@
     node: NodeId,
     zone: ZoneName,
     address: SocketAddr,
-    /// The revision in force that the node reported last.
+    /// Revision that the node last reported as applied.
     in_force: Revision,
-    /// Whether it is the latest.
+    /// Whether `in_force` is at least the latest committed revision.
     current: bool,
-    /// Milliseconds since the node was last heard from.
+    /// Time since the node last contacted a replica, in milliseconds.
     silent_ms: u64,
 }
 
 /// `GET /v1/nodes`
-pub(super) async fn nodes(State(face): Face) -> Json<NodesBody> {
-    let (members, silent_replicas) = gather(&face).await;
-    let revision = face.view.published.borrow().revision;
+pub(super) async fn nodes(State(api): ApiState) -> Json<NodesBody> {
+    let (members, silent_replicas) = collect_reports(&api).await;
+    let revision = api.view.published.borrow().revision;
     let item = |member: Member| NodeItem {
         node: member.node,
         zone: member.zone,
@@ -62,19 +62,19 @@
     Json(NodesBody { revision, behind, silent_replicas, nodes })
 }
 
-/// The latest report of every node, and the replicas that didn't answer.
-async fn gather(face: &OperatorFace) -> (BTreeMap<NodeId, Member>, Vec<NodeId>) {
-    let ask = async |replica: NodeId| {
-        let reply = face.peers.call(replica, Request::Members, GATHER_TIMEOUT).await;
+/// Collects the latest report of each node, and the replicas that didn't answer.
+async fn collect_reports(api: &OperatorApi) -> (BTreeMap<NodeId, Member>, Vec<NodeId>) {
+    let get_members = async |replica: NodeId| {
+        let reply = api.peers.call(replica, Request::Members, COLLECT_TIMEOUT).await;
         match reply {
             Ok(Reply::Members { members, .. }) => Ok(members),
             _ => Err(replica),
         }
     };
-    let answers = join_all(face.peers.nodes().map(ask)).await;
+    let answers = join_all(api.peers.nodes().map(get_members)).await;
     let mut latest = BTreeMap::new();
     let mut silent = Vec::new();
-    for answer in answers.into_iter().chain([Ok(face.reports.members())]) {
+    for answer in answers.into_iter().chain([Ok(api.reports.members())]) {
         match answer {
             Ok(members) => members.into_iter().for_each(|member| keep_latest(&mut latest, member)),
             Err(replica) => silent.push(replica),
--- a/crates/control/src/operator/quarantine.rs
+++ b/crates/control/src/operator/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests that are sent to no server, and how an operator releases one.
+//! Listing and release of quarantined requests.
 
 use axum::Json;
 use axum::extract::{Path, State};
@@ -8,7 +8,7 @@
 use serde::Serialize;
 
 use super::error::OperatorError;
-use super::settings::Face;
+use super::settings::ApiState;
 
 #[derive(Serialize)]
 pub(super) struct QuarantineBody {
@@ -17,16 +17,16 @@
 
 #[derive(Serialize)]
 struct RequestItem {
-    /// Names the content of the request, as logs do.
+    /// Fingerprint of the request, as in logs.
     fingerprint: String,
-    /// The servers that ended under it.
+    /// Servers that crashed under the request.
     servers: Vec<String>,
-    /// When it was recorded, in seconds since the Unix epoch.
+    /// Start of the quarantine, in seconds since the Unix epoch.
     since: u64,
 }
 
-/// `GET /v1/quarantine`: the requests, the one that was recorded first at the front.
-pub(super) async fn list(State(face): Face) -> Result<Json<QuarantineBody>, OperatorError> {
+/// `GET /v1/quarantine`: quarantined requests, oldest first.
+pub(super) async fn list(State(api): ApiState) -> Result<Json<QuarantineBody>, OperatorError> {
     let name = |server: &InstanceName| server.to_string();
     let read = move |state: &juniper_control_state::ControlState| {
         let known = state.fleet().quarantine().requests();
@@ -37,7 +37,7 @@
         });
         item.collect::<Vec<_>>()
     };
-    let requests = face.group.read(false, read).await?;
+    let requests = api.group.read(false, read).await?;
     Ok(Json(QuarantineBody { requests }))
 }
 
@@ -46,14 +46,14 @@
     released: String,
 }
 
-/// `DELETE /v1/quarantine/{fingerprint}`: the request may be sent again. Releasing one that isn't
-/// in quarantine changes nothing.
+/// `DELETE /v1/quarantine/{fingerprint}`: releases a request. Has no effect if the request isn't
+/// quarantined.
 pub(super) async fn release(
-    State(face): Face,
+    State(api): ApiState,
     Path(fingerprint): Path<String>,
 ) -> Result<Json<ReleasedBody>, OperatorError> {
     let request: RequestFingerprint = fingerprint.parse()?;
-    face.group.write(&Command::Release { request }).await?;
+    api.group.write(&Command::Release { request }).await?;
     log::info!("event=release_asked fingerprint={request} reason=operator");
     Ok(Json(ReleasedBody { released: request.to_string() }))
 }
--- a/crates/control/src/operator/settings.rs
+++ b/crates/control/src/operator/settings.rs
@@ -1,4 +1,4 @@
-//! Reading the settings tree and its history.
+//! Read access to the settings tree and its history.
 
 use std::sync::Arc;
 
@@ -10,24 +10,24 @@
 use juniper_types::{ChangeId, Revision};
 use serde::{Deserialize, Serialize};
 
-use super::OperatorFace;
+use super::OperatorApi;
 use super::error::OperatorError;
 
-/// Changes listed where the caller names no limit.
-const DEFAULT_HISTORY: usize = 50;
+/// Number of changes listed if the caller gives no limit.
+const DEFAULT_HISTORY_LIMIT: usize = 50;
 
-pub(super) type Face = State<Arc<OperatorFace>>;
+pub(super) type ApiState = State<Arc<OperatorApi>>;
 
-/// Reads the state, confirmed by a quorum unless the caller takes a stale one.
+/// Reads the state, confirmed by a quorum unless `stale` is set.
 pub(super) async fn read<R: Send + 'static>(
-    face: &OperatorFace,
+    api: &OperatorApi,
     stale: bool,
     read: impl Fn(&ControlState) -> R + Clone + Send + 'static,
 ) -> Result<R, OperatorError> {
-    Ok(face.group.read(stale, read).await?)
+    Ok(api.group.read(stale, read).await?)
 }
 
-/// Whether a read may come from this replica without asking a quorum.
+/// Options of a read; `stale` allows an answer without a quorum's confirmation.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct ReadOptions {
@@ -43,11 +43,11 @@
 
 /// `GET /v1/settings`
 pub(super) async fn tree(
-    State(face): Face,
+    State(api): ApiState,
     options: Result<UrlQuery<ReadOptions>, QueryRejection>,
 ) -> Result<Json<TreeBody>, OperatorError> {
     let UrlQuery(options) = options?;
-    let body = read(&face, options.stale, |state| TreeBody {
+    let body = read(&api, options.stale, |state| TreeBody {
         revision: state.settings().revision(),
         tree: state.settings().tree().tree().clone(),
     });
@@ -71,14 +71,14 @@
 
 /// `GET /v1/settings/node?path=/zone/tenant`
 pub(super) async fn node(
-    State(face): Face,
+    State(api): ApiState,
     query: Result<UrlQuery<PathQuery>, QueryRejection>,
 ) -> Result<Json<NodeBody>, OperatorError> {
     let UrlQuery(query) = query?;
     let path: SettingsPath = query.path.parse()?;
-    let wanted = path.clone();
-    let (revision, node) = read(&face, query.stale, move |state| {
-        let node = state.settings().tree().tree().node(&wanted).cloned();
+    let requested = path.clone();
+    let (revision, node) = read(&api, query.stale, move |state| {
+        let node = state.settings().tree().tree().node(&requested).cloned();
         (state.settings().revision(), node)
     })
     .await?;
@@ -97,12 +97,12 @@
 
 /// `GET /v1/settings/effective?path=/zone/tenant/service`
 pub(super) async fn effective(
-    State(face): Face,
+    State(api): ApiState,
     query: Result<UrlQuery<PathQuery>, QueryRejection>,
 ) -> Result<Json<EffectiveBody>, OperatorError> {
     let UrlQuery(query) = query?;
     let path: SettingsPath = query.path.parse()?;
-    let body = read(&face, query.stale, move |state| EffectiveBody {
+    let body = read(&api, query.stale, move |state| EffectiveBody {
         revision: state.settings().revision(),
         effective: state.settings().tree().tree().effective(&path),
         path: path.clone(),
@@ -120,7 +120,7 @@
 }
 
 fn default_history() -> usize {
-    DEFAULT_HISTORY
+    DEFAULT_HISTORY_LIMIT
 }
 
 #[derive(Serialize)]
@@ -142,7 +142,7 @@
 }
 
 impl HistoryItem {
-    fn of(entry: &HistoryEntry) -> Self {
+    fn from_entry(entry: &HistoryEntry) -> Self {
         HistoryItem {
             revision: entry.revision,
             change_id: entry.change_id.clone(),
@@ -156,18 +156,18 @@
 
 /// `GET /v1/settings/history?limit=50`, the latest first
 pub(super) async fn history(
-    State(face): Face,
+    State(api): ApiState,
     query: Result<UrlQuery<HistoryQuery>, QueryRejection>,
 ) -> Result<Json<HistoryBody>, OperatorError> {
     let UrlQuery(query) = query?;
     let limit = query.limit;
-    let body = read(&face, query.stale, move |state| {
+    let body = read(&api, query.stale, move |state| {
         let settings = state.settings();
         let latest = settings.history().entries().rev().take(limit);
         HistoryBody {
             revision: settings.revision(),
             oldest: settings.history().oldest(settings.revision()),
-            changes: latest.map(HistoryItem::of).collect(),
+            changes: latest.map(HistoryItem::from_entry).collect(),
         }
     });
     Ok(Json(body.await?))
@@ -191,12 +191,12 @@
 
 /// `GET /v1/settings/diff?from=3&to=7`; `to` defaults to the revision in force
 pub(super) async fn diff(
-    State(face): Face,
+    State(api): ApiState,
     query: Result<UrlQuery<DiffQuery>, QueryRejection>,
 ) -> Result<Json<DiffBody>, OperatorError> {
     let UrlQuery(query) = query?;
     let from = query.from;
-    let (current, oldest, to, changes) = read(&face, query.stale, move |state| {
+    let (current, oldest, to, changes) = read(&api, query.stale, move |state| {
         let settings = state.settings();
         let current = settings.revision();
         let to = query.to.unwrap_or(current);
--- a/crates/control/src/operator/status.rs
+++ b/crates/control/src/operator/status.rs
@@ -1,4 +1,4 @@
-//! Health, metrics and the state of this replica.
+//! Health checks, metrics and status of this replica.
 
 use axum::Json;
 use axum::extract::State;
@@ -7,15 +7,15 @@
 use juniper_types::{NodeId, Revision, ZoneName};
 use serde::Serialize;
 
-use super::OperatorFace;
+use super::OperatorApi;
 use super::error::OperatorError;
-use super::settings::Face;
+use super::settings::ApiState;
 use crate::metrics::to_gauge;
 
-/// A replica that no quorum has confirmed for this long is not ready, in milliseconds.
-const READY_WITHIN_MS: u64 = 5_000;
+/// Maximum age of the latest quorum confirmation for a replica to be ready, in milliseconds.
+const MAX_READY_AGE_MS: u64 = 5_000;
 
-/// `GET /healthz`: the process answers.
+/// `GET /healthz`: succeeds while the process runs.
 pub(super) async fn healthz() -> StatusCode {
     StatusCode::OK
 }
@@ -27,25 +27,25 @@
     confirmed_ms: Option<u64>,
 }
 
-/// `GET /readyz`: a quorum has confirmed this replica lately.
-pub(super) async fn readyz(State(face): Face) -> (StatusCode, Json<ReadyBody>) {
-    let confirmed_ms = confirmed_ms(&face);
-    let ready = confirmed_ms.is_some_and(|millis| millis < READY_WITHIN_MS);
-    let revision = face.view.published.borrow().revision;
+/// `GET /readyz`: succeeds if a quorum has confirmed this replica recently.
+pub(super) async fn readyz(State(api): ApiState) -> (StatusCode, Json<ReadyBody>) {
+    let confirmed_ms = confirmed_ms(&api);
+    let ready = confirmed_ms.is_some_and(|millis| millis < MAX_READY_AGE_MS);
+    let revision = api.view.published.borrow().revision;
     let status = if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
     (status, Json(ReadyBody { ready, revision, confirmed_ms }))
 }
 
-/// Milliseconds since a quorum last confirmed that this replica was current.
-fn confirmed_ms(face: &OperatorFace) -> Option<u64> {
-    let elapsed = (*face.view.confirmed_at.borrow())?.elapsed();
+/// Time since a quorum last confirmed that this replica was current, in milliseconds.
+fn confirmed_ms(api: &OperatorApi) -> Option<u64> {
+    let elapsed = (*api.view.confirmed_at.borrow())?.elapsed();
     Some(u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX))
 }
 
 /// `GET /metrics`
-pub(super) async fn metrics(State(face): Face) -> Result<String, OperatorError> {
-    face.metrics.revision.set(to_gauge(face.view.published.borrow().revision.0));
-    Ok(face.metrics.text()?)
+pub(super) async fn metrics(State(api): ApiState) -> Result<String, OperatorError> {
+    api.metrics.revision.set(to_gauge(api.view.published.borrow().revision.0));
+    Ok(api.metrics.encode_text()?)
 }
 
 #[derive(Serialize)]
@@ -82,8 +82,8 @@
 }
 
 /// `GET /v1/status`
-pub(super) async fn status(State(face): Face) -> Json<StatusBody> {
-    let status = face.view.status.borrow().clone();
+pub(super) async fn status(State(api): ApiState) -> Json<StatusBody> {
+    let status = api.view.status.borrow().clone();
     Json(StatusBody {
         node: status.id.node,
         disk: status.id.disk.to_string(),
@@ -95,8 +95,8 @@
         applied_index: status.applied,
         last_index: status.last.index,
         snapshot_index: status.snapshot.index,
-        revision: face.view.published.borrow().revision,
-        confirmed_ms: confirmed_ms(&face),
+        revision: api.view.published.borrow().revision,
+        confirmed_ms: confirmed_ms(&api),
         members: status.membership.members.iter().map(MemberItem::from).collect(),
     })
 }
--- a/crates/control/src/operator/writes.rs
+++ b/crates/control/src/operator/writes.rs
@@ -1,9 +1,9 @@
-//! Writing the settings tree.
+//! Write access to the settings tree.
 //!
-//! A change names the revision it builds on. A drain and a rollback may leave it
-//! out: they then build on the revision in force when they arrive. Their resent
-//! form would build on a later one, so the log reports the change id as used;
-//! it gets the first answer if the recorded change did what is asked again.
+//! A change states its base revision. A drain, and optionally a rollback, is based on the revision in
+//! force on arrival instead. A retry of such a call then has a later base, so the log rejects its
+//! change id as used; the retry still gets the answer of the first call if the recorded change did
+//! the same.
 
 use axum::Json;
 use axum::extract::rejection::JsonRejection;
@@ -17,12 +17,12 @@
 use juniper_types::{ChangeId, EngineId, Revision};
 use serde::{Deserialize, Serialize};
 
-use super::OperatorFace;
+use super::OperatorApi;
 use super::error::OperatorError;
-use super::settings::{Face, read};
+use super::settings::{ApiState, read};
 use crate::clock::unix_millis;
 
-/// Author of a write that names none.
+/// Author of a write without one.
 const DEFAULT_AUTHOR: &str = "operator";
 
 #[derive(Debug, Deserialize)]
@@ -44,12 +44,12 @@
 
 /// `POST /v1/settings/changes`
 pub(super) async fn change(
-    State(face): Face,
+    State(api): ApiState,
     body: Result<Json<ChangeBody>, JsonRejection>,
 ) -> Accepted {
     let Json(body) = body?;
     let header = header(body.base_revision, body.change_id, body.author)?;
-    write(&face, Command::ChangeSettings { header, change: body.edits }).await
+    write(&api, Command::ChangeSettings { header, change: body.edits }).await
 }
 
 #[derive(Debug, Deserialize)]
@@ -65,19 +65,19 @@
 
 /// `POST /v1/settings/rollbacks`
 pub(super) async fn rollback(
-    State(face): Face,
+    State(api): ApiState,
     body: Result<Json<RollbackBody>, JsonRejection>,
 ) -> Accepted {
     let Json(body) = body?;
     let to = body.to;
     if let Some(base) = body.base_revision {
         let header = header(base, body.change_id, body.author)?;
-        return write(&face, Command::Rollback { header, to }).await;
+        return write(&api, Command::Rollback { header, to }).await;
     }
-    let base = read(&face, false, |state| state.settings().revision()).await?;
+    let base = read(&api, false, |state| state.settings().revision()).await?;
     let header = header(base, body.change_id, body.author)?;
-    let written = write(&face, Command::Rollback { header, to }).await;
-    first_answer(&face, written, move |entry| entry.rolled_back_to == Some(to)).await
+    let written = write(&api, Command::Rollback { header, to }).await;
+    first_answer(&api, written, move |entry| entry.rolled_back_to == Some(to)).await
 }
 
 #[derive(Debug, Deserialize)]
@@ -86,7 +86,7 @@
     change_id: ChangeId,
     #[serde(default)]
     author: Option<String>,
-    /// False takes the back end into service again.
+    /// False returns the back end to service.
     #[serde(default = "default_leaving")]
     leaving: bool,
 }
@@ -95,25 +95,25 @@
     true
 }
 
-/// `POST /v1/back-ends/{id}/drain`: a settings change upon the current revision.
-/// A write that comes in between makes it a conflict, like any other change.
+/// `POST /v1/back-ends/{id}/drain`: changes the settings at the current revision. A concurrent write
+/// makes this a conflict, as for any other change.
 pub(super) async fn drain(
-    State(face): Face,
+    State(api): ApiState,
     Path(id): Path<u32>,
     body: Result<Json<DrainBody>, JsonRejection>,
 ) -> Accepted {
     let Json(body) = body?;
     let id = EngineId(id);
     let leaving = body.leaving;
-    let (revision, edit) = read(&face, false, move |state| {
+    let (revision, edit) = read(&api, false, move |state| {
         let settings = state.settings();
         (settings.revision(), drain_edit(settings.tree(), id, leaving))
     })
     .await?;
     let change = ChangeSet { edits: vec![edit.ok_or(OperatorError::NoBackEnd(id))?] };
     let header = header(revision, body.change_id, body.author)?;
-    let written = write(&face, Command::ChangeSettings { header, change }).await;
-    first_answer(&face, written, move |entry| has_drained(entry, id, leaving)).await
+    let written = write(&api, Command::ChangeSettings { header, change }).await;
+    first_answer(&api, written, move |entry| has_drained(entry, id, leaving)).await
 }
 
 fn drain_edit(tree: &ValidatedTree, id: EngineId, leaving: bool) -> Option<Edit> {
@@ -124,26 +124,26 @@
     Some(Edit::Put { path, node: Box::new(node) })
 }
 
-/// Whether a change left the back end as asked. One that found it so already
-/// recorded no change of any node.
+/// Whether a change set the back end's drain state as requested. A drain without effect is recorded
+/// without changes of nodes.
 fn has_drained(entry: &HistoryEntry, id: EngineId, leaving: bool) -> bool {
     let after = entry.changes.iter().filter_map(|change| change.after.as_ref());
     let mut changed = after.flat_map(|node| &node.back_ends).filter(|back_end| back_end.id == id);
-    let was_so_already = entry.changes.is_empty() && entry.rolled_back_to.is_none();
-    was_so_already || changed.any(|back_end| back_end.leaving == leaving)
+    let had_no_effect = entry.changes.is_empty() && entry.rolled_back_to.is_none();
+    had_no_effect || changed.any(|back_end| back_end.leaving == leaving)
 }
 
-/// Turns a used change id into the first answer if `is_same` holds for the
-/// change that it was used for.
+/// Replaces the rejection of a used change id by the answer of the first call, if `is_same` holds for
+/// the change recorded under that id.
 async fn first_answer(
-    face: &OperatorFace,
+    api: &OperatorApi,
     written: Accepted,
     is_same: impl Fn(&HistoryEntry) -> bool + Clone + Send + 'static,
 ) -> Accepted {
     let Err(OperatorError::ChangeIdReused { revision }) = written else {
         return written;
     };
-    let same = read(face, false, move |state| {
+    let same = read(api, false, move |state| {
         let mut entries = state.settings().history().entries();
         entries.any(|entry| entry.revision == revision && is_same(entry))
     });
@@ -165,12 +165,12 @@
     Ok(WriteHeader { base, change_id, author, at_ms: unix_millis() })
 }
 
-async fn write(face: &OperatorFace, command: Command) -> Accepted {
+async fn write(api: &OperatorApi, command: Command) -> Accepted {
     let bytes = to_bytes(&command).len();
     if bytes > MAX_COMMAND_BYTES {
         return Err(OperatorError::TooLarge { bytes, limit: MAX_COMMAND_BYTES });
     }
-    match face.group.write(&command).await? {
+    match api.group.write(&command).await? {
         Answer::Write(answer) => accepted(answer),
         _ => Err(OperatorError::Refused(Refusal::Unknown)),
     }
--- a/crates/control/src/peers/link.rs
+++ b/crates/control/src/peers/link.rs
@@ -1,8 +1,7 @@
-//! One outgoing connection to another replica.
+//! Outgoing connection to another replica.
 //!
-//! Messages of the agreement go one way on it and are dropped while the peer is
-//! away; the peer's own messages come over the connection that it opens. Calls
-//! get their replies back on it.
+//! Carries consensus messages in one direction, dropped while the peer is unavailable, and calls with
+//! their replies. The peer's own consensus messages arrive on the connection that the peer opens.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,25 +22,24 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-/// Time within which a connection must stand.
+/// Timeout of connection setup, handshake included.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// A peer that takes no byte for this long is cut off.
+/// Timeout of writing one frame, after which the connection is closed.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Messages that wait to be sent to one peer.
+/// Maximum number of messages queued for a peer.
 const MAILBOX_CAPACITY: usize = 4_096;
 
-/// Bytes that wait to be sent to one peer: a full window of appends.
+/// Maximum number of bytes of one-way messages queued for a peer: a full window of appends.
 const MAX_QUEUED_BYTES: usize = 32 << 20;
 
-/// Range of the pause before a lost connection is opened again. It doubles with
-/// each failure, and half of it is drawn at random, so that replicas that lost
-/// a peer together don't return to it together.
-const MIN_PAUSE: Duration = Duration::from_millis(50);
-const MAX_PAUSE: Duration = Duration::from_millis(400);
+/// Range of the delay before reconnecting, doubled with each failure. Half of the delay is random, so
+/// that replicas that lost a peer at the same time don't reconnect at the same time.
+const MIN_BACKOFF: Duration = Duration::from_millis(50);
+const MAX_BACKOFF: Duration = Duration::from_millis(400);
 
-/// What a link needs to connect.
+/// Target of a link.
 #[derive(Clone)]
 pub(super) struct LinkTarget {
     pub node: NodeId,
@@ -50,7 +48,7 @@
     pub own: PeerIdentity,
 }
 
-/// A handle to send to one peer.
+/// Handle to a link with one peer.
 #[derive(Clone)]
 pub(super) struct Link {
     actor: ActorRef<LinkActor>,
@@ -65,7 +63,7 @@
         Link { actor, queued_bytes }
     }
 
-    /// Queues an encoded frame, or drops it if too much waits.
+    /// Queues an encoded frame, or drops it if the queue is full.
     pub fn send(&self, payload: Vec<u8>) {
         let bytes = payload.len();
         if self.queued_bytes.load(Ordering::Relaxed) + bytes > MAX_QUEUED_BYTES {
@@ -77,25 +75,25 @@
         }
     }
 
-    /// Calls the peer and waits for the reply at most `limit`.
-    pub async fn call(&self, request: Request, limit: Duration) -> Result<Reply, CallError> {
+    /// Calls the peer and waits for the reply for at most `time_limit`.
+    pub async fn call(&self, request: Request, time_limit: Duration) -> Result<Reply, CallError> {
         let (answer, reply) = oneshot::channel();
         let exchange = async {
             let call = SendCall { request, answer };
             self.actor.tell(call).await.map_err(|_| CallError::Unreachable)?;
             reply.await.map_err(|_| CallError::Disconnected)?
         };
-        timeout(limit, exchange).await.map_err(|_| CallError::TimedOut)?
+        timeout(time_limit, exchange).await.map_err(|_| CallError::TimedOut)?
     }
 }
 
-/// The actor behind a [`Link`].
+/// Actor that owns the connection of a [`Link`].
 struct LinkActor {
     target: LinkTarget,
     own_ref: ActorRef<LinkActor>,
     queued_bytes: Arc<AtomicUsize>,
     calls: OpenCalls,
-    pause: Duration,
+    backoff: Duration,
     retry_at: Instant,
 }
 
@@ -110,13 +108,13 @@
             own_ref: actor,
             queued_bytes,
             calls: OpenCalls::default(),
-            pause: MIN_PAUSE,
+            backoff: MIN_BACKOFF,
             retry_at: Instant::now(),
         })
     }
 }
 
-/// An encoded frame that gets no reply.
+/// Actor message: send an encoded frame without a reply.
 struct SendOneWay(Vec<u8>);
 
 impl Message<SendOneWay> for LinkActor {
@@ -130,7 +128,7 @@
     }
 }
 
-/// A call, and where its reply goes.
+/// Actor message: send a call and pass its reply to `answer`.
 struct SendCall {
     request: Request,
     answer: ReplySender,
@@ -174,7 +172,7 @@
                 true
             }
             _ => {
-                self.back_off();
+                self.schedule_retry();
                 false
             }
         }
@@ -182,7 +180,7 @@
 
     fn use_connection(&mut self, connection: Connection) {
         log::info!("event=replica_connected peer={}", self.target.node);
-        self.pause = MIN_PAUSE;
+        self.backoff = MIN_BACKOFF;
         let reader = self.calls.set_connection(connection);
         let actor = self.own_ref.clone();
         tokio::spawn(reader.run(async move |incoming| actor.tell(incoming).await.is_ok()));
@@ -199,13 +197,13 @@
     fn disconnect(&mut self) {
         log::warn!("event=replica_disconnected peer={}", self.target.node);
         self.calls.disconnect();
-        self.back_off();
+        self.schedule_retry();
     }
 
-    fn back_off(&mut self) {
-        let half = self.pause / 2;
+    fn schedule_retry(&mut self) {
+        let half = self.backoff / 2;
         let jitter = half.mul_f64(rand::rng().random_range(0.0..1.0));
         self.retry_at = Instant::now() + half + jitter;
-        self.pause = (self.pause * 2).min(MAX_PAUSE);
+        self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
     }
 }
--- a/crates/control/src/peers/mod.rs
+++ b/crates/control/src/peers/mod.rs
@@ -16,19 +16,19 @@
 
 use link::{Link, LinkTarget};
 
-/// One link to each replica that there was something to send to.
+/// Links to other replicas, created on first use.
 pub struct PeerLinks {
     links: Mutex<BTreeMap<NodeId, Link>>,
     listed: BTreeMap<NodeId, SocketAddr>,
-    /// Whether the number of a node that isn't listed is its address.
-    addressed: bool,
+    /// Whether the identifier of a node that isn't listed encodes its address.
+    ids_are_addresses: bool,
     key: ClusterKey,
     own: PeerIdentity,
 }
 
 impl PeerLinks {
-    /// Links to the listed peers and, if numbers are addresses, to any other node.
-    /// Each connects when there is something to send.
+    /// Creates links to the listed peers and, with seeded discovery, to any other node. A link
+    /// connects on first use.
     pub fn new(
         listed: &[Peer],
         discovery: &PeerDiscovery,
@@ -38,7 +38,7 @@
         PeerLinks {
             links: Mutex::default(),
             listed: listed.iter().map(|peer| (peer.id, peer.address)).collect(),
-            addressed: matches!(discovery, PeerDiscovery::Seeded { .. }),
+            ids_are_addresses: matches!(discovery, PeerDiscovery::Seeded { .. }),
             key: key.clone(),
             own: own.clone(),
         }
@@ -49,22 +49,22 @@
         if let Some(link) = links.get(&node) {
             return Some(link.clone());
         }
-        let by_number = || node.address().filter(|_| self.addressed).map(SocketAddr::V4);
-        let address = self.listed.get(&node).copied().or_else(by_number)?;
+        let address_in_id =
+            || node.address().filter(|_| self.ids_are_addresses).map(SocketAddr::V4);
+        let address = self.listed.get(&node).copied().or_else(address_in_id)?;
         let (key, own) = (self.key.clone(), self.own.clone());
         let link = Link::spawn(LinkTarget { node, address, key, own });
         links.insert(node, link.clone());
         Some(link)
     }
 
-    /// Sends a message of the agreement, or drops it if the peer takes none at
-    /// the moment; the agreement repeats what matters.
+    /// Sends a consensus message. The message is dropped if the peer is unavailable; the consensus
+    /// protocol retransmits where needed.
     pub fn send(&self, message: &Message) {
         self.send_encoded(message.to, encode(&Frame::Consensus { payload: encode(message) }));
     }
 
-    /// Sends an encoded message that gets no reply, or drops it if the replica takes none at
-    /// the moment.
+    /// Sends an encoded message without a reply. The message is dropped if the peer is unavailable.
     pub(crate) fn send_encoded(&self, node: NodeId, payload: Vec<u8>) {
         if let Some(link) = self.link(node) {
             link.send(payload);
@@ -74,20 +74,20 @@
     /// Calls the replica on `node`.
     ///
     /// # Errors
-    /// Fails when there is no reply within `limit`.
+    /// Fails if there is no reply within `time_limit`.
     pub async fn call(
         &self,
         node: NodeId,
         request: Request,
-        limit: Duration,
+        time_limit: Duration,
     ) -> Result<Reply, CallError> {
         match self.link(node) {
-            Some(link) => link.call(request, limit).await,
+            Some(link) => link.call(request, time_limit).await,
             None => Err(CallError::Unreachable),
         }
     }
 
-    /// The configured replicas.
+    /// Identifiers of the configured replicas.
     pub fn nodes(&self) -> impl Iterator<Item = NodeId> {
         self.listed.keys().copied()
     }
--- a/crates/control/src/published.rs
+++ b/crates/control/src/published_settings.rs
@@ -1,7 +1,7 @@
-//! The latest settings changes, encoded once and read by every subscriber.
+//! Latest settings changes, encoded once for all subscribers.
 //!
-//! A change is encoded by the replica when it is applied. A subscriber copies
-//! bytes from here, so its cost is that of writing them to its connection.
+//! The replica encodes a change when applying it, so serving a further subscriber costs only the
+//! write to its connection.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -12,29 +12,29 @@
 use juniper_settings::validated::to_change_set;
 use juniper_types::Revision;
 
-/// Most changes kept; a subscriber further behind gets the whole tree.
+/// Maximum number of stored changes; subscribers further behind get the complete tree.
 const MAX_DELTAS: usize = 256;
 
-/// Most bytes of changes kept.
+/// Maximum size of all stored changes, in bytes.
 const MAX_DELTA_BYTES: usize = 8 << 20;
 
-/// Most bytes of several changes sent to catch up. Beyond that the whole tree is
-/// sent, whose sending is bounded, so that a herd of restarted nodes can't ask
-/// for megabytes each at once.
+/// Maximum size of the changes sent to a subscriber to catch up, in bytes, if there are several.
+/// Beyond that the complete tree is sent, whose concurrency is limited, so that many restarted nodes
+/// can't request megabytes each at once.
 const MAX_CATCH_UP_BYTES: usize = 1 << 20;
 
-/// An encoded [`Message::Push`].
+/// Encoded [`Message::Push`] of settings.
 #[derive(Debug)]
 pub struct PushFrame {
-    /// The revision that is in force after the push.
+    /// Revision after applying the push.
     pub revision: Revision,
-    /// The encoded message.
+    /// Encoded message.
     pub payload: Vec<u8>,
 }
 
 impl PushFrame {
-    /// Encodes one accepted change.
-    pub fn of_change(entry: &HistoryEntry) -> Self {
+    /// Encodes an accepted change.
+    pub fn from_change(entry: &HistoryEntry) -> Self {
         let change = to_change_set(&entry.changes);
         let delta = SettingsDelta { revision: entry.revision, change };
         let payload = encode(&Message::Push(Push::Delta(delta)));
@@ -42,18 +42,18 @@
     }
 }
 
-/// What subscribers see.
+/// Settings changes published to subscribers.
 #[derive(Clone, Debug, Default)]
-pub struct Published {
+pub struct PublishedSettings {
     /// Latest committed revision on this replica.
     pub revision: Revision,
     deltas: VecDeque<Arc<PushFrame>>,
 }
 
-impl Published {
-    /// Nothing but a revision, after a start or an installed snapshot.
+impl PublishedSettings {
+    /// Creates an empty set of changes at `revision`, after startup or a snapshot installation.
     pub fn at(revision: Revision) -> Self {
-        Published { revision, deltas: VecDeque::new() }
+        PublishedSettings { revision, deltas: VecDeque::new() }
     }
 
     /// Adds the next change.
@@ -66,8 +66,8 @@
         }
     }
 
-    /// The changes after `from`, if all of them are kept and few enough bytes. The
-    /// very next change is always served, whatever its size.
+    /// Returns the changes after `from`, or `None` if some are no longer stored or their total size
+    /// is too large. A single change is returned whatever its size.
     pub fn after(&self, from: Revision) -> Option<Vec<Arc<PushFrame>>> {
         if from >= self.revision {
             return Some(Vec::new());
--- a/crates/control/src/relay.rs
+++ b/crates/control/src/relay.rs
@@ -1,13 +1,12 @@
-//! Passes on what routers tell each other.
+//! Relay of updates between routers.
 //!
-//! A router tells the replica that it listens to; that replica tells the other replicas once,
-//! and each of them its own listeners. So what one router says crosses to each zone once,
-//! whatever the number of routers there, and a replica's work grows with its own listeners.
-//! What comes within `GATHER_TIME` travels in one message that is encoded once for all
-//! listeners, so that neither wakes up for each prompt.
+//! A router sends its updates to the replica that it is subscribed to. That replica forwards them
+//! once to each other replica, and every replica to its own subscribers. An update thus crosses to
+//! each zone once, whatever the number of routers there, and the work of a replica grows only with
+//! its own subscribers. Updates received within `BATCH_INTERVAL` share one message, encoded once for
+//! all subscribers.
 //!
-//! Nothing here is repeated: what is lost costs a read of a prompt, or an attempt to reach a
-//! server that is down.
+//! There are no retransmissions: a lost update costs a cache miss or a failed connection attempt.
 
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
@@ -20,98 +19,97 @@
 
 use crate::metrics::Metrics;
 use crate::peers::PeerLinks;
-use crate::renewals::SharedFrame;
+use crate::renewal_log::SharedFrame;
 use crate::replica::ReplicaView;
 
-/// Time for which news are gathered. Two of them pass between two zones. Chosen below the 25 ms
-/// for which each router gathered before; other times were not tried.
-const GATHER_TIME: Duration = Duration::from_millis(15);
+/// Time for which updates are batched. An update between zones waits twice: on the replica that
+/// receives it, and on the one that delivers it.
+const BATCH_INTERVAL: Duration = Duration::from_millis(15);
 
-/// Messages of one router that are gathered at most; more are lost. It is some seconds of
-/// the fleet designed for.
-const MAX_GATHERED: usize = 8_192;
+/// Maximum number of pending updates, some seconds' worth at design load; further ones are dropped.
+const MAX_PENDING_UPDATES: usize = 8_192;
 
-/// Encoded messages that wait for a slow listener; older ones are lost for it. It is about
-/// a second.
-const WAITING_FRAMES: usize = 64;
+/// Maximum number of messages queued for a slow subscriber, about one second's worth; older ones
+/// are dropped.
+const MAX_QUEUED_FRAMES: usize = 64;
 
-/// News that wait to be passed on.
+/// Updates that wait to be relayed.
 #[derive(Debug, Default)]
-struct Gathered {
-    /// From routers that listen here. The other replicas have to be told.
+struct PendingUpdates {
+    /// Updates from routers connected to this replica, to be forwarded to the other replicas too.
     from_routers: Vec<RelayedUpdate>,
-    /// From the other replicas.
+    /// Updates forwarded by other replicas.
     from_replicas: Vec<RelayedUpdate>,
 }
 
-impl Gathered {
+impl PendingUpdates {
     fn len(&self) -> usize {
         self.from_routers.len() + self.from_replicas.len()
     }
 }
 
-/// What routers tell each other, on its way through this replica.
-pub struct NewsRelay {
-    gathered: Mutex<Gathered>,
+/// Relay of router updates through this replica.
+pub struct UpdateRelay {
+    pending: Mutex<PendingUpdates>,
     wake: Notify,
     frames: broadcast::Sender<SharedFrame>,
     metrics: Arc<Metrics>,
 }
 
-impl NewsRelay {
-    /// Nothing waits yet.
+impl UpdateRelay {
+    /// Creates a relay without pending updates.
     pub fn new(metrics: Arc<Metrics>) -> Self {
-        NewsRelay {
-            gathered: Mutex::default(),
+        UpdateRelay {
+            pending: Mutex::default(),
             wake: Notify::new(),
-            frames: broadcast::Sender::new(WAITING_FRAMES),
+            frames: broadcast::Sender::new(MAX_QUEUED_FRAMES),
             metrics,
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Gathered> {
-        self.gathered.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, PendingUpdates> {
+        self.pending.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// A router that listens here tells something.
-    pub(crate) fn hear_router(&self, from: &PeerIdentity, update: RouterUpdate) {
-        let told = RelayedUpdate { from: from.node, zone: from.zone.clone(), update };
-        self.gather(vec![told], |gathered| &mut gathered.from_routers);
+    /// Accepts an update from a router connected to this replica.
+    pub(crate) fn accept_router_update(&self, from: &PeerIdentity, update: RouterUpdate) {
+        let relayed = RelayedUpdate { from: from.node, zone: from.zone.clone(), update };
+        self.add_pending(vec![relayed], |pending| &mut pending.from_routers);
     }
 
-    /// Another replica passes on what its routers told.
-    pub(crate) fn hear_replica(&self, told: Vec<RelayedUpdate>) {
-        self.gather(told, |gathered| &mut gathered.from_replicas);
+    /// Accepts updates forwarded by another replica.
+    pub(crate) fn accept_peer_updates(&self, updates: Vec<RelayedUpdate>) {
+        self.add_pending(updates, |pending| &mut pending.from_replicas);
     }
 
-    fn gather(
+    fn add_pending(
         &self,
-        told: Vec<RelayedUpdate>,
-        place: impl Fn(&mut Gathered) -> &mut Vec<RelayedUpdate>,
+        updates: Vec<RelayedUpdate>,
+        list: impl Fn(&mut PendingUpdates) -> &mut Vec<RelayedUpdate>,
     ) {
-        let mut gathered = self.lock();
-        if gathered.len() + told.len() > MAX_GATHERED {
-            drop(gathered);
-            self.lost(told.len() as u64, "too_many_gathered");
+        let mut pending = self.lock();
+        if pending.len() + updates.len() > MAX_PENDING_UPDATES {
+            drop(pending);
+            self.record_dropped(updates.len() as u64, "too_many_gathered");
             return;
         }
-        place(&mut gathered).extend(told);
-        drop(gathered);
+        list(&mut pending).extend(updates);
+        drop(pending);
         self.wake.notify_one();
     }
 
-    /// Counts messages that were lost on their way through this replica.
-    fn lost(&self, messages: u64, reason: &'static str) {
+    /// Counts and logs updates dropped by this replica.
+    fn record_dropped(&self, messages: u64, reason: &'static str) {
         self.metrics.relayed_lost.inc_by(messages);
         log::warn!("event=router_news_lost messages={messages} reason={reason}");
     }
 
-    /// Passes on what comes, for ever.
+    /// Relays updates until cancelled.
     pub(crate) async fn run(&self, peers: &PeerLinks, view: &ReplicaView) {
         loop {
             self.wake.notified().await;
-            sleep(GATHER_TIME).await;
-            let Gathered { from_routers, from_replicas } = std::mem::take(&mut *self.lock());
+            sleep(BATCH_INTERVAL).await;
+            let PendingUpdates { from_routers, from_replicas } = std::mem::take(&mut *self.lock());
             if !from_routers.is_empty() {
                 let payload = encode(&Message::RelayedUpdate(from_routers.clone()));
                 other_replicas(view).for_each(|node| peers.send_encoded(node, payload.clone()));
@@ -119,14 +117,14 @@
             let mut all = from_routers;
             all.extend(from_replicas);
             self.metrics.relayed.inc_by(all.len() as u64);
-            // Nobody may listen at the moment.
+            // Fails if there is no subscriber at the moment.
             let _ = self.frames.send(Arc::new(encode(&Message::RelayedUpdate(all))));
         }
     }
 
-    /// What is passed on from now on.
-    pub(crate) fn listen(&self) -> RelayListener<'_> {
-        RelayListener { relay: self, frames: self.frames.subscribe() }
+    /// Subscribes to all updates relayed from now on.
+    pub(crate) fn subscribe(&self) -> RelaySubscription<'_> {
+        RelaySubscription { relay: self, frames: self.frames.subscribe() }
     }
 }
 
@@ -137,21 +135,21 @@
     members.filter(|node| *node != own).collect::<Vec<_>>().into_iter()
 }
 
-/// What one listener is sent.
-pub(crate) struct RelayListener<'a> {
-    relay: &'a NewsRelay,
+/// Subscription to relayed updates.
+pub(crate) struct RelaySubscription<'a> {
+    relay: &'a UpdateRelay,
     frames: broadcast::Receiver<SharedFrame>,
 }
 
-impl RelayListener<'_> {
-    /// The next message; `None` once the replica has ended. What a slow listener has missed
-    /// is lost for it.
+impl RelaySubscription<'_> {
+    /// Returns the next encoded message, or `None` once the replica has ended. Messages dropped for
+    /// a slow subscriber are skipped.
     pub(crate) async fn next(&mut self) -> Option<SharedFrame> {
         loop {
             match self.frames.recv().await {
                 Ok(frame) => return Some(frame),
                 Err(broadcast::error::RecvError::Lagged(missed)) => {
-                    self.relay.lost(missed, "slow_listener");
+                    self.relay.record_dropped(missed, "slow_listener");
                 }
                 Err(broadcast::error::RecvError::Closed) => return None,
             }
--- a/crates/control/src/renewals.rs
+++ b/crates/control/src/renewal_log.rs
@@ -1,9 +1,9 @@
-//! What routers are told of renewals: which servers take no new requests, and which weights
-//! servers are known to have before they say so themselves.
+//! Rollout state published to routers: servers that take no new requests because their weights are
+//! being replaced, and weight versions known ahead of the servers' own reports.
 //!
-//! A rollout changes this dozens of times a second, and every router is told. So changes are
-//! gathered by whoever calls [`RenewalLog::publish`], told as what they change, and encoded
-//! once for all followers.
+//! A rollout changes this state dozens of times a second, and every router needs each change. The
+//! caller of [`RenewalLog::publish`] therefore batches changes; each batch is sent as a difference
+//! and encoded once for all subscribers.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -12,38 +12,38 @@
 use juniper_protocol::{Message, Push};
 use juniper_registry::InstanceId;
 
-/// Changes that are kept for followers; one that is further behind gets everything.
+/// Maximum number of stored changes; subscribers further behind get the complete state.
 const MAX_CHANGES: usize = 32;
 
-/// An encoded push for many followers.
+/// Encoded message shared by many subscribers.
 pub type SharedFrame = Arc<Vec<u8>>;
 
-/// What the one who gives orders knows.
+/// Rollout state as known to the order dispatcher.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Renewals {
-    /// Servers that take no new requests until they have new weights.
+    /// Servers that take no new requests until their weights are replaced.
     pub under_way: BTreeSet<InstanceId>,
-    /// Version of a model's weights by server, where the server's own report has an older one.
+    /// Version of a model's weights by server and model, where the server's own report is older.
     pub versions: BTreeMap<(InstanceId, String), u64>,
 }
 
 impl Renewals {
-    /// Everything.
-    fn whole(&self) -> RenewalUpdate {
+    /// Returns the complete state.
+    fn complete_update(&self) -> RenewalUpdate {
         let versions = self.versions.iter().map(known_version).collect();
-        let news = RenewalUpdate { is_complete: true, versions, ..RenewalUpdate::default() };
-        news.with_servers(&self.under_way, [])
+        let update = RenewalUpdate { is_complete: true, versions, ..RenewalUpdate::default() };
+        update.with_servers(&self.under_way, [])
     }
 
-    /// What differs from `earlier`. A version that is missing here is in the server's own report
-    /// by now.
-    fn change_from(&self, earlier: &Renewals) -> RenewalUpdate {
+    /// Returns the changes since `earlier`. Versions that are absent here have reached the servers'
+    /// own reports, so they need no update.
+    fn changes_since(&self, earlier: &Renewals) -> RenewalUpdate {
         let is_new =
             |known: &(&(InstanceId, String), &u64)| earlier.versions.get(known.0) != Some(known.1);
         let versions = self.versions.iter().filter(is_new).map(known_version).collect();
-        let begun = self.under_way.difference(&earlier.under_way);
+        let started = self.under_way.difference(&earlier.under_way);
         let ended = earlier.under_way.difference(&self.under_way);
-        RenewalUpdate { versions, ..RenewalUpdate::default() }.with_servers(begun, ended)
+        RenewalUpdate { versions, ..RenewalUpdate::default() }.with_servers(started, ended)
     }
 }
 
@@ -57,35 +57,35 @@
     }
 }
 
-fn frame(news: RenewalUpdate) -> SharedFrame {
-    Arc::new(encode(&Message::Push(Push::Renewals(news))))
+fn encode_frame(update: RenewalUpdate) -> SharedFrame {
+    Arc::new(encode(&Message::Push(Push::Renewals(update))))
 }
 
-/// The latest changes, encoded.
+/// Log of the latest rollout changes, encoded.
 #[derive(Debug, Default)]
 pub struct RenewalLog {
     latest: Renewals,
     published: Renewals,
-    /// Number of the latest published change.
+    /// Revision of the latest published change.
     revision: u64,
-    /// The latest changes, the oldest first.
+    /// Latest changes, oldest first.
     changes: VecDeque<SharedFrame>,
 }
 
 impl RenewalLog {
-    /// Notes what is known now. Returns whether there is something to publish.
-    pub fn announce(&mut self, latest: Renewals) -> bool {
+    /// Sets the latest state. Returns whether there are changes to publish.
+    pub fn set_latest(&mut self, latest: Renewals) -> bool {
         self.latest = latest;
         self.latest != self.published
     }
 
-    /// Publishes what was announced since. Returns the number of the latest change.
+    /// Publishes the changes since the last call. Returns the latest revision.
     pub fn publish(&mut self) -> u64 {
-        let change = self.latest.change_from(&self.published);
+        let change = self.latest.changes_since(&self.published);
         self.published = self.latest.clone();
         if !change.is_empty() {
             self.revision += 1;
-            self.changes.push_back(frame(change));
+            self.changes.push_back(encode_frame(change));
             if self.changes.len() > MAX_CHANGES {
                 self.changes.pop_front();
             }
@@ -93,15 +93,15 @@
         self.revision
     }
 
-    /// What a follower that has everything up to `sent` has to be told, with the number of the
-    /// latest change.
+    /// Returns the latest revision and the messages that bring a subscriber up to date from
+    /// revision `sent`.
     pub fn frames_after(&self, sent: Option<u64>) -> (u64, Vec<SharedFrame>) {
         let missing = sent.and_then(|sent| self.revision.checked_sub(sent));
         let missing = missing.and_then(|missing| usize::try_from(missing).ok());
         let frames = match missing.filter(|missing| *missing <= self.changes.len()) {
             Some(missing) => self.changes.iter().rev().take(missing).rev().cloned().collect(),
             None if self.revision == 0 => Vec::new(),
-            None => vec![frame(self.published.whole())],
+            None => vec![encode_frame(self.published.complete_update())],
         };
         (self.revision, frames)
     }
--- a/crates/control/src/replica/actor.rs
+++ b/crates/control/src/replica/actor.rs
@@ -1,4 +1,4 @@
-//! The actor that drives the agreement.
+//! Actor that drives the consensus protocol.
 
 mod messages;
 
@@ -13,46 +13,46 @@
 use kameo::message::Context;
 use tokio::sync::{oneshot, watch};
 
-use super::machine::{Machine, MachineError};
 use super::pending::{PendingProposals, PendingReads};
+use super::state_machine::{StateMachine, StateMachineError};
 use crate::metrics::{Metrics, to_gauge};
 use crate::peers::PeerLinks;
 
-use messages::Encoded;
+use messages::SnapshotEncoded;
 pub(super) use messages::{
-    HandOver, Persisted, Propose, Query, Received, Retire, SnapshotFrame, Tick, WriteFailed,
-    WriterEnded,
+    Persisted, Propose, Query, Received, Retire, SnapshotFrame, Tick, TransferLeadership,
+    WriteFailed, WriterEnded,
 };
 
-/// A write that takes this long counts as stalled. Syncs take milliseconds, and a
-/// hand-over that wasn't needed costs less than an election.
-const STALLED_AFTER: Duration = Duration::from_secs(1);
+/// Duration of a disk write after which the disk is considered stalled. Syncs take milliseconds, and
+/// an unnecessary leadership transfer costs less than an election.
+const STALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Why a replica ended by itself. It acknowledges nothing from then on.
+/// Reason why a replica failed. A failed replica acknowledges nothing.
 #[derive(Debug, thiserror::Error)]
 pub enum ReplicaFailure {
     /// The disk failed.
     #[error("storage failed: {0}")]
     Storage(#[from] StorageError),
-    /// The agreement has put the replica out of service.
-    #[error("{0}; wipe its data folder to let it join anew")]
+    /// The consensus protocol stopped the replica.
+    #[error("{0}; wipe the data folder to rejoin the cluster")]
     Stopped(#[from] StopReason),
-    /// The state can't be kept up.
+    /// The state machine can't apply the log.
     #[error(transparent)]
-    Machine(#[from] MachineError),
-    /// The replica's actor is gone; it must have panicked.
-    #[error("the replica ended unexpectedly")]
-    Gone,
-    /// The thread that writes is gone.
-    #[error("the writer thread ended")]
-    WriterGone,
+    StateMachine(#[from] StateMachineError),
+    /// The replica's actor ended without a reason, presumably by a panic.
+    #[error("replica ended unexpectedly")]
+    ActorEnded,
+    /// The writer thread ended.
+    #[error("writer thread ended")]
+    WriterEnded,
 }
 
-/// Owns the agreement and the replicated state.
+/// Owner of the consensus protocol and the replicated state.
 #[derive(Actor)]
 pub struct ReplicaActor {
     replica: Replica,
-    machine: Machine,
+    state_machine: StateMachine,
     proposals: PendingProposals,
     reads: PendingReads,
     writes: mpsc::Sender<Write>,
@@ -60,16 +60,16 @@
     status: watch::Sender<Status>,
     metrics: Arc<Metrics>,
     failure: Option<oneshot::Sender<ReplicaFailure>>,
-    /// A snapshot is being encoded.
-    encoding: bool,
-    /// When the write that storage works on was handed over.
+    /// Whether a snapshot is being encoded.
+    is_encoding: bool,
+    /// Start of the disk write in progress.
     writing_since: Option<Instant>,
 }
 
-/// What an actor is made of.
+/// Parts of a replica actor.
 pub(super) struct ActorParts {
     pub replica: Replica,
-    pub machine: Machine,
+    pub state_machine: StateMachine,
     pub writes: mpsc::Sender<Write>,
     pub peers: Arc<PeerLinks>,
     pub status: watch::Sender<Status>,
@@ -81,7 +81,7 @@
     pub(super) fn new(parts: ActorParts) -> Self {
         ReplicaActor {
             replica: parts.replica,
-            machine: parts.machine,
+            state_machine: parts.state_machine,
             proposals: PendingProposals::default(),
             reads: PendingReads::default(),
             writes: parts.writes,
@@ -89,12 +89,12 @@
             status: parts.status,
             metrics: parts.metrics,
             failure: Some(parts.failure),
-            encoding: false,
+            is_encoding: false,
             writing_since: None,
         }
     }
 
-    /// Does everything that the agreement asks for and publishes the outcome.
+    /// Processes all pending output of the consensus protocol and publishes the status.
     fn drive<R: kameo::reply::Reply>(&mut self, context: &mut Context<Self, R>) {
         if let Err(failure) = self.drain_ready() {
             self.fail(failure);
@@ -102,10 +102,10 @@
             return;
         }
         if !self.replica.is_leader() {
-            self.proposals.lose_all();
+            self.proposals.fail_all();
         }
-        if !self.encoding {
-            self.encode_if_due(context.actor_ref());
+        if !self.is_encoding {
+            self.encode_due_snapshot(context.actor_ref());
         }
         self.publish_status();
     }
@@ -122,29 +122,29 @@
 
     fn handle_ready(&mut self, ready: Ready) -> Result<(), ReplicaFailure> {
         if let Some(write) = ready.write {
-            self.writes.send(write).map_err(|_| ReplicaFailure::WriterGone)?;
+            self.writes.send(write).map_err(|_| ReplicaFailure::WriterEnded)?;
             self.writing_since = Some(Instant::now());
         }
         for message in ready.messages {
             self.peers.send(&message);
         }
         if let Some(snapshot) = ready.installed {
-            self.machine.install(&snapshot)?;
-            let revision = self.machine.state().settings().revision();
+            self.state_machine.install(&snapshot)?;
+            let revision = self.state_machine.state().settings().revision();
             let index = snapshot.meta.position.index;
             log::info!("event=snapshot_installed index={index} revision={revision}");
         }
         for entry in ready.committed {
-            let answer = self.machine.apply(&entry)?;
+            let answer = self.state_machine.apply(&entry)?;
             let Some(answer) = answer else { continue };
-            let asked = self.proposals.committed(entry.index, entry.term, answer);
-            if let Some(asked) = asked {
-                self.metrics.commit_seconds.observe(asked.elapsed().as_secs_f64());
+            let proposed_at = self.proposals.complete(entry.index, entry.term, answer);
+            if let Some(proposed_at) = proposed_at {
+                self.metrics.commit_seconds.observe(proposed_at.elapsed().as_secs_f64());
             }
         }
         for read in ready.reads {
             if let Some(call) = self.reads.take(read.context) {
-                call(Ok(self.machine.state()));
+                call(Ok(self.state_machine.state()));
             }
         }
         for context in ready.dropped_reads {
@@ -155,37 +155,37 @@
         Ok(())
     }
 
-    /// Hands leadership over while the disk hangs: the others could go on, but a
-    /// leader answers only what is on its own disk too.
-    fn hand_over_if_stalled(&mut self) {
-        let stalled = self.writing_since.is_some_and(|since| since.elapsed() > STALLED_AFTER);
+    /// Transfers leadership if the disk stalls. A leader answers only writes that are on its own disk,
+    /// while the other replicas could proceed.
+    fn transfer_leadership_if_stalled(&mut self) {
+        let stalled = self.writing_since.is_some_and(|since| since.elapsed() > STALL_TIMEOUT);
         if stalled && self.replica.is_leader() {
             log::warn!("event=disk_stalled");
-            self.hand_over();
+            self.transfer_leadership();
         }
     }
 
-    /// Asks another voter that is heard from to take over, if this replica leads.
-    fn hand_over(&mut self) {
+    /// Transfers leadership to an active voter, if this replica is the leader.
+    fn transfer_leadership(&mut self) {
         let own = self.replica.status().id;
         let active = self.replica.active_members();
         let mut others = active.into_iter().filter(|member| member.node != own.node);
-        let taken = others.find(|other| self.replica.transfer_leadership(other.node).is_ok());
-        if let Some(other) = taken {
+        let target = others.find(|other| self.replica.transfer_leadership(other.node).is_ok());
+        if let Some(other) = target {
             log::info!("event=handing_over to={}", other.node);
         }
     }
 
-    /// Encodes a snapshot beside the actor, if one is due.
-    fn encode_if_due(&mut self, actor: &ActorRef<Self>) {
-        let Some((index, state)) = self.machine.due_snapshot() else { return };
-        self.encoding = true;
+    /// Starts encoding a snapshot on a blocking thread, if one is due.
+    fn encode_due_snapshot(&mut self, actor: &ActorRef<Self>) {
+        let Some((index, state)) = self.state_machine.due_snapshot() else { return };
+        self.is_encoding = true;
         let actor = actor.clone();
         tokio::task::spawn_blocking(move || {
             let data = state.to_snapshot();
             drop(state);
-            // A replica that has ended needs no snapshot.
-            let _ = actor.tell(Encoded { index, data }).blocking_send();
+            // Fails if the replica has ended; the snapshot isn't needed then.
+            let _ = actor.tell(SnapshotEncoded { index, data }).blocking_send();
         });
     }
 
@@ -194,14 +194,14 @@
         if let Some(reason) = status.stopped {
             self.fail(ReplicaFailure::Stopped(reason));
         }
-        let claims = self.machine.state().claims().len();
+        let claims = self.state_machine.state().claims().len();
         self.metrics.claims.set(to_gauge(claims as u64));
-        self.metrics.show_status(&status);
+        self.metrics.set_status(&status);
         let known = self.status.borrow();
-        let moved =
+        let role_changed =
             (known.role, known.term, known.leader) != (status.role, status.term, status.leader);
         drop(known);
-        if moved {
+        if role_changed {
             let leader = status.leader_node().map_or(0, |node| node.0);
             log::info!(
                 "event=role_changed role={:?} term={} leader={leader}",
--- a/crates/control/src/replica/actor/messages.rs
+++ b/crates/control/src/replica/actor/messages.rs
@@ -1,4 +1,4 @@
-//! Messages that the replica actor takes.
+//! Messages of the replica actor.
 
 use std::sync::Arc;
 
@@ -9,17 +9,17 @@
 use tokio::sync::oneshot;
 
 use super::{ReplicaActor, ReplicaFailure};
-use crate::published::PushFrame;
-use crate::replica::pending::{AnswerSender, ReadCall, unconfirmed};
+use crate::published_settings::PushFrame;
+use crate::replica::pending::{AnswerSender, ReadCall, refusal_without_confirmation};
 
-/// Most proposals that wait for their commit at once: four seconds at the
-/// claim rate designed for. More are refused with the time to come back.
+/// Maximum number of uncommitted proposals, four seconds' worth at the designed claim rate. Further
+/// ones are refused.
 const MAX_PENDING_PROPOSALS: usize = 8_192;
 
-/// When a caller should come back that finds too much waiting, in milliseconds.
+/// Time after which a caller refused for overload should retry, in milliseconds.
 const OVERLOADED_RETRY_MS: u64 = 200;
 
-/// Proposes an encoded command; the answer follows its commit.
+/// Propose an encoded command; answered once the command is applied.
 pub(in crate::replica) struct Propose {
     pub command: Vec<u8>,
     pub answer: AnswerSender,
@@ -53,7 +53,7 @@
     }
 }
 
-/// Reads the state, confirmed by a quorum if asked for.
+/// Read the state, confirmed by a quorum if `confirm` is set.
 pub(in crate::replica) struct Query {
     pub confirm: bool,
     pub call: ReadCall,
@@ -64,7 +64,7 @@
 
     async fn handle(&mut self, message: Query, context: &mut Context<Self, ()>) {
         if !message.confirm {
-            (message.call)(Ok(self.machine.state()));
+            (message.call)(Ok(self.state_machine.state()));
             return;
         }
         let read = self.reads.add(message.call);
@@ -72,7 +72,7 @@
             && let Some(call) = self.reads.take(read)
         {
             call(Err(match error {
-                ReadError::NoLeader => unconfirmed(None),
+                ReadError::NoLeader => refusal_without_confirmation(None),
                 ReadError::Overloaded => {
                     Refusal::Overloaded { retry_after_ms: OVERLOADED_RETRY_MS }
                 }
@@ -82,18 +82,18 @@
     }
 }
 
-/// Asks for the whole tree as an encoded push.
+/// Get the settings tree as an encoded push.
 pub(in crate::replica) struct SnapshotFrame(pub oneshot::Sender<Arc<PushFrame>>);
 
 impl Message<SnapshotFrame> for ReplicaActor {
     type Reply = ();
 
     async fn handle(&mut self, message: SnapshotFrame, _context: &mut Context<Self, ()>) {
-        let _ = message.0.send(self.machine.snapshot_frame());
+        let _ = message.0.send(self.state_machine.snapshot_frame());
     }
 }
 
-/// A step of the clock.
+/// Advance the logical clock of the consensus protocol.
 pub(in crate::replica) struct Tick;
 
 impl Message<Tick> for ReplicaActor {
@@ -101,24 +101,24 @@
 
     async fn handle(&mut self, _tick: Tick, context: &mut Context<Self, ()>) {
         self.replica.tick();
-        self.hand_over_if_stalled();
+        self.transfer_leadership_if_stalled();
         self.drive(context);
     }
 }
 
-/// Hand leadership over, because this replica is about to stop.
-pub(in crate::replica) struct HandOver;
+/// Transfer leadership before this replica stops.
+pub(in crate::replica) struct TransferLeadership;
 
-impl Message<HandOver> for ReplicaActor {
+impl Message<TransferLeadership> for ReplicaActor {
     type Reply = ();
 
-    async fn handle(&mut self, _message: HandOver, context: &mut Context<Self, ()>) {
-        self.hand_over();
+    async fn handle(&mut self, _message: TransferLeadership, context: &mut Context<Self, ()>) {
+        self.transfer_leadership();
         self.drive(context);
     }
 }
 
-/// Ask for a standby in this replica's place, because it is about to stop.
+/// Have a standby replace this replica as a voter before this replica stops.
 pub(in crate::replica) struct Retire;
 
 impl Message<Retire> for ReplicaActor {
@@ -130,7 +130,7 @@
     }
 }
 
-/// A message from another replica.
+/// Consensus message from another replica.
 pub(in crate::replica) struct Received(pub ConsensusMessage);
 
 impl Message<Received> for ReplicaActor {
@@ -142,32 +142,32 @@
     }
 }
 
-/// A snapshot of the state as of `index`.
-pub(in crate::replica) struct Encoded {
+/// An encoded snapshot of the state at `index` is ready.
+pub(in crate::replica) struct SnapshotEncoded {
     pub index: Index,
     pub data: Vec<u8>,
 }
 
-impl Message<Encoded> for ReplicaActor {
+impl Message<SnapshotEncoded> for ReplicaActor {
     type Reply = ();
 
-    async fn handle(&mut self, encoded: Encoded, context: &mut Context<Self, ()>) {
-        self.encoding = false;
-        let Encoded { index, data } = encoded;
+    async fn handle(&mut self, encoded: SnapshotEncoded, context: &mut Context<Self, ()>) {
+        self.is_encoding = false;
+        let SnapshotEncoded { index, data } = encoded;
         let bytes = data.len();
         match self.replica.compact(index, data) {
             Ok(()) => {
-                self.machine.snapshot_taken(bytes);
+                self.state_machine.record_snapshot_size(bytes);
                 log::info!("event=snapshot_taken index={index} bytes={bytes}");
             }
-            // A leader's snapshot has come in between.
+            // A snapshot from the leader was installed in the meantime.
             Err(error) => log::warn!("event=snapshot_skipped index={index} reason=\"{error}\""),
         }
         self.drive(context);
     }
 }
 
-/// The write with this number is on disk and synced.
+/// The write with this number is synced to disk.
 pub(in crate::replica) struct Persisted(pub u64);
 
 impl Message<Persisted> for ReplicaActor {
@@ -180,19 +180,19 @@
     }
 }
 
-/// The thread that writes has ended.
+/// The writer thread has ended.
 pub(in crate::replica) struct WriterEnded;
 
 impl Message<WriterEnded> for ReplicaActor {
     type Reply = ();
 
     async fn handle(&mut self, _ended: WriterEnded, context: &mut Context<Self, ()>) {
-        self.fail(ReplicaFailure::WriterGone);
+        self.fail(ReplicaFailure::WriterEnded);
         context.stop();
     }
 }
 
-/// A write failed.
+/// A disk write failed.
 pub(in crate::replica) struct WriteFailed(pub StorageError);
 
 impl Message<WriteFailed> for ReplicaActor {
--- a/crates/control/src/replica/confirm.rs
+++ b/crates/control/src/replica/confirm.rs
@@ -1,4 +1,4 @@
-//! Keeps asking a quorum whether this replica is current.
+//! Periodic confirmation by a quorum that this replica is current.
 
 use std::time::Duration;
 
@@ -8,15 +8,16 @@
 
 use super::ReplicaHandle;
 
-/// Pace of the question. Nodes learn the age of their settings from the answer.
+/// Interval of confirmations, from which nodes derive the age of their settings.
 const CONFIRM_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Pace after a question that nobody confirmed. Nodes that have just started wait
-/// for the first confirmation before they serve.
+/// Interval after a failed confirmation. Short, since nodes don't serve requests after startup until
+/// the first confirmation.
 const RETRY_INTERVAL: Duration = Duration::from_millis(60);
 
-/// Asks until the replica ends and notes when each confirmed question was asked.
-pub(super) async fn keep_confirmed(
+/// Requests confirmations until the replica ends and publishes when the latest confirmed one was
+/// requested.
+pub(super) async fn run_confirmations(
     replica: ReplicaHandle,
     confirmed_at: watch::Sender<Option<BootInstant>>,
 ) {
@@ -24,10 +25,10 @@
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     while replica.is_alive() {
         ticks.tick().await;
-        let asked = BootInstant::now();
+        let requested_at = BootInstant::now();
         match replica.query(true, |_| ()).await {
             Ok(()) => {
-                confirmed_at.send_replace(Some(asked));
+                confirmed_at.send_replace(Some(requested_at));
             }
             Err(_) => ticks.reset_after(RETRY_INTERVAL),
         }
--- a/crates/control/src/replica/folder.rs
+++ b/crates/control/src/replica/data_folder.rs
@@ -1,9 +1,8 @@
-//! Opens the data folder, formats a blank one and founds new clusters.
+//! Opening and formatting of the data folder, and founding of new clusters.
 //!
-//! A cluster is founded once, on one replica, by an operator's command. A blank
-//! folder next to configured peers only ever joins: a daemon that founded a
-//! cluster on finding its disk empty would do it again after losing the disk.
-//! A deployment of a single replica has nobody to join and founds by itself.
+//! A cluster is founded once, on one replica, by an operator's command. A replica with configured
+//! peers and a blank folder always joins an existing cluster: if an empty disk were enough to found
+//! one, the loss of a disk would found a second cluster. A replica without peers founds its own.
 
 use std::path::PathBuf;
 
@@ -14,10 +13,10 @@
 
 use crate::error::ControlError;
 
-/// Folder below the data folder that holds the replica's files and no others.
+/// Subfolder of the data folder that contains only the replica's files.
 pub const REPLICA_FOLDER: &str = "replica";
 
-/// Where a replica keeps its log, snapshots and identity.
+/// Folder of the replica's log, snapshots and identity.
 pub fn replica_folder(settings: &ControlSettings) -> PathBuf {
     settings.data_folder.join(REPLICA_FOLDER)
 }
@@ -30,10 +29,10 @@
     })
 }
 
-/// Makes a new cluster whose only member is this replica; the others join it.
+/// Founds a cluster whose only member is this replica; the others join later.
 ///
 /// # Errors
-/// Fails when the folder belongs to a cluster already or the disk fails.
+/// Fails if the folder already belongs to a cluster or the disk fails.
 pub fn found(settings: &ControlSettings) -> Result<ReplicaId, ControlError> {
     let mut folder = open_folder(settings)?;
     let id = new_id(settings);
@@ -47,7 +46,7 @@
     ReplicaId { node: settings.common.node, disk: new_disk_identity() }
 }
 
-/// Opens the replica's folder as `disk` shows it; a blank one is formatted first.
+/// Opens the replica's folder through `disk`, formatting a blank folder first.
 pub(super) fn open<D: Disk>(
     settings: &ControlSettings,
     disk: impl Fn(Folder) -> D,
@@ -55,13 +54,13 @@
     let node = settings.common.node;
     match Storage::open(disk(open_folder(settings)?), node) {
         Err(OpenError::NotFormatted) => format_blank(settings)?,
-        opened => return Ok(opened?),
+        result => return Ok(result?),
     }
     Ok(Storage::open(disk(open_folder(settings)?), node)?)
 }
 
-/// What an interrupted wipe or format left behind is removed first, so that no
-/// old snapshot appears under the new identity.
+/// Formats a blank folder. Removes remains of an interrupted wipe or format first, so that no old
+/// snapshot appears under the new identity.
 fn format_blank(settings: &ControlSettings) -> Result<(), ControlError> {
     let mut folder = open_folder(settings)?;
     wipe(&mut folder)?;
@@ -81,8 +80,8 @@
     Ok(())
 }
 
-/// A seed of a deployment that starts for the first time founds the cluster
-/// together with the other seeds. Every other blank folder joins.
+/// Formats a blank folder of a seeded deployment. On the first start of the deployment, seeds found
+/// the cluster together; all other replicas join it.
 fn format_seeded(
     settings: &ControlSettings,
     seeds: &[NodeId],
@@ -103,10 +102,10 @@
     Ok(())
 }
 
-/// The first membership, which every seed works out alike. Which zones the other
-/// seeds are in isn't known to any of them.
+/// First membership of a seeded cluster, the same on all seeds. Zones are unknown, since no seed knows
+/// those of the others.
 fn founding_membership(seeds: &[NodeId]) -> Membership {
-    let epoch = ClusterEpoch::first(founding_number(seeds, b"cluster") as u64);
+    let epoch = ClusterEpoch::first(founding_hash(seeds, b"cluster") as u64);
     let voters = seeds.iter().map(|seed| {
         let id = ReplicaId { node: *seed, disk: founding_disk(seeds, *seed) };
         (id, ZoneName::unknown())
@@ -114,21 +113,22 @@
     Membership::of_voters(epoch, voters)
 }
 
-/// The identity of a seed's first disk. A disk that was lost later gets a random
-/// one, since a deployment starts for the first time only once.
+/// Identity of a seed's first disk. A replacement disk gets a random identity, since founding happens
+/// only on the first start of the deployment.
 fn founding_disk(seeds: &[NodeId], node: NodeId) -> DiskIdentity {
-    DiskIdentity::from_random(founding_number(seeds, &node.0.to_be_bytes()))
+    DiskIdentity::from_random(founding_hash(seeds, &node.0.to_be_bytes()))
 }
 
-fn founding_number(seeds: &[NodeId], what: &[u8]) -> u128 {
+/// Hash of the set of seeds and `purpose`.
+fn founding_hash(seeds: &[NodeId], purpose: &[u8]) -> u128 {
     let mut sorted = seeds.to_vec();
     sorted.sort_unstable();
     let mut hasher = blake3::Hasher::new();
     sorted.iter().for_each(|seed| {
         hasher.update(&seed.0.to_be_bytes());
     });
-    hasher.update(what);
-    let mut number = [0; 16];
-    number.copy_from_slice(&hasher.finalize().as_bytes()[..16]);
-    u128::from_be_bytes(number)
+    hasher.update(purpose);
+    let mut hash = [0; 16];
+    hash.copy_from_slice(&hasher.finalize().as_bytes()[..16]);
+    u128::from_be_bytes(hash)
 }
--- a/crates/control/src/replica/handle.rs
+++ b/crates/control/src/replica/handle.rs
@@ -1,4 +1,4 @@
-//! How other tasks call the replica.
+//! Handle through which other tasks call the replica.
 
 use std::sync::Arc;
 
@@ -10,9 +10,9 @@
 
 use super::ReplicaActor;
 use super::actor::{Propose, Query, Received, SnapshotFrame};
-use crate::published::PushFrame;
+use crate::published_settings::PushFrame;
 
-/// Calls a replica.
+/// Handle to a replica.
 #[derive(Clone)]
 pub struct ReplicaHandle(pub(super) ActorRef<ReplicaActor>);
 
@@ -20,16 +20,16 @@
     /// Proposes a command and waits until it is committed and applied.
     ///
     /// # Errors
-    /// [`Refusal::Unknown`] says that it may be committed yet; the other refusals
-    /// say that it never will be.
+    /// Returns [`Refusal::Unknown`] if the command may still be committed. Any other refusal means that
+    /// it never will be.
     pub async fn propose(&self, command: &Command) -> Result<Answer, Refusal> {
         self.propose_encoded(to_bytes(command)).await
     }
 
-    /// As [`ReplicaHandle::propose`], for a command that is encoded and checked already.
+    /// Same as [`ReplicaHandle::propose`], for an encoded, valid command.
     ///
     /// # Errors
-    /// As [`ReplicaHandle::propose`].
+    /// Same as [`ReplicaHandle::propose`].
     pub async fn propose_encoded(&self, command: Vec<u8>) -> Result<Answer, Refusal> {
         let (answer, committed) = oneshot::channel();
         let sent = self.0.tell(Propose { command, answer }).await;
@@ -37,11 +37,11 @@
         committed.await.unwrap_or(Err(Refusal::Unknown))
     }
 
-    /// Reads the state. With `confirm` a quorum has confirmed, after the call
-    /// began, that the state is current.
+    /// Reads the state. With `confirm`, a quorum confirms after the start of the call that the state is
+    /// current.
     ///
     /// # Errors
-    /// Fails when no quorum confirms it or the replica has ended.
+    /// Fails if no quorum confirms the read or the replica has ended.
     pub async fn query<R: Send + 'static>(
         &self,
         confirm: bool,
@@ -56,19 +56,19 @@
         receiver.await.unwrap_or(Err(Refusal::NoQuorum))
     }
 
-    /// The whole tree as an encoded push; `None` if the replica has ended.
+    /// Returns the settings tree as an encoded push; `None` if the replica has ended.
     pub async fn snapshot_frame(&self) -> Option<Arc<PushFrame>> {
         let (sender, receiver) = oneshot::channel();
         self.0.tell(SnapshotFrame(sender)).await.ok()?;
         receiver.await.ok()
     }
 
-    /// Hands on a message from another replica; false if this one has ended.
+    /// Passes on a consensus message from another replica. Returns false if this replica has ended.
     pub async fn receive(&self, message: Message) -> bool {
         self.0.tell(Received(message)).await.is_ok()
     }
 
-    /// Whether the replica has not ended.
+    /// Whether the replica is running.
     pub fn is_alive(&self) -> bool {
         self.0.is_alive()
     }
--- a/crates/control/src/replica/horizon.rs
+++ b/crates/control/src/replica/horizon.rs
@@ -1,4 +1,4 @@
-//! Moves the claim horizon, which bounds the claims that are kept.
+//! Advancing of the claim horizon, before which claims are removed and keys refused.
 
 use std::time::Duration;
 
@@ -10,21 +10,21 @@
 use super::ReplicaHandle;
 use crate::clock::unix_seconds;
 
-/// Pace at which the leader moves the horizon.
-const PACE: Duration = Duration::from_secs(60);
+/// Interval at which the leader advances the horizon.
+const ADVANCE_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Furthest that the horizon moves at once, in seconds, once it stands. A leader
-/// whose clock is wrong by years can so refuse keys of ten minutes more for each
-/// minute that it stays unnoticed, and not every key for ever.
+/// Maximum advance of the horizon per interval, in seconds, after the first one. Limits the damage of
+/// a leader whose clock is years ahead: keys of ten more minutes are refused for each minute until
+/// the clock is fixed, instead of all keys for good.
 const MAX_STEP_SECONDS: u64 = 600;
 
-/// Moves the horizon while this replica leads.
-pub(super) async fn keep_horizon(
+/// Advances the horizon while this replica is the leader.
+pub(super) async fn run_horizon(
     replica: ReplicaHandle,
     status: watch::Receiver<Status>,
     retention_seconds: u64,
 ) {
-    let mut ticks = interval(PACE);
+    let mut ticks = interval(ADVANCE_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     while replica.is_alive() {
         ticks.tick().await;
@@ -43,13 +43,13 @@
     }
 }
 
-/// The horizon to move to from `current` at the time `now`, if it should move.
-/// All three are in seconds, the first two since the Unix epoch.
+/// Returns the horizon to advance to from `current` at time `now`, or `None` if it should stay. All
+/// arguments are in seconds, the first two since the Unix epoch.
 pub fn next_horizon(current: u64, now: u64, retention_seconds: u64) -> Option<u64> {
-    let wanted = now.saturating_sub(retention_seconds);
+    let target = now.saturating_sub(retention_seconds);
     let bounded = match current {
-        0 => wanted,
-        _ => wanted.min(current.saturating_add(MAX_STEP_SECONDS)),
+        0 => target,
+        _ => target.min(current.saturating_add(MAX_STEP_SECONDS)),
     };
     (bounded > current).then_some(bounded)
 }
--- a/crates/control/src/replica/mod.rs
+++ b/crates/control/src/replica/mod.rs
@@ -1,19 +1,19 @@
-//! One replica: the agreement state machine, its storage and the replicated state.
+//! Replica: consensus protocol, storage and replicated state.
 //!
-//! [`ReplicaActor`] owns all three and does what the agreement asks for. It
-//! never waits: storage works on a thread of its own (`writer`), peers have
-//! actors of their own, and callers wait on channels ([`ReplicaHandle`]).
+//! [`ReplicaActor`] drives all three and never blocks: a separate thread writes to storage
+//! (`storage_writer`), each peer has its own actor, and callers wait on channels
+//! ([`ReplicaHandle`]).
 
 mod actor;
 mod confirm;
-mod folder;
+mod data_folder;
 mod handle;
 mod horizon;
-mod machine;
 mod pending;
 mod start;
+mod state_machine;
+mod storage_writer;
 mod ticker;
-mod writer;
 
 use std::sync::Arc;
 
@@ -22,23 +22,24 @@
 use juniper_control_state::FleetState;
 use tokio::sync::watch;
 
-use crate::published::Published;
+use crate::published_settings::PublishedSettings;
 
 pub use actor::{ReplicaActor, ReplicaFailure};
-pub use folder::{REPLICA_FOLDER, found, replica_folder};
+pub use data_folder::{REPLICA_FOLDER, found, replica_folder};
 pub use handle::ReplicaHandle;
 pub use horizon::next_horizon;
-pub use machine::MachineError;
 pub use start::{ReplicaParts, RunningReplica, start};
+pub use state_machine::StateMachineError;
 
-/// What other tasks see of the replica without asking it.
+/// Published state of the replica, readable without calling it.
 #[derive(Clone, Debug)]
 pub struct ReplicaView {
     /// Settings changes for subscribers.
-    pub published: watch::Receiver<Arc<Published>>,
-    /// What the fleet of generic services agrees on.
+    pub published: watch::Receiver<Arc<PublishedSettings>>,
+    /// Replicated fleet state of generic services.
     pub fleet: watch::Receiver<Arc<FleetState>>,
-    /// When a quorum last confirmed that this replica was current. Its age counts suspensions.
+    /// Time at which a quorum last confirmed that this replica was current. The clock includes system
+    /// suspensions.
     pub confirmed_at: watch::Receiver<Option<BootInstant>>,
     /// Role, term, leader and membership.
     pub status: watch::Receiver<Status>,
--- a/crates/control/src/replica/pending.rs
+++ b/crates/control/src/replica/pending.rs
@@ -1,4 +1,4 @@
-//! Calls that wait for a commit or for a quorum's confirmation.
+//! Calls that wait for a commit or for the confirmation of a quorum.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Instant;
@@ -9,19 +9,19 @@
 use juniper_types::NodeId;
 use tokio::sync::oneshot;
 
-/// Where the answer to a proposal goes.
+/// Sender for the answer to a proposal.
 pub(super) type AnswerSender = oneshot::Sender<Result<Answer, Refusal>>;
 
-/// What a confirmed read runs.
+/// Function that a confirmed read calls with the state.
 pub(super) type ReadCall = Box<dyn FnOnce(Result<&ControlState, Refusal>) + Send>;
 
 struct PendingProposal {
     term: Term,
-    asked: Instant,
+    proposed_at: Instant,
     answer: AnswerSender,
 }
 
-/// Proposals by their place in the log.
+/// Pending proposals by log index.
 #[derive(Default)]
 pub(super) struct PendingProposals(BTreeMap<Index, PendingProposal>);
 
@@ -31,32 +31,32 @@
     }
 
     pub fn add(&mut self, proposal: Proposal, answer: AnswerSender) {
-        let pending = PendingProposal { term: proposal.term, asked: Instant::now(), answer };
+        let pending = PendingProposal { term: proposal.term, proposed_at: Instant::now(), answer };
         self.0.insert(proposal.index, pending);
     }
 
-    /// The entry at `index` is committed. Returns when its proposal was made, if
-    /// it was made here.
-    pub fn committed(&mut self, index: Index, term: Term, answer: Answer) -> Option<Instant> {
+    /// Answers the proposal of the committed entry at `index`. Returns the time of the proposal, if it
+    /// was made on this replica.
+    pub fn complete(&mut self, index: Index, term: Term, answer: Answer) -> Option<Instant> {
         let pending = self.0.remove(&index)?;
         if pending.term == term {
             let _ = pending.answer.send(Ok(answer));
-            return Some(pending.asked);
+            return Some(pending.proposed_at);
         }
-        // Another leader's entry stands in its place: it will never be committed.
+        // An entry of another leader was committed at this index, so the proposal never will be.
         let _ = pending.answer.send(Err(Refusal::NotLeader { leader: None }));
         None
     }
 
-    /// This replica doesn't lead any more: whether the rest gets committed is open.
-    pub fn lose_all(&mut self) {
+    /// Fails all pending proposals with an unknown outcome, after this replica lost leadership.
+    pub fn fail_all(&mut self) {
         for (_, pending) in std::mem::take(&mut self.0) {
             let _ = pending.answer.send(Err(Refusal::Unknown));
         }
     }
 }
 
-/// Reads by the context that the agreement hands back.
+/// Pending reads by the context that the consensus protocol returns.
 #[derive(Default)]
 pub(super) struct PendingReads {
     last_context: u64,
@@ -64,7 +64,7 @@
 }
 
 impl PendingReads {
-    /// Keeps a read and returns its context.
+    /// Adds a read and returns its context.
     pub fn add(&mut self, call: ReadCall) -> u64 {
         self.last_context += 1;
         self.calls.insert(self.last_context, call);
@@ -76,8 +76,8 @@
     }
 }
 
-/// What a caller hears whose read can't be confirmed here.
-pub(super) fn unconfirmed(leader: Option<NodeId>) -> Refusal {
+/// Refusal of a read that can't be confirmed on this replica.
+pub(super) fn refusal_without_confirmation(leader: Option<NodeId>) -> Refusal {
     match leader {
         Some(_) => Refusal::NotLeader { leader },
         None => Refusal::NoQuorum,
--- a/crates/control/src/replica/start.rs
+++ b/crates/control/src/replica/start.rs
@@ -1,4 +1,4 @@
-//! Starts a replica from its data folder.
+//! Startup and planned stop of a replica.
 
 use std::sync::{Arc, mpsc};
 use std::thread::JoinHandle;
@@ -12,70 +12,70 @@
 use tokio::sync::{oneshot, watch};
 use tokio::time::timeout;
 
-use super::actor::{ActorParts, HandOver, ReplicaFailure, Retire};
-use super::confirm::keep_confirmed;
-use super::horizon::keep_horizon;
-use super::machine::Machine;
-use super::ticker::{TICK, keep_ticking};
-use super::writer::write_for_ever;
-use super::{ReplicaActor, ReplicaHandle, ReplicaView, folder};
+use super::actor::{ActorParts, ReplicaFailure, Retire, TransferLeadership};
+use super::confirm::run_confirmations;
+use super::horizon::run_horizon;
+use super::state_machine::StateMachine;
+use super::storage_writer::run_writer;
+use super::ticker::{TICK, run_ticker};
+use super::{ReplicaActor, ReplicaHandle, ReplicaView, data_folder};
 use crate::error::ControlError;
 use crate::metrics::Metrics;
 use crate::peers::PeerLinks;
 
-/// Messages that wait for the actor; senders wait beyond that.
+/// Maximum number of messages queued for the actor; further senders wait.
 const MAILBOX_CAPACITY: usize = 1_024;
 
-/// Longest wait for another replica to take over before it is asked again; about
-/// as long as an election would take.
-const HAND_OVER_TIMEOUT: Duration = Duration::from_millis(700);
+/// Timeout of one leadership transfer, about the duration of an election.
+const TRANSFER_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// How often another replica is asked to take over.
-const HAND_OVER_ATTEMPTS: usize = 4;
+/// Maximum number of attempts to transfer leadership.
+const TRANSFER_ATTEMPTS: usize = 4;
 
-/// How often, and how far apart, a standby is asked for.
+/// Maximum number of attempts to be replaced by a standby, and the time between them.
 const RETIRE_ATTEMPTS: usize = 10;
-const RETIRE_PAUSE: Duration = Duration::from_millis(150);
+const RETIRE_RETRY_DELAY: Duration = Duration::from_millis(150);
 
-/// What a replica needs of the daemon.
+/// Parts of the daemon that a replica uses.
 pub struct ReplicaParts {
     /// Links to the other replicas.
     pub peers: Arc<PeerLinks>,
-    /// Counters.
+    /// Metrics of the daemon.
     pub metrics: Arc<Metrics>,
 }
 
-/// A replica that works.
+/// Running replica.
 pub struct RunningReplica {
-    /// How to call it.
+    /// Handle for calls.
     pub handle: ReplicaHandle,
-    /// What it shows.
+    /// Published state.
     pub view: ReplicaView,
-    /// Tells when and why the replica ended by itself.
+    /// Receives the reason if the replica fails.
     pub failure: oneshot::Receiver<ReplicaFailure>,
     writer: JoinHandle<()>,
 }
 
 impl RunningReplica {
-    /// Before a planned stop: a leader hands over and waits until it hears the next
-    /// one, so that writers don't have to wait for an election.
-    pub async fn hand_over(&mut self) {
+    /// Transfers leadership before a planned stop and waits until the next leader is known, so that
+    /// writers don't have to wait for an election.
+    pub async fn transfer_leadership(&mut self) {
         let mut status = self.view.status.clone();
         let own = status.borrow().id;
         let has_next = |status: &Status| status.leader.is_some_and(|leader| leader != own);
-        for _ in 0..HAND_OVER_ATTEMPTS {
-            if !status.borrow().is_leader() || self.handle.0.tell(HandOver).await.is_err() {
+        for _ in 0..TRANSFER_ATTEMPTS {
+            if !status.borrow().is_leader() || self.handle.0.tell(TransferLeadership).await.is_err()
+            {
                 return;
             }
-            if timeout(HAND_OVER_TIMEOUT, status.wait_for(has_next)).await.is_ok() {
+            if timeout(TRANSFER_TIMEOUT, status.wait_for(has_next)).await.is_ok() {
                 return;
             }
         }
         log::warn!("event=not_handed_over");
     }
 
-    /// Before a planned stop: a standby takes this replica's vote over, if there
-    /// is one, so that the cluster bears the next loss at once.
+    /// Has a standby, if there is one, replace this replica as a voter before a planned stop, so that
+    /// the cluster can tolerate another loss immediately.
     pub async fn retire(&mut self) {
         let mut status = self.view.status.clone();
         let has_standby = status.borrow().membership.learners().next().is_some();
@@ -84,20 +84,20 @@
                 return;
             }
             let retired = |status: &Status| !status.membership.is_voter(status.id);
-            if timeout(RETIRE_PAUSE, status.wait_for(retired)).await.is_ok() {
+            if timeout(RETIRE_RETRY_DELAY, status.wait_for(retired)).await.is_ok() {
                 log::info!("event=retired");
                 return;
             }
         }
     }
 
-    /// Ends the replica and waits until its data folder is free.
+    /// Stops the replica and waits until its data folder is released.
     pub async fn stop(self) {
         let RunningReplica { handle, writer, .. } = self;
         handle.0.kill();
         handle.0.wait_for_shutdown().await;
         drop(handle);
-        // The thread ends once the actor and with it the channel is gone.
+        // The thread ends once the actor, and with it the sender of writes, is dropped.
         let joined = tokio::task::spawn_blocking(move || writer.join()).await;
         if !matches!(joined, Ok(Ok(()))) {
             log::error!("event=writer_thread_failed");
@@ -105,17 +105,17 @@
     }
 }
 
-/// Opens the data folder and starts the replica on it. All its reading and
-/// writing goes through `disk`, save for the formatting of a blank folder.
+/// Opens the data folder and starts the replica. All reads and writes go through `disk`, except for
+/// the formatting of a blank folder.
 ///
 /// # Errors
-/// Fails when the folder can't be opened or formatted.
+/// Fails if the folder can't be opened or formatted.
 pub fn start<D: Disk + Send + 'static>(
     settings: &ControlSettings,
     parts: ReplicaParts,
     disk: impl Fn(Folder) -> D,
 ) -> Result<RunningReplica, ControlError> {
-    let (storage, restored) = folder::open(settings, disk)?;
+    let (storage, restored) = data_folder::open(settings, disk)?;
     let config = replica_config(settings, storage.id());
     let replica = Replica::new(config, restored, rand::random());
     let (published, published_view) = watch::channel(Arc::default());
@@ -126,7 +126,7 @@
     let (failed, failure) = oneshot::channel();
     let actor = ReplicaActor::new(ActorParts {
         replica,
-        machine: Machine::new(published, fleet, settings.tuning.snapshot_interval_bytes),
+        state_machine: StateMachine::new(published, fleet, settings.tuning.snapshot_interval_bytes),
         writes,
         peers: parts.peers,
         status,
@@ -134,16 +134,16 @@
         failure: failed,
     });
     let actor = ReplicaActor::spawn_with_mailbox(actor, mailbox::bounded(MAILBOX_CAPACITY));
-    let for_writer = actor.clone();
+    let writer_actor = actor.clone();
     let writer = std::thread::Builder::new()
         .name("storage".to_owned())
-        .spawn(move || write_for_ever(storage, pending_writes, for_writer))
+        .spawn(move || run_writer(storage, pending_writes, writer_actor))
         .map_err(ControlError::Thread)?;
-    tokio::spawn(keep_ticking(actor.clone()));
+    tokio::spawn(run_ticker(actor.clone()));
     let handle = ReplicaHandle(actor);
-    tokio::spawn(keep_confirmed(handle.clone(), confirmed_at));
+    tokio::spawn(run_confirmations(handle.clone(), confirmed_at));
     let retention = settings.limits.claim_retention_seconds;
-    tokio::spawn(keep_horizon(handle.clone(), status_view.clone(), retention));
+    tokio::spawn(run_horizon(handle.clone(), status_view.clone(), retention));
     let view = ReplicaView {
         published: published_view,
         fleet: fleet_view,
--- a/crates/control/src/replica/machine.rs
+++ b/crates/control/src/replica/state_machine.rs
@@ -1,4 +1,4 @@
-//! The replicated state with what is derived from it for subscribers.
+//! Replicated state, and the messages derived from it for subscribers.
 
 use std::sync::Arc;
 
@@ -9,48 +9,49 @@
 use juniper_types::Revision;
 use tokio::sync::watch;
 
-use crate::published::{Published, PushFrame};
+use crate::published_settings::{PublishedSettings, PushFrame};
 
-/// Why a replica can't go on applying the log.
+/// Error that prevents a replica from applying the log.
 #[derive(Debug, thiserror::Error)]
-pub enum MachineError {
-    /// A committed command can't be read; a newer program has written it.
-    #[error("the command at index {index} can't be read: {source}")]
+pub enum StateMachineError {
+    /// Decoding a committed command failed; a later build has written it.
+    #[error("failed to decode the command at index {index}: {source}")]
     Command {
-        /// Its place in the log.
+        /// Log index of the command.
         index: Index,
-        /// Why.
+        /// Decoding error.
         source: minicbor::decode::Error,
     },
-    /// A snapshot can't be read.
+    /// Decoding a snapshot failed.
     #[error(transparent)]
     Snapshot(#[from] SnapshotError),
 }
 
-/// The state and what subscribers see of it.
-pub(super) struct Machine {
+/// Replicated state and its published form.
+pub(super) struct StateMachine {
     state: ControlState,
-    published: watch::Sender<Arc<Published>>,
+    published: watch::Sender<Arc<PublishedSettings>>,
     fleet: watch::Sender<Arc<FleetState>>,
     snapshot_interval_bytes: usize,
-    frame: Option<Arc<PushFrame>>,
+    /// Settings tree at the current revision, encoded on demand.
+    snapshot_frame: Option<Arc<PushFrame>>,
     applied: Index,
     bytes_since_snapshot: usize,
     snapshot_bytes: usize,
 }
 
-impl Machine {
+impl StateMachine {
     pub fn new(
-        published: watch::Sender<Arc<Published>>,
+        published: watch::Sender<Arc<PublishedSettings>>,
         fleet: watch::Sender<Arc<FleetState>>,
         snapshot_interval_bytes: usize,
     ) -> Self {
-        Machine {
+        StateMachine {
             state: ControlState::default(),
             published,
             fleet,
             snapshot_interval_bytes,
-            frame: None,
+            snapshot_frame: None,
             applied: 0,
             bytes_since_snapshot: 0,
             snapshot_bytes: 0,
@@ -61,29 +62,29 @@
         &self.state
     }
 
-    /// Applies a committed entry; the answer is that of its command.
-    pub fn apply(&mut self, entry: &Entry) -> Result<Option<Answer>, MachineError> {
+    /// Applies a committed entry. Returns the answer to its command, if it has one.
+    pub fn apply(&mut self, entry: &Entry) -> Result<Option<Answer>, StateMachineError> {
         self.applied = entry.index;
         self.bytes_since_snapshot += entry.size();
         let Payload::Data(bytes) = &entry.payload else { return Ok(None) };
-        let unreadable = |source| MachineError::Command { index: entry.index, source };
-        let command: Command = minicbor::decode(bytes).map_err(unreadable)?;
+        let decode_error = |source| StateMachineError::Command { index: entry.index, source };
+        let command: Command = minicbor::decode(bytes).map_err(decode_error)?;
         let before = self.state.settings().revision();
         let answer = self.state.apply(entry.index, command);
-        self.publish_after(before);
+        self.publish_settings_after(before);
         self.publish_fleet();
         Ok(Some(answer))
     }
 
-    /// Replaces the state by a leader's or the disk's snapshot.
-    pub fn install(&mut self, snapshot: &Snapshot) -> Result<(), MachineError> {
+    /// Replaces the state by a snapshot from the leader or from disk.
+    pub fn install(&mut self, snapshot: &Snapshot) -> Result<(), StateMachineError> {
         self.state = ControlState::from_snapshot(&snapshot.data)?;
         self.applied = snapshot.meta.position.index;
         self.bytes_since_snapshot = 0;
         self.snapshot_bytes = snapshot.data.len();
-        self.frame = None;
+        self.snapshot_frame = None;
         let revision = self.state.settings().revision();
-        self.published.send_replace(Arc::new(Published::at(revision)));
+        self.published.send_replace(Arc::new(PublishedSettings::at(revision)));
         self.publish_fleet();
         Ok(())
     }
@@ -99,12 +100,13 @@
         });
     }
 
-    /// A copy of the state to write a snapshot from, with the index it stands for,
-    /// if one is due: after so many bytes of applied entries, or as many as the last
-    /// snapshot had. Writing snapshots then costs no more than writing the log, and
-    /// a start reads about as much again.
-    /// The copy shares what is large, so that it takes no time; to
-    /// encode millions of claims takes seconds, in which a leader would be missed.
+    /// Returns a copy of the state and its log index if a snapshot is due: after
+    /// `snapshot_interval_bytes` of applied entries, or the size of the last snapshot if that is
+    /// larger. Snapshots thus cost no more writes than the log, and startup replays at most that many
+    /// bytes of entries.
+    ///
+    /// The copy is cheap because large parts are shared. Encoding millions of claims takes seconds and
+    /// is therefore left to the caller.
     pub fn due_snapshot(&mut self) -> Option<(Index, ControlState)> {
         if self.bytes_since_snapshot < self.snapshot_interval_bytes.max(self.snapshot_bytes) {
             return None;
@@ -113,14 +115,14 @@
         Some((self.applied, self.state.clone()))
     }
 
-    /// A snapshot of this many bytes was taken.
-    pub fn snapshot_taken(&mut self, bytes: usize) {
+    /// Records the size of the latest snapshot, in bytes.
+    pub fn record_snapshot_size(&mut self, bytes: usize) {
         self.snapshot_bytes = bytes;
     }
 
-    /// The whole tree as a push, encoded once for each revision.
+    /// Returns the settings tree as a push, encoded once per revision.
     pub fn snapshot_frame(&mut self) -> Arc<PushFrame> {
-        if let Some(frame) = &self.frame {
+        if let Some(frame) = &self.snapshot_frame {
             return Arc::clone(frame);
         }
         let settings = self.state.settings();
@@ -128,19 +130,19 @@
         let tree = settings.tree().tree().clone();
         let payload = encode(&Message::Push(Push::Snapshot { revision, tree }));
         let frame = Arc::new(PushFrame { revision, payload });
-        self.frame = Some(Arc::clone(&frame));
+        self.snapshot_frame = Some(Arc::clone(&frame));
         frame
     }
 
-    fn publish_after(&mut self, before: Revision) {
+    fn publish_settings_after(&mut self, before: Revision) {
         let settings = self.state.settings();
         if settings.revision() == before {
             return;
         }
-        self.frame = None;
-        let mut published = Published::clone(&self.published.borrow());
+        self.snapshot_frame = None;
+        let mut published = PublishedSettings::clone(&self.published.borrow());
         for entry in settings.changes_after(before).into_iter().flatten() {
-            published.push(PushFrame::of_change(entry));
+            published.push(PushFrame::from_change(entry));
         }
         self.published.send_replace(Arc::new(published));
     }
