--- a/crates/control/src/replica/writer.rs
+++ b/crates/control/src/replica/storage_writer.rs
@@ -1,4 +1,4 @@
-//! The thread that writes to the disk. It alone waits for syncs.
+//! Thread that writes to storage, so that no other task waits for disk syncs.
 
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
 use std::time::Duration;
@@ -10,31 +10,32 @@
 use super::ReplicaActor;
 use super::actor::{Persisted, WriteFailed, WriterEnded};
 
-/// Silence after which the mark of what is synced is synced itself.
-const SEAL_AFTER: Duration = Duration::from_secs(1);
+/// Time without writes after which the storage is sealed: the record of what has been synced is synced
+/// itself.
+const SEAL_IDLE_TIME: Duration = Duration::from_secs(1);
 
-/// Tells the replica when the thread ends, also by a panic: the write in flight
-/// would otherwise be waited for without end.
-struct EndGuard(ActorRef<ReplicaActor>);
+/// Guard that notifies the replica when the thread ends, including by a panic. Otherwise the replica
+/// would wait forever for the write in progress.
+struct WriterEndedGuard(ActorRef<ReplicaActor>);
 
-impl Drop for EndGuard {
+impl Drop for WriterEndedGuard {
     fn drop(&mut self) {
-        // A replica that has ended already need not know.
+        // Fails if the replica has ended already.
         let _ = self.0.tell(WriterEnded).blocking_send();
     }
 }
 
-/// Writes until the actor is gone or the disk fails. A failed write ends the
-/// replica: what reached the disk is unknown, so nothing more may be acknowledged.
-pub(super) fn write_for_ever<D: Disk>(
+/// Writes until the actor has ended or the disk fails. A failed write ends the replica: the content of
+/// the disk is unknown then, so nothing more may be acknowledged.
+pub(super) fn run_writer<D: Disk>(
     mut storage: Storage<D>,
     writes: Receiver<Write>,
     replica: ActorRef<ReplicaActor>,
 ) {
-    let _guard = EndGuard(replica.clone());
+    let _guard = WriterEndedGuard(replica.clone());
     let mut sealed = true;
     loop {
-        let result = match writes.recv_timeout(SEAL_AFTER) {
+        let result = match writes.recv_timeout(SEAL_IDLE_TIME) {
             Ok(write) => {
                 sealed = false;
                 let saved = storage.save(&write);
@@ -51,7 +52,7 @@
             Ok(true) => {}
             Ok(false) => return,
             Err(error) => {
-                // The replica may have ended already; there is nobody else to tell.
+                // Fails if the replica has ended already.
                 let _ = replica.tell(WriteFailed(error)).blocking_send();
                 return;
             }
--- a/crates/control/src/replica/ticker.rs
+++ b/crates/control/src/replica/ticker.rs
@@ -1,4 +1,4 @@
-//! The replica's clock.
+//! Clock of the consensus protocol.
 
 use std::time::Duration;
 
@@ -8,12 +8,12 @@
 use super::ReplicaActor;
 use super::actor::Tick;
 
-/// Length of a tick. The agreement's settings are chosen for it.
+/// Length of a tick, the time unit of the consensus settings.
 pub(super) const TICK: Duration = Duration::from_millis(50);
 
-/// Ticks until the replica ends. Ticks that were missed, for example while the
-/// process was frozen, are left out: they would look like silence of the peers.
-pub(super) async fn keep_ticking(replica: ActorRef<ReplicaActor>) {
+/// Sends ticks until the replica ends. Missed ticks, for example while the process was suspended, are
+/// skipped, since they would look like silence of the peers.
+pub(super) async fn run_ticker(replica: ActorRef<ReplicaActor>) {
     let mut ticks = interval(TICK);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Skip);
     loop {
--- a/crates/control/src/forward.rs
+++ b/crates/control/src/replica_group.rs
@@ -1,8 +1,7 @@
-//! Operators' writes and reads, which any replica takes.
+//! Writes and reads of the replicated state through any replica.
 //!
-//! A replica that doesn't lead forwards a write to the leader. What is asked
-//! again here may be: a write carries its change id, so the log answers a
-//! repeated one as it answered the first.
+//! A replica that isn't the leader forwards writes to the leader. Retries are safe: a write carries
+//! a change id, so a duplicate gets the answer of the first.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -14,55 +13,55 @@
 use crate::peers::PeerLinks;
 use crate::replica::ReplicaHandle;
 
-/// Time within which an operator's call is answered: several elections.
-const LIMIT: Duration = Duration::from_secs(6);
+/// Timeout of a write or read with all its attempts; several elections long.
+const CALL_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// Longest wait for the leader before it is looked for again.
+/// Timeout of one forwarded write.
 const FORWARD_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Pause before another attempt.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Delay between attempts.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Calls the group of replicas through this one.
+/// Access to the group of replicas through the local one.
 #[derive(Clone)]
-pub struct Group {
+pub struct ReplicaGroup {
     replica: ReplicaHandle,
     peers: Arc<PeerLinks>,
 }
 
-impl Group {
-    /// Uses this replica and its links.
+impl ReplicaGroup {
+    /// Creates a group from the local replica and its links to the others.
     pub fn new(replica: ReplicaHandle, peers: Arc<PeerLinks>) -> Self {
-        Group { replica, peers }
+        ReplicaGroup { replica, peers }
     }
 
-    /// Proposes a write of settings wherever the leader is.
+    /// Proposes a command, on the leader if another replica leads.
     ///
     /// # Errors
-    /// [`Refusal::Unknown`] if any attempt may have been recorded; otherwise
-    /// nothing was.
+    /// Returns [`Refusal::Unknown`] if any attempt may have been committed. Any other refusal means
+    /// that the command had no effect.
     pub async fn write(&self, command: &Command) -> Result<Answer, Refusal> {
         let encoded = to_bytes(command);
-        let deadline = Instant::now() + LIMIT;
-        let mut maybe_recorded = false;
+        let deadline = Instant::now() + CALL_TIMEOUT;
+        let mut maybe_committed = false;
         loop {
             let refusal = match self.attempt(&encoded).await {
                 Ok(answer) => return Ok(answer),
                 Err(refusal) => refusal,
             };
-            maybe_recorded |= refusal == Refusal::Unknown;
-            let again = is_passing(&refusal) && Instant::now() < deadline;
-            if !again {
-                return Err(if maybe_recorded { Refusal::Unknown } else { refusal });
+            maybe_committed |= refusal == Refusal::Unknown;
+            let can_retry = is_transient(&refusal) && Instant::now() < deadline;
+            if !can_retry {
+                return Err(if maybe_committed { Refusal::Unknown } else { refusal });
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 
     async fn attempt(&self, encoded: &[u8]) -> Result<Answer, Refusal> {
         match self.replica.propose_encoded(encoded.to_vec()).await {
             Err(Refusal::NotLeader { leader: Some(leader) }) => self.forward(leader, encoded).await,
-            answered => answered,
+            result => result,
         }
     }
 
@@ -78,30 +77,30 @@
         }
     }
 
-    /// Reads the state, confirmed by a quorum unless a stale answer will do.
+    /// Reads the state, confirmed by a quorum unless `stale` is set.
     ///
     /// # Errors
-    /// Fails when no quorum confirms the read in time.
+    /// Fails if no quorum confirms the read in time.
     pub async fn read<R: Send + 'static>(
         &self,
         stale: bool,
         read: impl Fn(&ControlState) -> R + Clone + Send + 'static,
     ) -> Result<R, Refusal> {
-        let deadline = Instant::now() + LIMIT;
+        let deadline = Instant::now() + CALL_TIMEOUT;
         loop {
             let refusal = match self.replica.query(!stale, read.clone()).await {
                 Ok(value) => return Ok(value),
                 Err(refusal) => refusal,
             };
-            if !is_passing(&refusal) || Instant::now() >= deadline {
+            if !is_transient(&refusal) || Instant::now() >= deadline {
                 return Err(refusal);
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 }
 
-/// Whether asking again may help.
-fn is_passing(refusal: &Refusal) -> bool {
+/// Whether a retry may succeed.
+fn is_transient(refusal: &Refusal) -> bool {
     matches!(refusal, Refusal::NotLeader { .. } | Refusal::NoQuorum | Refusal::Unknown)
 }
--- a/crates/control/src/run.rs
+++ b/crates/control/src/run.rs
@@ -1,4 +1,4 @@
-//! Starts the daemon and runs it until it is told to stop.
+//! Startup and run loop of the daemon.
 
 use std::future::IntoFuture;
 use std::net::SocketAddr;
@@ -12,28 +12,28 @@
 use tokio::sync::oneshot;
 
 use crate::error::ControlError;
-use crate::fleet::FleetCalls;
-use crate::fleet_board::ServerBoards;
-use crate::forward::Group;
-use crate::instances::InstanceBoard;
-use crate::internal::InternalFace;
+use crate::fleet_calls::FleetCalls;
+use crate::fleet_publisher::ServerPublishers;
+use crate::instances::InstancePublisher;
+use crate::internal::InternalApi;
 use crate::metrics::Metrics;
-use crate::operator::{OperatorFace, routes};
+use crate::node_reports::NodeReports;
+use crate::operator::{OperatorApi, routes};
 use crate::peers::PeerLinks;
-use crate::relay::NewsRelay;
+use crate::relay::UpdateRelay;
 use crate::replica::{self, ReplicaFailure, ReplicaParts, ReplicaView, RunningReplica};
-use crate::reports::NodeReports;
+use crate::replica_group::ReplicaGroup;
 
-/// The two sockets that a daemon listens on.
+/// Listening sockets of a daemon.
 pub struct Listeners {
-    /// For other daemons.
+    /// Socket of the internal API, for other daemons.
     pub internal: TcpListener,
-    /// For operators.
+    /// Socket of the operator API.
     pub operator: TcpListener,
 }
 
 impl Listeners {
-    /// Opens both sockets.
+    /// Binds both sockets.
     pub async fn open(settings: &ControlSettings) -> Result<Self, ControlError> {
         let internal = listen(settings.internal).await?;
         let operator = listen(settings.operator).await?;
@@ -45,29 +45,29 @@
     TcpListener::bind(address).await.map_err(|source| ControlError::Listen { address, source })
 }
 
-/// A started daemon.
+/// Started daemon.
 pub struct ControlDaemon {
     replica: RunningReplica,
-    internal: Arc<InternalFace>,
+    internal: Arc<InternalApi>,
     operator: axum::Router,
     listeners: Listeners,
     fleet: FleetCalls,
-    helpers: Helpers,
+    background: BackgroundTasks,
 }
 
-/// What runs beside the serving of calls.
-struct Helpers {
-    board: Arc<InstanceBoard>,
-    relay: Arc<NewsRelay>,
+/// Background tasks of the daemon.
+struct BackgroundTasks {
+    instance_publisher: Arc<InstancePublisher>,
+    relay: Arc<UpdateRelay>,
     peers: Arc<PeerLinks>,
     view: ReplicaView,
 }
 
-impl Helpers {
+impl BackgroundTasks {
     async fn run(self) {
         tokio::join!(
-            self.board.keep_expiring(),
-            self.board.keep_publishing(),
+            self.instance_publisher.run_expiry(),
+            self.instance_publisher.run_publishing(),
             self.relay.run(&self.peers, &self.view),
             log_suspensions()
         );
@@ -75,18 +75,18 @@
 }
 
 impl ControlDaemon {
-    /// Takes the calls of operators and servers of generic services.
+    /// Returns the handler of fleet calls.
     pub fn fleet(&self) -> FleetCalls {
         self.fleet.clone()
     }
 
-    /// Starts the replica; nothing is served before [`ControlDaemon::serve`].
+    /// Starts the replica. The APIs are served only by [`ControlDaemon::serve`].
     pub fn start(settings: &ControlSettings, listeners: Listeners) -> Result<Self, ControlError> {
         Self::start_on(settings, listeners, |folder| folder)
     }
 
-    /// As [`ControlDaemon::start`], with a disk in front of the folder, such as one
-    /// that fails on purpose.
+    /// Same as [`ControlDaemon::start`], with the disk that `disk` returns for the data folder, for
+    /// example one that injects faults.
     pub fn start_on<D: Disk + Send + 'static>(
         settings: &ControlSettings,
         listeners: Listeners,
@@ -104,13 +104,13 @@
         let parts = ReplicaParts { peers: Arc::clone(&peers), metrics: Arc::clone(&metrics) };
         let replica = replica::start(settings, parts, disk)?;
         let (handle, view) = (replica.handle.clone(), replica.view.clone());
-        let group = Group::new(handle.clone(), Arc::clone(&peers));
-        let boards = ServerBoards::default();
-        let board = Arc::clone(&boards.heard);
+        let group = ReplicaGroup::new(handle.clone(), Arc::clone(&peers));
+        let publishers = ServerPublishers::default();
+        let instance_publisher = Arc::clone(&publishers.observed);
         let replicas = (handle, group.clone());
         let fleet =
-            FleetCalls::new(group.clone(), boards.clone(), view.clone(), Arc::clone(&metrics));
-        let operator = routes(OperatorFace {
+            FleetCalls::new(group.clone(), publishers.clone(), view.clone(), Arc::clone(&metrics));
+        let operator = routes(OperatorApi {
             group,
             peers: Arc::clone(&peers),
             view: view.clone(),
@@ -118,41 +118,40 @@
             metrics: Arc::clone(&metrics),
             operator_keys: settings.common.operator_keys.clone(),
         });
-        let relay = Arc::new(NewsRelay::new(Arc::clone(&metrics)));
-        let shared = (reports, boards, Arc::clone(&relay), metrics);
-        let internal =
-            InternalFace::new(own, key, replicas, view.clone(), shared, &settings.limits);
+        let relay = Arc::new(UpdateRelay::new(Arc::clone(&metrics)));
+        let shared = (reports, publishers, Arc::clone(&relay), metrics);
+        let internal = InternalApi::new(own, key, replicas, view.clone(), shared, &settings.limits);
         let internal = Arc::new(internal);
-        let helpers = Helpers { board, relay, peers, view };
-        Ok(ControlDaemon { replica, internal, operator, listeners, fleet, helpers })
+        let background = BackgroundTasks { instance_publisher, relay, peers, view };
+        Ok(ControlDaemon { replica, internal, operator, listeners, fleet, background })
     }
 
-    /// Serves until `stop` completes.
+    /// Serves both APIs until `stop` completes or the replica fails.
     pub async fn serve(self, stop: impl Future<Output = ()> + Send) -> Result<(), ControlError> {
-        let ControlDaemon { mut replica, internal, operator, listeners, helpers, .. } = self;
-        let helpers = tokio::spawn(helpers.run());
+        let ControlDaemon { mut replica, internal, operator, listeners, background, .. } = self;
+        let background = tokio::spawn(background.run());
         let internal = tokio::spawn(internal.serve(listeners.internal));
         let operator = axum::serve(listeners.operator, operator).into_future();
-        let ended = tokio::select! {
-            served = operator => served.map_err(ControlError::Serve),
-            failure = failed(&mut replica.failure) => Err(ControlError::Replica(failure)),
+        let result = tokio::select! {
+            result = operator => result.map_err(ControlError::Serve),
+            failure = wait_for_failure(&mut replica.failure) => Err(ControlError::Replica(failure)),
             () = stop => {
-                replica.hand_over().await;
+                replica.transfer_leadership().await;
                 replica.retire().await;
                 Ok(())
             }
         };
         internal.abort();
-        helpers.abort();
+        background.abort();
         replica.stop().await;
-        ended
+        result
     }
 }
 
-/// Completes when the replica has ended by itself. A daemon whose replica is gone
-/// without a word must not go on answering either.
-async fn failed(failure: &mut oneshot::Receiver<ReplicaFailure>) -> ReplicaFailure {
-    failure.await.unwrap_or(ReplicaFailure::Gone)
+/// Completes when the replica has failed, or ended without reporting a reason; in both cases the
+/// daemon must stop answering.
+async fn wait_for_failure(failure: &mut oneshot::Receiver<ReplicaFailure>) -> ReplicaFailure {
+    failure.await.unwrap_or(ReplicaFailure::ActorEnded)
 }
 
 /// Runs a control daemon until `stop` completes.
--- a/crates/control/tests/daemons/group_claims.rs
+++ b/crates/control/tests/daemons/cluster_claims.rs
@@ -1,8 +1,8 @@
-//! Claims through three replicas: granted once, whoever asks and whoever dies.
+//! Claims on a cluster of three replicas: granted once, whichever replica is asked or fails.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use crate::support::group::Group;
+use crate::support::cluster::Cluster;
 use juniper_protocol::{ClaimAnswer, ClaimOutcome, Reply, Request};
 use juniper_types::{BlockHash, ClaimKey, TenantName};
 
@@ -33,32 +33,32 @@
 }
 
 #[tokio::test]
-async fn of_two_routers_one_is_granted_each_claim_while_the_leader_goes_away() {
-    let mut group = Group::start().await;
+async fn each_claim_is_granted_to_one_of_two_routers_over_a_leader_change() {
+    let mut cluster = Cluster::start().await;
     let keys: Vec<ClaimKey> = (0..KEYS).map(claim_key).collect();
     let mut winners = Vec::new();
     for (number, key) in keys.iter().enumerate() {
         if number as u64 == KEYS / 2 {
-            let leader = group.leader().await;
-            group.stop(leader).await;
+            let leader = cluster.leader().await;
+            cluster.stop(leader).await;
         }
         let (first, second) = (claim(key, 1), claim(key, 2));
-        let (first, second) = tokio::join!(group.call(91, &first), group.call(92, &second));
+        let (first, second) = tokio::join!(cluster.call(91, &first), cluster.call(92, &second));
         assert_ne!(is_granted(&first), is_granted(&second), "{first:?} and {second:?}");
         let winner = if is_granted(&first) { 1 } else { 2 };
-        // The winner's own claim, asked again after a lost answer, stands.
-        assert!(is_granted(&group.call(91, &claim(key, winner)).await));
+        // A retry of the winner's claim, as after a lost reply, is granted again.
+        assert!(is_granted(&cluster.call(91, &claim(key, winner)).await));
         winners.push(winner);
     }
     for (key, winner) in keys.iter().zip(&winners).take(KEYS as usize / 2) {
-        assert_eq!(group.call(91, &settle(key, *winner)).await, Reply::Done);
+        assert_eq!(cluster.call(91, &settle(key, *winner)).await, Reply::Done);
     }
     for at in 0..3 {
-        group.restart(at).await;
-        group.leader().await;
+        cluster.restart(at).await;
+        cluster.leader().await;
     }
     for (number, key) in keys.iter().enumerate() {
-        let reply = group.call(93, &claim(key, 3)).await;
+        let reply = cluster.call(93, &claim(key, 3)).await;
         let settled = (number as u64) < KEYS / 2;
         match reply {
             Reply::Claim(ClaimAnswer::Settled(outcome)) if settled => {
@@ -68,26 +68,26 @@
             other => panic!("settled={settled}: {other:?}"),
         }
     }
-    group.stop_all().await;
+    cluster.stop_all().await;
 }
 
 #[tokio::test]
-async fn without_a_quorum_no_claim_is_granted() {
-    let mut group = Group::start().await;
-    let leader = group.leader().await;
+async fn no_claim_is_granted_without_a_quorum() {
+    let mut cluster = Cluster::start().await;
+    let leader = cluster.leader().await;
     for at in (0..3).filter(|at| *at != leader) {
-        group.stop(at).await;
+        cluster.stop(at).await;
     }
     let key = claim_key(0);
-    let wanted = claim(&key, 1);
-    let asked = tokio::time::timeout(Duration::from_secs(3), group.call(91, &wanted));
-    assert!(asked.await.is_err(), "a claim was answered without a quorum");
-    // The claim may be in the log of the one replica that is left, so that it is
-    // granted to this attempt or to none.
+    let request = claim(&key, 1);
+    let reply = tokio::time::timeout(Duration::from_secs(3), cluster.call(91, &request));
+    assert!(reply.await.is_err(), "a claim was answered without a quorum");
+    // The claim may be in the log of the remaining replica, so it is granted to this attempt or to
+    // none.
     for at in (0..3).filter(|at| *at != leader) {
-        group.restart(at).await;
+        cluster.restart(at).await;
     }
-    assert!(is_granted(&group.call(91, &claim(&key, 1)).await));
-    assert!(!is_granted(&group.call(92, &claim(&key, 2)).await));
-    group.stop_all().await;
+    assert!(is_granted(&cluster.call(91, &claim(&key, 1)).await));
+    assert!(!is_granted(&cluster.call(92, &claim(&key, 2)).await));
+    cluster.stop_all().await;
 }
--- a/crates/control/tests/daemons/folders.rs
+++ b/crates/control/tests/daemons/data_folder.rs
@@ -1,4 +1,4 @@
-//! Data folders: who founds a cluster, what survives a restart and what is refused.
+//! Data folders: founding of a cluster, restarts, and rejected folders.
 
 use crate::support::{Daemon, listeners, put_zone, settings};
 use juniper_control::{ControlDaemon, ControlError, found};
@@ -7,7 +7,7 @@
 use juniper_types::{NodeId, ZoneName};
 
 #[tokio::test]
-async fn a_single_replica_keeps_its_changes_and_refuses_a_copied_folder() {
+async fn single_replica_keeps_changes_over_a_restart_and_rejects_a_copied_folder() {
     let folder = tempfile::tempdir().unwrap();
     let daemon = Daemon::start(folder.path()).await;
     daemon.post("/v1/settings/changes", &put_zone("hartford", 3, 0, "a")).await;
@@ -34,7 +34,7 @@
 }
 
 #[tokio::test]
-async fn a_blank_replica_with_peers_joins_and_never_founds() {
+async fn blank_replica_with_peers_joins_and_does_not_found_a_cluster() {
     let folder = tempfile::tempdir().unwrap();
     let (sockets, absent) = (listeners().await, listeners().await);
     let (internal, operator) =
@@ -54,7 +54,7 @@
         (&"joining".into(), 0)
     );
     daemon.stop().await;
-    // A folder that waits to join isn't a new cluster's any more.
-    let refused = found(&own);
-    assert!(matches!(refused, Err(ControlError::Format(FormatError::NotEmpty))));
+    // A folder formatted for joining can't be used to found a cluster.
+    let result = found(&own);
+    assert!(matches!(result, Err(ControlError::Format(FormatError::NotEmpty))));
 }
--- a/crates/control/tests/daemons/main.rs
+++ b/crates/control/tests/daemons/main.rs
@@ -1,9 +1,9 @@
-//! Control daemons inside the test process, over their real sockets and disks.
+//! Tests of control daemons in the test process, with real sockets and disks.
 
 mod broken_disk;
-mod folders;
-mod group_claims;
-mod group_operator;
+mod cluster_claims;
+mod cluster_operator;
+mod data_folder;
 mod horizon;
 mod one_replica;
 mod relay;
--- a/crates/control/tests/daemons/one_replica.rs
+++ b/crates/control/tests/daemons/one_replica.rs
@@ -1,12 +1,12 @@
-//! One replica, over its real sockets: operators' writes reach a subscribed router.
+//! A single replica: operator writes and a subscribed router.
 
-use crate::support::{Daemon, PATIENCE, key, put_zone, router_identity};
+use crate::support::{Daemon, TEST_TIMEOUT, key, put_zone, router_identity};
 use juniper_protocol::{Message, Push, Reply, Request, connect};
 use juniper_types::Revision;
 use tokio::time::timeout;
 
 async fn next_push(connection: &mut juniper_protocol::Connection) -> Push {
-    let wait = async {
+    let receive = async {
         loop {
             match connection.reader.receive().await.unwrap() {
                 Message::Push(Push::Alive { .. }) => continue,
@@ -15,11 +15,11 @@
             }
         }
     };
-    timeout(PATIENCE, wait).await.unwrap()
+    timeout(TEST_TIMEOUT, receive).await.unwrap()
 }
 
 #[tokio::test]
-async fn an_accepted_change_reaches_a_subscriber_and_its_report_the_operator() {
+async fn subscriber_gets_accepted_changes_and_operator_sees_its_report() {
     let folder = tempfile::tempdir().unwrap();
     let daemon = Daemon::start(folder.path()).await;
     let (status, body) =
@@ -50,7 +50,7 @@
 }
 
 #[tokio::test]
-async fn operators_without_the_key_and_routers_with_a_wrong_one_are_turned_away() {
+async fn operators_without_a_key_and_routers_with_a_wrong_key_are_rejected() {
     let folder = tempfile::tempdir().unwrap();
     let daemon = Daemon::start(folder.path()).await;
     let url = format!("http://{}/v1/settings", daemon.operator);
@@ -64,7 +64,7 @@
 }
 
 #[tokio::test]
-async fn a_lost_race_gets_a_conflict_with_the_diff_and_a_faulty_tree_all_its_faults() {
+async fn outdated_change_gets_a_conflict_with_diff_and_invalid_tree_gets_all_faults() {
     let folder = tempfile::tempdir().unwrap();
     let daemon = Daemon::start(folder.path()).await;
     daemon.post("/v1/settings/changes", &put_zone("hartford", 3, 0, "a")).await;
--- a/crates/control/tests/daemons/seeded.rs
+++ b/crates/control/tests/daemons/seeded.rs
@@ -1,4 +1,4 @@
-//! Clusters that found themselves from seeds, without an operator.
+//! Seeded clusters, founded without an operator.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -13,9 +13,9 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Duration, sleep};
 
-use crate::support::{PATIENCE, listeners, settings};
+use crate::support::{TEST_TIMEOUT, listeners, settings};
 
-/// A replica of a seeded cluster.
+/// Replica of a seeded cluster.
 struct Seeded {
     settings: ControlSettings,
     calls: FleetCalls,
@@ -25,14 +25,14 @@
 
 impl Seeded {
     fn start(settings: ControlSettings, listeners: Listeners) -> Self {
-        let daemon = ControlDaemon::start(&settings, listeners).expect("it starts");
+        let daemon = ControlDaemon::start(&settings, listeners).expect("start the daemon");
         let calls = daemon.fleet();
         let (stop, stopped) = oneshot::channel::<()>();
         let task = tokio::spawn(async move {
-            let told = async {
+            let stopped = async {
                 let _ = stopped.await;
             };
-            daemon.serve(told).await.expect("a planned stop");
+            daemon.serve(stopped).await.expect("a planned stop");
         });
         Seeded { settings, calls, stop, task }
     }
@@ -41,12 +41,12 @@
         self.calls.view().status.borrow().membership.voters().count()
     }
 
-    fn votes(&self) -> bool {
+    fn is_voter(&self) -> bool {
         let status = self.calls.view().status.borrow();
         status.membership.is_voter(status.id)
     }
 
-    /// Stops the replica; its sockets and its folder are free afterwards.
+    /// Stops the replica and releases its sockets and folder.
     async fn stop(self) -> ControlSettings {
         let _ = self.stop.send(());
         self.task.await.expect("no panic");
@@ -54,7 +54,8 @@
     }
 }
 
-struct Fleet {
+/// Configuration shared by the replicas of a seeded cluster.
+struct Deployment {
     folder: TempDir,
     seeds: Vec<NodeId>,
 }
@@ -66,9 +67,9 @@
     }
 }
 
-impl Fleet {
-    /// Settings of a replica on new sockets.
-    async fn member(&self, founds: bool) -> (ControlSettings, Listeners) {
+impl Deployment {
+    /// Creates sockets and settings for a replica.
+    async fn new_replica(&self, founds: bool) -> (ControlSettings, Listeners) {
         let listeners = listeners().await;
         let internal = listeners.internal.local_addr().expect("bound");
         let operator = listeners.operator.local_addr().expect("bound");
@@ -81,20 +82,21 @@
         (settings, listeners)
     }
 
-    /// Three replicas that found a cluster together.
+    /// Starts three replicas that found a cluster together.
     async fn found() -> (Self, Vec<Seeded>) {
-        let mut fleet = Fleet { folder: tempfile::tempdir().expect("a folder"), seeds: Vec::new() };
+        let mut deployment =
+            Deployment { folder: tempfile::tempdir().expect("a folder"), seeds: Vec::new() };
         let mut parts = Vec::new();
         for _ in 0..3 {
-            parts.push(fleet.member(true).await);
+            parts.push(deployment.new_replica(true).await);
         }
-        fleet.seeds = parts.iter().map(|(settings, _)| settings.common.node).collect();
-        let seeds = fleet.seeds.clone();
+        deployment.seeds = parts.iter().map(|(settings, _)| settings.common.node).collect();
+        let seeds = deployment.seeds.clone();
         let start = |(mut settings, listeners): (ControlSettings, Listeners)| {
             settings.discovery = PeerDiscovery::Seeded { seeds: seeds.clone(), founds: true };
             Seeded::start(settings, listeners)
         };
-        (fleet, parts.into_iter().map(start).collect())
+        (deployment, parts.into_iter().map(start).collect())
     }
 }
 
@@ -102,13 +104,13 @@
     Catalog { version, limits: RequestLimits::default(), ..Catalog::default() }
 }
 
-async fn put(replica: &Seeded, version: u64) {
+async fn put_catalog(replica: &Seeded, version: u64) {
     let text = version.to_string().into_bytes();
-    let put = replica.calls.put_catalog(&catalog(version), text).await;
-    put.expect("a quorum takes it");
+    let result = replica.calls.put_catalog(&catalog(version), text).await;
+    result.expect("commit the configuration");
 }
 
-async fn read(replica: &Seeded) -> Option<String> {
+async fn read_catalog(replica: &Seeded) -> Option<String> {
     let document = replica.calls.catalog_document().await.ok()??;
     String::from_utf8(document).ok()
 }
@@ -116,33 +118,33 @@
 async fn wait_for(what: &str, condition: impl Fn() -> bool) {
     let started = Instant::now();
     while !condition() {
-        assert!(started.elapsed() < PATIENCE, "{what}");
+        assert!(started.elapsed() < TEST_TIMEOUT, "{what}");
         sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// Opens the sockets that a replica had before.
-async fn open(settings: &ControlSettings) -> Listeners {
+/// Opens the sockets of a stopped replica again.
+async fn reopen_listeners(settings: &ControlSettings) -> Listeners {
     let started = Instant::now();
     loop {
         match Listeners::open(settings).await {
             Ok(listeners) => return listeners,
-            Err(error) => assert!(started.elapsed() < PATIENCE, "{error}"),
+            Err(error) => assert!(started.elapsed() < TEST_TIMEOUT, "{error}"),
         }
         sleep(Duration::from_millis(50)).await;
     }
 }
 
 fn wipe(folder: &Path) {
-    std::fs::remove_dir_all(folder).expect("the folder is there");
+    std::fs::remove_dir_all(folder).expect("remove the folder");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn seeds_found_one_cluster_together() {
-    let (_fleet, replicas) = Fleet::found().await;
-    put(&replicas[0], 4).await;
+    let (_deployment, replicas) = Deployment::found().await;
+    put_catalog(&replicas[0], 4).await;
     for replica in &replicas {
-        assert_eq!(read(replica).await.as_deref(), Some("4"));
+        assert_eq!(read_catalog(replica).await.as_deref(), Some("4"));
         assert_eq!(replica.voters(), 3);
     }
     let epochs: Vec<_> =
@@ -151,41 +153,41 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_wiped_disk_joins_under_a_new_identity_and_founds_nothing() {
-    let (fleet, mut replicas) = Fleet::found().await;
-    put(&replicas[0], 4).await;
+async fn replica_with_a_wiped_disk_rejoins_and_does_not_found_a_cluster() {
+    let (deployment, mut replicas) = Deployment::found().await;
+    put_catalog(&replicas[0], 4).await;
     let mut settings = replicas.remove(0).stop().await;
     let old = PathBuf::from(&settings.data_folder);
     wipe(&old);
-    settings.discovery = PeerDiscovery::Seeded { seeds: fleet.seeds.clone(), founds: false };
-    let listeners = open(&settings).await;
-    let back = Seeded::start(settings, listeners);
-    wait_for("it votes again", || back.votes() && back.voters() == 3).await;
-    assert_eq!(read(&back).await.as_deref(), Some("4"));
+    settings.discovery = PeerDiscovery::Seeded { seeds: deployment.seeds.clone(), founds: false };
+    let listeners = reopen_listeners(&settings).await;
+    let rejoined = Seeded::start(settings, listeners);
+    wait_for("the replica votes again", || rejoined.is_voter() && rejoined.voters() == 3).await;
+    assert_eq!(read_catalog(&rejoined).await.as_deref(), Some("4"));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_empty_machine_at_another_address_replaces_one_that_is_gone() {
-    let (fleet, mut replicas) = Fleet::found().await;
-    put(&replicas[0], 4).await;
+async fn blank_replica_at_another_address_replaces_a_lost_one() {
+    let (deployment, mut replicas) = Deployment::found().await;
+    put_catalog(&replicas[0], 4).await;
     replicas.remove(0).stop().await;
-    // Its seeds name the machine that is gone too.
-    let (settings, listeners) = fleet.member(false).await;
+    // The seeds of the new replica still list the lost one.
+    let (settings, listeners) = deployment.new_replica(false).await;
     let new = Seeded::start(settings, listeners);
-    wait_for("the newcomer votes", || new.votes() && new.voters() == 3).await;
-    // Now the next one may be lost.
+    wait_for("the new replica votes", || new.is_voter() && new.voters() == 3).await;
+    // The cluster can lose another replica now.
     replicas.remove(0).stop().await;
-    put(&new, 5).await;
-    assert_eq!(read(&replicas[0]).await.as_deref(), Some("5"));
+    put_catalog(&new, 5).await;
+    assert_eq!(read_catalog(&replicas[0]).await.as_deref(), Some("5"));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_blank_machine_alone_founds_nothing() {
-    let fleet = Fleet {
+async fn single_blank_replica_does_not_found_a_cluster() {
+    let deployment = Deployment {
         folder: tempfile::tempdir().expect("a folder"),
         seeds: vec![NodeId::of_address("127.0.0.1:1".parse().expect("valid"))],
     };
-    let (settings, listeners) = fleet.member(false).await;
+    let (settings, listeners) = deployment.new_replica(false).await;
     let alone = Seeded::start(settings, listeners);
     sleep(Duration::from_millis(1_500)).await;
     assert!(!alone.calls.view().status.borrow().is_leader());
@@ -193,21 +195,21 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn after_all_were_stopped_the_latest_accepted_configuration_is_back() {
-    let (_fleet, replicas) = Fleet::found().await;
+async fn latest_accepted_configuration_survives_a_stop_of_all_replicas() {
+    let (_deployment, replicas) = Deployment::found().await;
     for version in 1..=40 {
-        put(&replicas[version as usize % 3], version).await;
+        put_catalog(&replicas[version as usize % 3], version).await;
     }
-    let mut all = Vec::new();
+    let mut all_settings = Vec::new();
     for replica in replicas {
-        all.push(replica.stop().await);
+        all_settings.push(replica.stop().await);
     }
-    let mut back = Vec::new();
-    for settings in all {
-        let listeners = open(&settings).await;
-        back.push(Seeded::start(settings, listeners));
+    let mut restarted = Vec::new();
+    for settings in all_settings {
+        let listeners = reopen_listeners(&settings).await;
+        restarted.push(Seeded::start(settings, listeners));
     }
-    for replica in &back {
-        assert_eq!(read(replica).await.as_deref(), Some("40"));
+    for replica in &restarted {
+        assert_eq!(read_catalog(replica).await.as_deref(), Some("40"));
     }
 }
--- a/crates/control/tests/daemons/support/group.rs
+++ b/crates/control/tests/daemons/support/cluster.rs
@@ -1,4 +1,4 @@
-//! Three control daemons that form a cluster.
+//! Cluster of three control daemons.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -12,42 +12,42 @@
 use tempfile::TempDir;
 use tokio::time::{Duration, sleep, timeout};
 
-use super::{Daemon, PATIENCE, key, listeners, router_identity, settings};
+use super::{Daemon, TEST_TIMEOUT, key, listeners, router_identity, settings};
 
-/// Longest wait for one replica's answer.
-const ATTEMPT: Duration = Duration::from_millis(700);
+/// Timeout of a call to one replica.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(700);
 
-pub struct Group {
+pub struct Cluster {
     pub settings: Vec<ControlSettings>,
-    /// Switches that make the replicas' disks hang.
+    /// Switches that stall the disk of each replica.
     pub stalls: Vec<Arc<AtomicBool>>,
     daemons: Vec<Option<Daemon>>,
     _folder: TempDir,
 }
 
-impl Group {
-    /// Starts three replicas and waits until all vote.
+impl Cluster {
+    /// Starts three replicas and waits until all are voters.
     pub async fn start() -> Self {
         let folder = tempfile::tempdir().unwrap();
         let mut all = Vec::new();
-        let mut settings_of_all = Vec::new();
+        let mut all_settings = Vec::new();
         for node in 1..=3_u64 {
             let listeners = listeners().await;
             let internal = listeners.internal.local_addr().unwrap();
             let operator = listeners.operator.local_addr().unwrap();
             let own = folder.path().join(node.to_string());
-            settings_of_all.push(settings(node, internal, operator, &own));
+            all_settings.push(settings(node, internal, operator, &own));
             all.push(listeners);
         }
-        know_each_other(&mut settings_of_all);
-        found(&settings_of_all[0]).unwrap();
-        let stalls: Vec<Arc<AtomicBool>> = settings_of_all.iter().map(|_| Arc::default()).collect();
-        let parts = settings_of_all.iter().zip(all).zip(&stalls);
-        let start = |((own, sockets), stall)| Some(Daemon::start_stalling(own, sockets, stall));
+        add_peers(&mut all_settings);
+        found(&all_settings[0]).unwrap();
+        let stalls: Vec<Arc<AtomicBool>> = all_settings.iter().map(|_| Arc::default()).collect();
+        let parts = all_settings.iter().zip(all).zip(&stalls);
+        let start = |((own, sockets), stall)| Some(Daemon::start_with_stalls(own, sockets, stall));
         let daemons = parts.map(start).collect();
-        let group = Group { settings: settings_of_all, stalls, daemons, _folder: folder };
-        group.wait_for("three voters", async || group.voters().await == Some(3)).await;
-        group
+        let cluster = Cluster { settings: all_settings, stalls, daemons, _folder: folder };
+        cluster.wait_for("three voters", async || cluster.voters().await == Some(3)).await;
+        cluster
     }
 
     pub fn daemon(&self, at: usize) -> &Daemon {
@@ -64,7 +64,7 @@
         self.stop(at).await;
         let own = &self.settings[at];
         let sockets = Listeners::open(own).await.unwrap();
-        self.daemons[at] = Some(Daemon::start_stalling(own, sockets, &self.stalls[at]));
+        self.daemons[at] = Some(Daemon::start_with_stalls(own, sockets, &self.stalls[at]));
     }
 
     pub async fn stop_all(mut self) {
@@ -100,18 +100,17 @@
     pub async fn wait_for(&self, what: &str, mut check: impl AsyncFnMut() -> bool) {
         let start = Instant::now();
         while !check().await {
-            assert!(start.elapsed() < PATIENCE, "waited in vain for {what}");
+            assert!(start.elapsed() < TEST_TIMEOUT, "timed out waiting for {what}");
             sleep(Duration::from_millis(20)).await;
         }
     }
 
-    /// Calls as a router does: asks one replica after the other until one
-    /// carries the call out.
+    /// Calls one replica after the other until the call succeeds, as a router does.
     pub async fn call(&self, node: u64, request: &Request) -> Reply {
         let start = Instant::now();
         for at in (0..self.settings.len()).cycle() {
-            assert!(start.elapsed() < PATIENCE, "no replica carries out {request:?}");
-            let reply = timeout(ATTEMPT, self.call_one(at, node, request)).await;
+            assert!(start.elapsed() < TEST_TIMEOUT, "no replica handled {request:?}");
+            let reply = timeout(ATTEMPT_TIMEOUT, self.call_one(at, node, request)).await;
             match reply.ok().flatten() {
                 Some(Reply::Refused(Refusal::NotLeader { .. } | Refusal::NoQuorum))
                 | Some(Reply::Refused(Refusal::Unknown))
@@ -119,7 +118,7 @@
                 Some(reply) => return reply,
             }
         }
-        unreachable!("the replicas are asked in turn for ever")
+        unreachable!("the loop ends by a return")
     }
 
     async fn call_one(&self, at: usize, node: u64, request: &Request) -> Option<Reply> {
@@ -134,7 +133,7 @@
     }
 }
 
-fn know_each_other(all: &mut [ControlSettings]) {
+fn add_peers(all: &mut [ControlSettings]) {
     let peer = |own: &ControlSettings| Peer {
         id: own.common.node,
         zone: ZoneName::new("hartford").unwrap(),
--- a/crates/control/tests/daemons/support/stalling.rs
+++ b/crates/control/tests/daemons/support/faulty_disk.rs
@@ -1,4 +1,4 @@
-//! A disk that hangs or breaks when a test wants it to.
+//! Disk with injected faults.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -6,19 +6,19 @@
 
 use juniper_storage::{Disk, DiskError, Folder};
 
-/// A folder whose syncs don't return while one switch is on and panic while the other is.
-pub struct StallingDisk {
+/// Folder whose syncs block while `stalled` is set and panic while `panics` is set.
+pub struct FaultyDisk {
     pub folder: Folder,
     pub stalled: Arc<AtomicBool>,
-    pub broken: Arc<AtomicBool>,
+    pub panics: Arc<AtomicBool>,
 }
 
-impl Disk for StallingDisk {
+impl Disk for FaultyDisk {
     fn sync(&mut self, file: &str) -> Result<(), DiskError> {
         while self.stalled.load(Ordering::SeqCst) {
             std::thread::sleep(Duration::from_millis(10));
         }
-        assert!(!self.broken.load(Ordering::SeqCst), "the test breaks the disk");
+        assert!(!self.panics.load(Ordering::SeqCst), "injected panic");
         self.folder.sync(file)
     }
 
--- a/crates/control/tests/daemons/support/mod.rs
+++ b/crates/control/tests/daemons/support/mod.rs
@@ -1,9 +1,7 @@
-//! Control daemons inside the test process, on ports that the OS chooses.
-//!
-//! Every test file uses its own part of this module.
+//! Control daemons in the test process, on unused ports.
 
-pub mod group;
-pub mod stalling;
+pub mod cluster;
+pub mod faulty_disk;
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,13 +19,13 @@
 use tokio::sync::oneshot;
 use tokio::task::JoinHandle;
 
-use stalling::StallingDisk;
+use faulty_disk::FaultyDisk;
 
 pub const CLUSTER_KEY: &str = "a cluster key for tests";
 pub const OPERATOR_KEY: &str = "an operator key for tests";
 
-/// Longest wait for something that must happen.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+/// Timeout of conditions that a test waits for.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 pub struct Daemon {
     pub internal: SocketAddr,
@@ -49,15 +47,15 @@
         Self::serve(settings, daemon)
     }
 
-    /// Starts on a disk that hangs while `stalled` is on.
-    pub fn start_stalling(
+    /// Starts a daemon whose disk stalls while `stalled` is set.
+    pub fn start_with_stalls(
         settings: &ControlSettings,
         listeners: Listeners,
         stalled: &Arc<AtomicBool>,
     ) -> Self {
         let disk = |folder| {
             let stalled = Arc::clone(stalled);
-            StallingDisk { folder, stalled, broken: Arc::default() }
+            FaultyDisk { folder, stalled, panics: Arc::default() }
         };
         let daemon = ControlDaemon::start_on(settings, listeners, disk).unwrap();
         Self::serve(settings, daemon)
@@ -97,7 +95,6 @@
         (status, response.json().await.unwrap_or(Value::Null))
     }
 
-    /// Deletes what the path names.
     pub async fn delete(&self, path: &str) -> (u16, Value) {
         let request = client().delete(format!("http://{}{path}", self.operator));
         let response = request.bearer_auth(OPERATOR_KEY).send().await.unwrap();
@@ -114,7 +111,7 @@
 }
 
 pub fn client() -> reqwest::Client {
-    reqwest::Client::builder().no_proxy().timeout(PATIENCE).build().unwrap()
+    reqwest::Client::builder().no_proxy().timeout(TEST_TIMEOUT).build().unwrap()
 }
 
 pub fn settings(
@@ -156,7 +153,7 @@
     ClusterKey::from_text(CLUSTER_KEY).unwrap()
 }
 
-/// A change that puts a zone with the given priority.
+/// Body of a change that puts a zone with the given priority.
 pub fn put_zone(zone: &str, priority: u8, base: u64, change_id: &str) -> Value {
     let path: SettingsPath = format!("/{zone}").parse().unwrap();
     let mut node = SettingsNode::default();
--- a/crates/control/tests/fleet_board.rs
+++ b/crates/control/tests/fleet_log.rs
@@ -3,8 +3,8 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::sync::Arc;
 
-use juniper_control::fleet_board::FleetLog;
-use juniper_control::renewals::SharedFrame;
+use juniper_control::fleet_publisher::FleetLog;
+use juniper_control::renewal_log::SharedFrame;
 use juniper_protocol::{Message, Push};
 use juniper_registry::{
     Instance, InstanceMap, InstanceName, InstanceReport, InstanceState, StartTime,
@@ -29,8 +29,8 @@
     (0..count).map(|number| server(number, 4)).collect()
 }
 
-/// Names heard, whether it is everything, and names gone.
-fn read(frame: &SharedFrame) -> (Vec<String>, bool, Vec<String>) {
+/// Names of the observed servers, whether these are all, and names of the removed ones.
+fn decode(frame: &SharedFrame) -> (Vec<String>, bool, Vec<String>) {
     match minicbor::decode(frame).expect("a message") {
         Message::Push(Push::Instances { observed, is_complete, removed }) => {
             let observed = observed.iter().map(|known| known.report.name.to_string()).collect();
@@ -41,24 +41,24 @@
 }
 
 #[test]
-fn a_newcomer_is_told_everything_and_then_what_changes() {
+fn new_subscriber_gets_the_complete_state_then_changes() {
     let mut log = FleetLog::default();
     let mut known = servers(3);
     log.publish(&known);
     let (sent, frames) = log.frames_after(None);
-    let (heard, whole, _) = read(&frames[0]);
-    assert_eq!((heard.len(), whole, frames.len()), (3, true, 1));
+    let (observed, is_complete, _) = decode(&frames[0]);
+    assert_eq!((observed.len(), is_complete, frames.len()), (3, true, 1));
     known.insert(server(1, 9));
     known.remove(&InstanceName::new("i-000002"));
     log.publish(&known);
     let (sent, frames) = log.frames_after(Some(sent));
-    let told: Vec<_> = frames.iter().map(read).collect();
-    assert_eq!(told, [(vec!["i-000001".to_owned()], false, vec!["i-000002".to_owned()])]);
+    let changes: Vec<_> = frames.iter().map(decode).collect();
+    assert_eq!(changes, [(vec!["i-000001".to_owned()], false, vec!["i-000002".to_owned()])]);
     assert!(log.frames_after(Some(sent)).1.is_empty());
 }
 
 #[test]
-fn one_that_is_far_behind_is_told_everything() {
+fn subscriber_far_behind_gets_the_complete_state() {
     let mut log = FleetLog::default();
     let mut known = servers(5);
     let first = log.publish(&known);
@@ -67,25 +67,24 @@
         log.publish(&known);
     }
     let (_, frames) = log.frames_after(Some(first));
-    let (heard, whole, _) = read(&frames[0]);
-    assert_eq!((heard.len(), whole, frames.len()), (5, true, 1));
+    let (observed, is_complete, _) = decode(&frames[0]);
+    assert_eq!((observed.len(), is_complete, frames.len()), (5, true, 1));
 }
 
-/// A change costs the bytes of the change, whatever the size of the fleet; everything costs so many
-/// bytes a server, and is encoded once for all that ask.
+/// The size of a change must not depend on the size of the fleet.
 #[test]
-fn bytes_grow_with_what_changes() {
+fn update_size_is_proportional_to_the_change() {
     let sizes = [1_000, 2_000, 4_000].map(|count| {
         let mut log = FleetLog::default();
         let mut known = servers(count);
         let sent = log.publish(&known);
-        let (_, whole) = log.frames_after(None);
+        let (_, complete) = log.frames_after(None);
         let (_, again) = log.frames_after(None);
-        assert!(Arc::ptr_eq(&whole[0], &again[0]), "encoded once");
+        assert!(Arc::ptr_eq(&complete[0], &again[0]), "encoded twice");
         known.insert(server(7, 5));
         log.publish(&known);
         let (_, change) = log.frames_after(Some(sent));
-        (whole[0].len() / count, change.iter().map(|frame| frame.len()).sum::<usize>())
+        (complete[0].len() / count, change.iter().map(|frame| frame.len()).sum::<usize>())
     });
     assert!(sizes.iter().all(|(each, change)| *each <= 80 && *change <= 100), "{sizes:?}");
 }
