--- a/crates/cli/src/daemon.rs
+++ b/crates/cli/src/daemon.rs
@@ -117,7 +117,7 @@
     let file = NodeFile::load(&arguments.path, &arguments.overrides)?;
     let no_section = DaemonError::NoSection { path: arguments.path, section: "control" };
     let settings: ControlSettings = file.control.ok_or(no_section)?;
-    let replica = juniper_control::found(&settings).map_err(DaemonError::from)?;
+    let replica = juniper_control::found_cluster(&settings).map_err(DaemonError::from)?;
     match arguments.format {
         Format::Text => println!("founded a cluster on {replica}"),
         Format::Json => println!("{}", json!({ "founded_on": replica.to_string() })),
--- a/crates/control/examples/control_group/cluster.rs
+++ b/crates/control/examples/control_group/cluster.rs
@@ -99,7 +99,8 @@
             std::fs::write(&replica.file, text).expect("a node file");
         }
         let first = NodeFile::load(&replicas[0].file, &[]).expect("a valid node file");
-        juniper_control::found(&first.control.expect("a control section")).expect("a new cluster");
+        juniper_control::found_cluster(&first.control.expect("a control section"))
+            .expect("a new cluster");
         replicas.iter_mut().for_each(Replica::start);
         let http = reqwest::Client::builder().no_proxy().timeout(Duration::from_secs(10));
         let http = http.build().expect("a client");
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -26,5 +26,5 @@
 pub use fleet_calls::{FleetCallError, FleetCalls};
 pub use juniper_settings::ControlSettings;
 pub use renewal_log::Renewals;
-pub use replica::found;
+pub use replica::found_cluster;
 pub use run::{ControlDaemon, Listeners, run};
--- a/crates/control/src/replica/data_folder.rs
+++ b/crates/control/src/replica/data_folder.rs
@@ -33,7 +33,7 @@
 ///
 /// # Errors
 /// Fails if the folder already belongs to a cluster or the disk fails.
-pub fn found(settings: &ControlSettings) -> Result<ReplicaId, ControlError> {
+pub fn found_cluster(settings: &ControlSettings) -> Result<ReplicaId, ControlError> {
     let mut folder = open_folder(settings)?;
     let id = new_id(settings);
     let epoch = ClusterEpoch::first(rand::random());
@@ -69,7 +69,7 @@
         return format_seeded(settings, seeds, *founds);
     }
     if settings.peers.is_empty() {
-        let id = found(settings)?;
+        let id = found_cluster(settings)?;
         log::info!("event=cluster_founded replica={id}");
         return Ok(());
     }
--- a/crates/control/src/replica/mod.rs
+++ b/crates/control/src/replica/mod.rs
@@ -25,7 +25,7 @@
 use crate::published_settings::PublishedSettings;
 
 pub use actor::{ReplicaActor, ReplicaFailure};
-pub use data_folder::{REPLICA_FOLDER, found, replica_folder};
+pub use data_folder::{REPLICA_FOLDER, found_cluster, replica_folder};
 pub use handle::ReplicaHandle;
 pub use horizon::next_horizon;
 pub use start::{ReplicaParts, RunningReplica, start};
--- a/crates/control/tests/daemons/data_folder.rs
+++ b/crates/control/tests/daemons/data_folder.rs
@@ -1,7 +1,7 @@
 //! Data folders: founding of a cluster, restarts, and rejected folders.
 
 use crate::support::{Daemon, listeners, put_zone, settings};
-use juniper_control::{ControlDaemon, ControlError, found};
+use juniper_control::{ControlDaemon, ControlError, found_cluster};
 use juniper_settings::node_file::Peer;
 use juniper_storage::{FormatError, OpenError};
 use juniper_types::{NodeId, ZoneName};
@@ -55,6 +55,6 @@
     );
     daemon.stop().await;
     // A folder formatted for joining can't be used to found a cluster.
-    let result = found(&own);
+    let result = found_cluster(&own);
     assert!(matches!(result, Err(ControlError::Format(FormatError::NotEmpty))));
 }
--- a/crates/control/tests/daemons/support/cluster.rs
+++ b/crates/control/tests/daemons/support/cluster.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::AtomicBool;
 use std::time::Instant;
 
-use juniper_control::{Listeners, found};
+use juniper_control::{Listeners, found_cluster};
 use juniper_protocol::{Message, Refusal, Reply, Request, connect};
 use juniper_settings::ControlSettings;
 use juniper_settings::node_file::Peer;
@@ -40,7 +40,7 @@
             all.push(listeners);
         }
         add_peers(&mut all_settings);
-        found(&all_settings[0]).unwrap();
+        found_cluster(&all_settings[0]).unwrap();
         let stalls: Vec<Arc<AtomicBool>> = all_settings.iter().map(|_| Arc::default()).collect();
         let parts = all_settings.iter().zip(all).zip(&stalls);
         let start = |((own, sockets), stall)| Some(Daemon::start_with_stalls(own, sockets, stall));
