--- a/crates/control/src/fleet_calls.rs
+++ b/crates/control/src/fleet_calls.rs
@@ -161,7 +161,7 @@
     }
 
     /// Publishes the rollout state to subscribers of this replica.
-    pub fn announce(&self, latest: Renewals) {
+    pub fn publish_renewals(&self, latest: Renewals) {
         self.instance_publisher.set_renewals(latest);
     }
 
--- a/crates/renewal/src/giver.rs
+++ b/crates/renewal/src/giver.rs
@@ -275,7 +275,7 @@
         self.versions.retain(|(instance, model), version| {
             report(instance).is_some_and(|report| report.version_of(model) < Some(*version))
         });
-        self.calls.announce(Renewals {
+        self.calls.publish_renewals(Renewals {
             under_way: self.under_way.clone(),
             versions: self.versions.clone(),
         });
