--- a/crates/control/src/fleet_calls.rs
+++ b/crates/control/src/fleet_calls.rs
@@ -92,7 +92,7 @@
     ///
     /// # Errors
     /// Fails if the server is draining and no quorum commits its departure in time.
-    pub async fn heartbeat(&self, report: InstanceReport) -> Result<(), Refusal> {
+    pub async fn handle_heartbeat(&self, report: InstanceReport) -> Result<(), Refusal> {
         let departing = (report.state == InstanceState::Draining).then(|| report.id());
         let intake = self.instance_publisher.observe(report);
         if intake == Intake::OtherWriter {
@@ -106,7 +106,7 @@
     }
 
     /// Counts and logs a malformed heartbeat.
-    pub fn refuse_heartbeat(&self, name: &str, reason: &dyn std::fmt::Display) {
+    pub fn reject_heartbeat(&self, name: &str, reason: &dyn std::fmt::Display) {
         self.metrics.heartbeats_refused.inc();
         log::warn!("event=heartbeat_refused instance={name:?} reason=\"{reason}\"");
     }
