--- a/crates/control/src/fleet_calls.rs
+++ b/crates/control/src/fleet_calls.rs
@@ -100,7 +100,7 @@
             return Ok(());
         }
         match departing {
-            Some(id) => self.depart(&id, "draining").await,
+            Some(id) => self.commit_departure(&id, "draining").await,
             None => Ok(()),
         }
     }
@@ -117,13 +117,13 @@
     ///
     /// # Errors
     /// Fails if no quorum commits the departure in time.
-    pub async fn leave(&self, name: InstanceName) -> Result<(), Refusal> {
+    pub async fn record_departure(&self, name: InstanceName) -> Result<(), Refusal> {
         let now = || StartTime::from_unix_ms(unix_millis());
         let started = self.instance_publisher.start_of(&name).unwrap_or_else(now);
-        self.depart(&InstanceId::started_at(name, started), "left").await
+        self.commit_departure(&InstanceId::started_at(name, started), "left").await
     }
 
-    async fn depart(&self, id: &InstanceId, cause: &str) -> Result<(), Refusal> {
+    async fn commit_departure(&self, id: &InstanceId, cause: &str) -> Result<(), Refusal> {
         if self.view.fleet.borrow().has_departed(id) {
             return Ok(());
         }
