--- a/crates/control/src/fleet_calls.rs
+++ b/crates/control/src/fleet_calls.rs
@@ -139,7 +139,7 @@
     ///
     /// # Errors
     /// Fails if no quorum commits the version in time.
-    pub async fn name_weights(&self, model: String, version: u64) -> Result<(), Refusal> {
+    pub async fn set_target_weights(&self, model: String, version: u64) -> Result<(), Refusal> {
         let command = Command::NameWeights { model: model.clone(), version };
         self.write("weights", command).await?;
         log::info!("event=weights_named model={model} version={version}");
