--- a/crates/control/src/renewal_log.rs
+++ b/crates/control/src/renewal_log.rs
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Renewals {
     /// Servers that take no new requests until their weights are replaced.
-    pub under_way: BTreeSet<InstanceId>,
+    pub renewing: BTreeSet<InstanceId>,
     /// Version of a model's weights by server and model, where the server's own report is older.
     pub versions: BTreeMap<(InstanceId, String), u64>,
 }
@@ -32,7 +32,7 @@
     fn complete_update(&self) -> RenewalUpdate {
         let versions = self.versions.iter().map(known_version).collect();
         let update = RenewalUpdate { is_complete: true, versions, ..RenewalUpdate::default() };
-        update.with_servers(&self.under_way, [])
+        update.with_servers(&self.renewing, [])
     }
 
     /// Returns the changes since `earlier`. Versions that are absent here have reached the servers'
@@ -41,8 +41,8 @@
         let is_new =
             |known: &(&(InstanceId, String), &u64)| earlier.versions.get(known.0) != Some(known.1);
         let versions = self.versions.iter().filter(is_new).map(known_version).collect();
-        let started = self.under_way.difference(&earlier.under_way);
-        let ended = earlier.under_way.difference(&self.under_way);
+        let started = self.renewing.difference(&earlier.renewing);
+        let ended = earlier.renewing.difference(&self.renewing);
         RenewalUpdate { versions, ..RenewalUpdate::default() }.with_servers(started, ended)
     }
 }
--- a/crates/control/tests/renewal_log.rs
+++ b/crates/control/tests/renewal_log.rs
@@ -8,10 +8,10 @@
 use juniper_protocol::{Message, Push};
 use juniper_registry::{InstanceId, InstanceName};
 
-fn renewals(under_way: &[&str], versions: &[(&str, u64)]) -> Renewals {
+fn renewals(renewing: &[&str], versions: &[(&str, u64)]) -> Renewals {
     let version = |(id, version): &(&str, u64)| ((InstanceId::new(id), "m".to_owned()), *version);
     Renewals {
-        under_way: under_way.iter().map(InstanceId::new).collect(),
+        renewing: renewing.iter().map(InstanceId::new).collect(),
         versions: versions.iter().map(version).collect::<BTreeMap<_, _>>(),
     }
 }
--- a/crates/renewal/src/giver.rs
+++ b/crates/renewal/src/giver.rs
@@ -276,7 +276,7 @@
             report(instance).is_some_and(|report| report.version_of(model) < Some(*version))
         });
         self.calls.publish_renewals(Renewals {
-            under_way: self.under_way.clone(),
+            renewing: self.under_way.clone(),
             versions: self.versions.clone(),
         });
     }
--- a/crates/renewal/src/hand_on.rs
+++ b/crates/renewal/src/hand_on.rs
@@ -30,5 +30,5 @@
         let instance = InstanceId::started_at(known.instance.clone(), known.started);
         ((instance, known.model.clone()), known.version)
     });
-    Renewals { under_way: view.renewing.iter().cloned().collect(), versions: versions.collect() }
+    Renewals { renewing: view.renewing.iter().cloned().collect(), versions: versions.collect() }
 }
