--- a/crates/control/src/run.rs
+++ b/crates/control/src/run.rs
@@ -76,18 +76,18 @@
 
 impl ControlDaemon {
     /// Returns the handler of fleet calls.
-    pub fn fleet(&self) -> FleetCalls {
+    pub fn fleet_calls(&self) -> FleetCalls {
         self.fleet.clone()
     }
 
     /// Starts the replica. The APIs are served only by [`ControlDaemon::serve`].
     pub fn start(settings: &ControlSettings, listeners: Listeners) -> Result<Self, ControlError> {
-        Self::start_on(settings, listeners, |folder| folder)
+        Self::start_with_disk(settings, listeners, |folder| folder)
     }
 
     /// Same as [`ControlDaemon::start`], with the disk that `disk` returns for the data folder, for
     /// example one that injects faults.
-    pub fn start_on<D: Disk + Send + 'static>(
+    pub fn start_with_disk<D: Disk + Send + 'static>(
         settings: &ControlSettings,
         listeners: Listeners,
         disk: impl Fn(Folder) -> D,
--- a/crates/control/tests/daemons/broken_disk.rs
+++ b/crates/control/tests/daemons/broken_disk.rs
@@ -19,7 +19,7 @@
     let own = settings(1, internal, operator, folder.path());
     let panics = Arc::new(AtomicBool::new(false));
     let disk = |folder| FaultyDisk { folder, stalled: Arc::default(), panics: Arc::clone(&panics) };
-    let daemon = ControlDaemon::start_on(&own, sockets, disk).unwrap();
+    let daemon = ControlDaemon::start_with_disk(&own, sockets, disk).unwrap();
     // The replica's first write is its own vote.
     panics.store(true, Ordering::SeqCst);
     let result = timeout(TEST_TIMEOUT, daemon.serve(std::future::pending())).await.unwrap();
--- a/crates/control/tests/daemons/seeded.rs
+++ b/crates/control/tests/daemons/seeded.rs
@@ -26,7 +26,7 @@
 impl Seeded {
     fn start(settings: ControlSettings, listeners: Listeners) -> Self {
         let daemon = ControlDaemon::start(&settings, listeners).expect("start the daemon");
-        let calls = daemon.fleet();
+        let calls = daemon.fleet_calls();
         let (stop, stopped) = oneshot::channel::<()>();
         let task = tokio::spawn(async move {
             let stopped = async {
--- a/crates/control/tests/daemons/support/mod.rs
+++ b/crates/control/tests/daemons/support/mod.rs
@@ -57,7 +57,7 @@
             let stalled = Arc::clone(stalled);
             FaultyDisk { folder, stalled, panics: Arc::default() }
         };
-        let daemon = ControlDaemon::start_on(settings, listeners, disk).unwrap();
+        let daemon = ControlDaemon::start_with_disk(settings, listeners, disk).unwrap();
         Self::serve(settings, daemon)
     }
 
