--- a/crates/crash-watch/src/watch.rs
+++ b/crates/crash-watch/src/watch.rs
@@ -12,8 +12,8 @@
 use juniper_feed::{Feed, FleetView, RelayedBatch};
 use juniper_protocol::message::{CrashUpdate, QuarantineRequest, RelayedUpdate, RouterUpdate};
 use juniper_quarantine::{
-    Clearance, Counted, CrashCounts, CrashProof, CrashReport, CutRequest, CutRequests, EndedWell,
-    Report, Retelling, ServerCrash,
+    Clearance, CompletedRequests, Counted, CrashCounts, CrashProof, CrashReport,
+    InterruptedRequest, InterruptedRequests, Rebroadcast, Report, ServerCrash,
 };
 use juniper_registry::InstanceId;
 use juniper_types::{NodeId, RequestFingerprint, Timestamp};
@@ -41,10 +41,10 @@
 pub struct CrashWatch {
     feed: Feed,
     metrics: CrashMetrics,
-    cuts: Mutex<CutRequests>,
-    ended_well: Mutex<EndedWell>,
+    cuts: Mutex<InterruptedRequests>,
+    ended_well: Mutex<CompletedRequests>,
     counts: Mutex<CrashCounts>,
-    retelling: Mutex<Retelling>,
+    retelling: Mutex<Rebroadcast>,
     outbox: Outbox,
     /// What the replicas have recorded.
     recorded: Mutex<Arc<BTreeSet<RequestFingerprint>>>,
@@ -98,7 +98,7 @@
         request: RequestFingerprint,
         sent_at: Timestamp,
     ) {
-        let cut = CutRequest { request, sent_at, cut_at: self.now() };
+        let cut = InterruptedRequest { request, sent_at, cut_at: self.now() };
         let crash = lock(&self.cuts).cut(instance, address, cut);
         self.note_crash(crash);
     }
@@ -120,7 +120,7 @@
         );
         self.metrics.server_ended(proof, requests.len());
         let now = self.now();
-        for CutRequest { request, sent_at, cut_at } in requests {
+        for InterruptedRequest { request, sent_at, cut_at } in requests {
             let (age, under_way) = (now.since(cut_at), cut_at.since(sent_at));
             let ended_well = lock(&self.ended_well).has(&request);
             let instance = instance.clone();
@@ -224,8 +224,8 @@
     }
 
     fn hear_batch(&self, batch: &RelayedBatch) {
-        for RelayedUpdate { from, news, .. } in batch.iter() {
-            if let Some(crashes) = &news.crashes {
+        for RelayedUpdate { from, update, .. } in batch.iter() {
+            if let Some(crashes) = &update.crashes {
                 self.hear(*from, crashes);
             }
         }
--- a/crates/feed/src/actor.rs
+++ b/crates/feed/src/actor.rs
@@ -10,7 +10,7 @@
     CatalogBody, FleetUpdate, RelayedUpdate, RenewalUpdate, RouterUpdate,
 };
 use juniper_protocol::{ClusterKey, PeerIdentity};
-use juniper_registry::{HeardInstance, InstanceName};
+use juniper_registry::{InstanceName, ObservedInstance};
 use juniper_types::{NodeId, Timestamp, ZoneName};
 use kameo::Actor;
 use kameo::actor::ActorRef;
@@ -58,7 +58,7 @@
     RouterUpdates(Vec<RelayedUpdate>),
     Fleet(FleetUpdate),
     Instances {
-        observed: Vec<HeardInstance>,
+        observed: Vec<ObservedInstance>,
         is_complete: bool,
         removed: Vec<InstanceName>,
         /// Whether the servers are those that all replicas know, rather than those that this
--- a/crates/feed/tests/view_builder.rs
+++ b/crates/feed/tests/view_builder.rs
@@ -10,7 +10,8 @@
     CatalogBody, FleetUpdate, KnownVersion, QuarantineUpdate, RenewalUpdate,
 };
 use juniper_registry::{
-    HeardInstance, InstanceId, InstanceName, InstanceReport, InstanceState, ModelHolding, StartTime,
+    InstanceId, InstanceName, InstanceReport, InstanceState, LoadedModel, ObservedInstance,
+    StartTime,
 };
 use juniper_types::{NodeId, RequestFingerprint, Timestamp};
 
@@ -39,7 +40,7 @@
     Some(CatalogBody { version, body: minicbor::to_vec(&catalog).expect("encodes") })
 }
 
-fn observed(id: &str, sequence: u64) -> HeardInstance {
+fn observed(id: &str, sequence: u64) -> ObservedInstance {
     let report = InstanceReport {
         name: InstanceName::new(id),
         started: StartTime::UNKNOWN,
@@ -49,10 +50,10 @@
         slots: 4,
         state: InstanceState::Ready,
         cold_remaining_ms: 0,
-        models: vec![ModelHolding { model: "m".to_owned(), version: 1 }],
+        models: vec![LoadedModel { model: "m".to_owned(), version: 1 }],
         sequence,
     };
-    HeardInstance { report, silent: false, age_ms: 0 }
+    ObservedInstance { report, silent: false, age_ms: 0 }
 }
 
 fn connected() -> FleetViewBuilder {
@@ -176,7 +177,7 @@
     builder.apply_instances(FIRST, vec![observed("a", 1), observed("b", 1)], true, Timestamp::ZERO);
     builder.apply_renewals(FIRST, renewing(&[], &[], &[("a", 2)]));
     let mut reported = observed("a", 2);
-    reported.report.models = vec![ModelHolding { model: "m".to_owned(), version: 2 }];
+    reported.report.models = vec![LoadedModel { model: "m".to_owned(), version: 2 }];
     builder.apply_instances(FIRST, vec![reported], false, Timestamp::ZERO);
     builder.apply_renewals(FIRST, renewing(&[], &[], &[("b", 2), ("gone", 2)]));
     let versions = builder.view().versions.iter();
@@ -220,9 +221,9 @@
     assert_eq!(builder.router_count(), 3);
 }
 
-fn quarantine(is_whole: bool, added: &[u8], released: &[u8]) -> Option<QuarantineUpdate> {
+fn quarantine(is_complete: bool, added: &[u8], released: &[u8]) -> Option<QuarantineUpdate> {
     let named = |numbers: &[u8]| numbers.iter().map(|it| RequestFingerprint([*it; 16])).collect();
-    Some(QuarantineUpdate { is_whole, added: named(added), released: named(released) })
+    Some(QuarantineUpdate { is_complete, added: named(added), released: named(released) })
 }
 
 fn quarantined(builder: &FleetViewBuilder) -> Vec<u8> {
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -14,7 +14,7 @@
 
 use crate::body::WholeBody;
 use crate::call::Call;
-use crate::dialect::{AnswerFacts, AttemptFacts};
+use crate::dialect::{AnswerInfo, AttemptInfo};
 use crate::gateway::Gateway;
 use crate::pool::{ConnectError, ServerConnection, is_refused};
 
@@ -223,7 +223,7 @@
     let connection = attempt.connection.insert(connection);
     // The answer to another request may have requested a backoff while this request waited for its
     // connection.
-    if let Some(backoff) = gateway.placement().rest_left(&choice.instance, gateway.now()) {
+    if let Some(backoff) = gateway.placement().remaining_backoff(&choice.instance, gateway.now()) {
         return Err(AttemptError::BackingOff(backoff));
     }
     let request = build_request(gateway, call, choice, last_event);
@@ -240,7 +240,7 @@
     let (head, body) = response.into_parts();
     let facts = gateway.dialect.read_answer(&head, &call.facts.id, &choice.instance);
     if let Some(version) = facts.version {
-        gateway.placement().saw_version(&choice.instance, version);
+        gateway.placement().observe_version(&choice.instance, version);
     }
     gateway.observe_limit(&choice.instance, &facts, attempt.sent_at, call.id());
     gateway.observe_notice(&choice.instance, &facts, call.id());
@@ -258,7 +258,7 @@
 
 /// Checks whether the answer may be relayed to the caller.
 fn check_answer(
-    facts: &AnswerFacts,
+    facts: &AnswerInfo,
     status: StatusCode,
     expected_version: u64,
 ) -> Result<(), AttemptError> {
@@ -292,7 +292,7 @@
     let mut headers = call.headers.clone();
     // Cache entries computed with other weights must not match.
     let sharing = format!("{}.w{}", call.sharing_scope, choice.version);
-    let facts = AttemptFacts {
+    let facts = AttemptInfo {
         instance: &choice.instance,
         deadline: call.time_left(),
         tenant: call.tenant.as_deref(),
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -18,7 +18,7 @@
 use crate::answer::OwnAnswer;
 use crate::attempt::strip_hop_headers;
 use crate::body::AnswerBody;
-use crate::dialect::CallFacts;
+use crate::dialect::CallInfo;
 use crate::finish::own_answer;
 use crate::gateway::Gateway;
 use crate::limits::GrantedCharge;
@@ -53,7 +53,7 @@
 /// A caller's request that was matched with a route.
 pub(crate) struct Call {
     pub view: Arc<FleetView>,
-    pub facts: CallFacts,
+    pub facts: CallInfo,
     pub route: Route,
     pub service: String,
     pub tenant: Option<String>,
@@ -87,7 +87,7 @@
     }
 
     /// Tokens of the prompt and maximum of tokens generated, for limits; `None` without a prompt.
-    fn tokens(facts: &CallFacts) -> Option<u64> {
+    fn tokens(facts: &CallInfo) -> Option<u64> {
         let prompt = facts.prompt.as_ref()?;
         Some(u64::from(prompt.tokens) + u64::from(prompt.output_tokens))
     }
@@ -182,7 +182,7 @@
     gateway: &Arc<Gateway>,
     head: Parts,
     body: Incoming,
-    facts: CallFacts,
+    facts: CallInfo,
     arrived: Instant,
 ) -> Result<Option<Call>, OwnAnswer> {
     let timeout = facts.deadline.unwrap_or(DEFAULT_DEADLINE);
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -5,13 +5,13 @@
 
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::http::{request, response};
-use juniper_limits::{ServerNotice, StatedLimit};
+use juniper_limits::{AdvertisedLimit, ServerNotice};
 use juniper_placement::Prompt;
 use juniper_registry::InstanceId;
 
 /// Contents of the head of a caller's request.
 #[derive(Clone, Debug)]
-pub struct CallFacts {
+pub struct CallInfo {
     /// The caller's id of the request, passed on unchanged.
     pub id: HeaderValue,
     /// Time for which the caller waits for the answer.
@@ -26,7 +26,7 @@
 
 /// Why the head of a request can't be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum CallFault {
+pub enum CallError {
     /// The id is missing.
     #[error("the request has no id")]
     NoId,
@@ -37,7 +37,7 @@
 
 /// Contents of the headers that the gateway adds to a request to a server.
 #[derive(Clone, Copy, Debug)]
-pub struct AttemptFacts<'a> {
+pub struct AttemptInfo<'a> {
     /// Incarnation of the chosen server.
     pub instance: &'a InstanceId,
     /// Time left for the answer.
@@ -63,7 +63,7 @@
 
 /// Contents of the head of a server's answer.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct AnswerFacts {
+pub struct AnswerInfo {
     /// Whether the answer belongs to this request.
     pub is_own: bool,
     /// Whether the server's seal (authentication tag) is valid.
@@ -77,7 +77,7 @@
     /// Version of the weights that produced the answer.
     pub version: Option<u64>,
     /// Limit that the server advertises for all routers together.
-    pub stated_limit: StatedLimit,
+    pub stated_limit: AdvertisedLimit,
     /// Backoff or departure that the server announces to this router.
     pub notice: ServerNotice,
 }
@@ -88,10 +88,10 @@
     ///
     /// # Errors
     /// Fails when a required header is missing or invalid.
-    fn read_call(&self, head: &request::Parts) -> Result<CallFacts, CallFault>;
+    fn read_call(&self, head: &request::Parts) -> Result<CallInfo, CallError>;
 
     /// Turns the caller's headers into those of a request to a server.
-    fn write_attempt(&self, headers: &mut HeaderMap, facts: &AttemptFacts<'_>);
+    fn write_attempt(&self, headers: &mut HeaderMap, facts: &AttemptInfo<'_>);
 
     /// Parses the head of the answer of `instance` to the request with this id.
     fn read_answer(
@@ -99,7 +99,7 @@
         head: &response::Parts,
         id: &HeaderValue,
         instance: &InstanceId,
-    ) -> AnswerFacts;
+    ) -> AnswerInfo;
 
     /// Adds the headers of a response that the gateway generates itself for the request with this
     /// id.
--- a/crates/gateway/src/notices.rs
+++ b/crates/gateway/src/notices.rs
@@ -1,11 +1,11 @@
 //! Notices that servers give this router in their answers: backoffs and departures.
 
-use juniper_limits::{ServerNotice, StatedDeparture, StatedPause};
+use juniper_limits::{DepartureNotice, RequestedBackoff, ServerNotice};
 use juniper_protocol::message::ServerNoticeUpdate;
 use juniper_registry::InstanceId;
 
 use crate::call::Call;
-use crate::dialect::AnswerFacts;
+use crate::dialect::AnswerInfo;
 use crate::gateway::Gateway;
 
 /// Maximum number of servers named in one log line.
@@ -14,7 +14,7 @@
 impl Gateway {
     /// Records the notices in an answer of `instance`, also if the answer belongs to another
     /// request, but not if it is of another server.
-    pub(crate) fn observe_notice(&self, instance: &InstanceId, facts: &AnswerFacts, request: &str) {
+    pub(crate) fn observe_notice(&self, instance: &InstanceId, facts: &AnswerInfo, request: &str) {
         if facts.is_other_server {
             return;
         }
@@ -33,12 +33,17 @@
     }
 
     /// Returns the backoff to publish, in milliseconds; zero for none.
-    fn observe_backoff(&self, instance: &InstanceId, pause: StatedPause, request: &str) -> u64 {
+    fn observe_backoff(
+        &self,
+        instance: &InstanceId,
+        pause: RequestedBackoff,
+        request: &str,
+    ) -> u64 {
         match pause {
-            StatedPause::Nothing => 0,
-            StatedPause::For(pause) => {
+            RequestedBackoff::Nothing => 0,
+            RequestedBackoff::For(pause) => {
                 self.metrics.count_notice("pause", true);
-                let is_longer = self.placement().asked_to_pause(instance, pause, self.now());
+                let is_longer = self.placement().observe_backoff(instance, pause, self.now());
                 let pause_ms = u64::try_from(pause.as_millis()).unwrap_or(u64::MAX);
                 log::info!(
                     "event=server_pause_heard request={request} instance={instance} \
@@ -46,7 +51,7 @@
                 );
                 if is_longer { pause_ms } else { 0 }
             }
-            StatedPause::Unreadable(error) => {
+            RequestedBackoff::Unreadable(error) => {
                 self.metrics.count_notice("pause", false);
                 log::warn!(
                     "event=server_pause_unreadable request={request} instance={instance} \
@@ -62,20 +67,20 @@
     fn observe_departure(
         &self,
         instance: &InstanceId,
-        departure: StatedDeparture,
+        departure: DepartureNotice,
         request: &str,
     ) -> bool {
         match departure {
-            StatedDeparture::Nothing => false,
-            StatedDeparture::Leaving => {
+            DepartureNotice::Nothing => false,
+            DepartureNotice::Leaving => {
                 self.metrics.count_notice("departure", true);
-                let is_new = self.placement().heard_leaving(instance, self.now());
+                let is_new = self.placement().record_departure(instance, self.now());
                 if is_new {
                     log::info!("event=server_leaving_heard request={request} instance={instance}");
                 }
                 is_new
             }
-            StatedDeparture::Unreadable => {
+            DepartureNotice::Unreadable => {
                 self.metrics.count_notice("departure", false);
                 log::warn!("event=server_leaving_unreadable request={request} instance={instance}");
                 false
--- a/crates/gateway/src/search.rs
+++ b/crates/gateway/src/search.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use juniper_placement::{Choice, NoChoice, Overload, ServerRequest};
+use juniper_placement::{Choice, ChoiceError, Overload, ServerRequest};
 use juniper_registry::InstanceId;
 use juniper_types::Timestamp;
 use tokio::time::Instant;
@@ -71,7 +71,7 @@
             let seen_views = *self.gateway.applied_views.borrow();
             let (choice, charge) = match self.choose_admitted().await {
                 Ok(admitted) => admitted,
-                Err(NoChoice::NoServer) if self.wait_for_servers(seen_views).await => continue,
+                Err(ChoiceError::NoServer) if self.wait_for_servers(seen_views).await => continue,
                 Err(refusal) => return Err(self.final_answer(self.refusal_answer(refusal))),
             };
             self.log_choice(&choice);
@@ -156,7 +156,7 @@
 
     /// Chooses a server that admits the request, and returns the charge against its advertised
     /// limit, if any. Nothing is sent to servers at their limits.
-    async fn choose_admitted(&self) -> Result<(Choice, Option<GrantedCharge>), NoChoice> {
+    async fn choose_admitted(&self) -> Result<(Choice, Option<GrantedCharge>), ChoiceError> {
         for refusals in 0.. {
             let choice = self.choose(refusals >= MAX_LIMIT_REFUSALS)?;
             match self.gateway.admit_at_server(self.call, &choice).await {
@@ -167,7 +167,7 @@
         unreachable!("only servers without limits are chosen after {MAX_LIMIT_REFUSALS} refusals")
     }
 
-    fn choose(&self, spares_limited: bool) -> Result<Choice, NoChoice> {
+    fn choose(&self, spares_limited: bool) -> Result<Choice, ChoiceError> {
         let request = ServerRequest {
             service: &self.call.service,
             prompt: self.call.facts.prompt.as_ref(),
@@ -210,20 +210,22 @@
         self.gateway.wait_for_servers(seen_views, arrived, deadline).await
     }
 
-    fn refusal_answer(&self, refusal: NoChoice) -> OwnAnswer {
+    fn refusal_answer(&self, refusal: ChoiceError) -> OwnAnswer {
         match refusal {
-            NoChoice::NoServer | NoChoice::OldWeights => OwnAnswer::NoServer(NO_SERVER_RETRY_AFTER),
-            NoChoice::AllExcluded => OwnAnswer::Full(FULL_RETRY_AFTER),
-            NoChoice::Overloaded(overload) => {
+            ChoiceError::NoServer | ChoiceError::OldWeights => {
+                OwnAnswer::NoServer(NO_SERVER_RETRY_AFTER)
+            }
+            ChoiceError::AllExcluded => OwnAnswer::Full(FULL_RETRY_AFTER),
+            ChoiceError::Overloaded(overload) => {
                 self.log_overload(&overload);
                 let min_retry_after = self.call.objective().mul_f64(MIN_RETRY_AFTER_FACTOR);
                 OwnAnswer::Overloaded(add_jitter(overload.excess().max(min_retry_after)))
             }
-            NoChoice::Resting(backoff) => {
+            ChoiceError::Resting(backoff) => {
                 self.gateway.log_excluded_servers(self.call);
                 OwnAnswer::ServersBackingOff(backoff_retry_after(backoff, self.call.priority))
             }
-            NoChoice::UsedUp(pause) => {
+            ChoiceError::UsedUp(pause) => {
                 OwnAnswer::ServersAtLimit(add_jitter(pause.max(FULL_RETRY_AFTER)))
             }
         }
--- a/crates/gateway/src/server_limits.rs
+++ b/crates/gateway/src/server_limits.rs
@@ -3,15 +3,15 @@
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use juniper_limits::{Allowance, Decider, RequestRate, StatedLimit, ToldLimit, Verdict};
-use juniper_placement::{Choice, HeardAt, LimitChange};
+use juniper_limits::{AdvertisedLimit, Allowance, Decider, PeerLimit, RequestRate, Verdict};
+use juniper_placement::{Choice, LimitChange, ObservedAt};
 use juniper_protocol::message::{LimitCharge, ServerLimitUpdate, server_account};
 use juniper_registry::InstanceId;
 use juniper_types::Timestamp;
 
 use crate::attempt::effective_priority;
 use crate::call::Call;
-use crate::dialect::AnswerFacts;
+use crate::dialect::AnswerInfo;
 use crate::gateway::Gateway;
 use crate::limits::{DecidedBy, GrantedCharge, OWNER_TIMEOUT};
 
@@ -41,8 +41,8 @@
 }
 
 impl Gateway {
-    fn observed_at(&self) -> HeardAt {
-        HeardAt { now: self.now(), unix_ms: unix_ms() }
+    fn observed_at(&self) -> ObservedAt {
+        ObservedAt { now: self.now(), unix_ms: unix_ms() }
     }
 
     /// Records the limit advertised in the answer of `instance` to `request`, sent at `sent_at`.
@@ -50,7 +50,7 @@
     pub(crate) fn observe_limit(
         &self,
         instance: &InstanceId,
-        facts: &AnswerFacts,
+        facts: &AnswerInfo,
         sent_at: Timestamp,
         request: &str,
     ) {
@@ -59,12 +59,12 @@
         }
         let at = self.observed_at();
         let change = match facts.stated_limit {
-            StatedLimit::Nothing => self.placement().heard_no_limit(instance, sent_at, at),
-            StatedLimit::Rate(rate) => {
+            AdvertisedLimit::Nothing => self.placement().observe_no_limit(instance, sent_at, at),
+            AdvertisedLimit::Rate(rate) => {
                 self.metrics.advertised_limits.with_label_values(&["yes"]).inc();
-                self.placement().heard_limit(instance, rate, at)
+                self.placement().observe_limit(instance, rate, at)
             }
-            StatedLimit::Unreadable(error) => {
+            AdvertisedLimit::Unreadable(error) => {
                 self.metrics.advertised_limits.with_label_values(&["no"]).inc();
                 log::warn!(
                     "event=server_limit_unreadable request={request} instance={instance} \
@@ -84,9 +84,9 @@
             log::warn!("event=server_limit_unreadable request=- instance={instance} reason=news");
             return;
         };
-        let limit = ToldLimit { sequence: update.sequence, rate, is_over: update.is_over };
+        let limit = PeerLimit { sequence: update.sequence, rate, is_over: update.is_over };
         let at = self.observed_at();
-        let change = self.placement().told_limit(&instance, limit, at);
+        let change = self.placement().apply_peer_limit(&instance, limit, at);
         log_limit_change(&instance, change, "-");
         self.publish_limit(&instance, at.now);
     }
@@ -110,7 +110,7 @@
         let charge = charge_of(call, choice, allowance);
         let (verdict, by) = self.decide(&charge, OWNER_TIMEOUT).await;
         let now = self.now();
-        self.placement().limit_decided(&choice.instance, &verdict, by.decider(), now);
+        self.placement().record_limit_decision(&choice.instance, &verdict, by.decider(), now);
         self.metrics.count_server_charge(&verdict, by);
         match verdict {
             Verdict::Admitted { .. } => {
--- a/crates/gateway/src/updates.rs
+++ b/crates/gateway/src/updates.rs
@@ -5,7 +5,9 @@
 use std::sync::{Arc, Mutex};
 
 use juniper_feed::RelayedBatch;
-use juniper_placement::{ChainSighting, Choice, Placement, Reporter, SightingBudget, ToldRequest};
+use juniper_placement::{
+    Choice, DispatchRecord, Placement, ReportBudget, ReportedRequest, Reporter,
+};
 use juniper_protocol::message::{
     DispatchReport, Reachability, RelayedUpdate, RouterUpdate, ServerLimitUpdate,
     ServerNoticeUpdate,
@@ -121,7 +123,7 @@
 /// Publishes updates to the other routers and applies theirs. Runs until the feed ends.
 pub(crate) async fn exchange(gateway: Arc<Gateway>) {
     let mut received = gateway.feed.news();
-    let mut budget = SightingBudget::default();
+    let mut budget = ReportBudget::default();
     loop {
         tokio::select! {
             batch = received.recv() => match batch {
@@ -138,7 +140,7 @@
 }
 
 /// Publishes the queued updates, with as many dispatch reports as the budget allows.
-async fn publish(gateway: &Gateway, budget: &mut SightingBudget) {
+async fn publish(gateway: &Gateway, budget: &mut ReportBudget) {
     let allowed = budget.allowed(gateway.feed.routers(), gateway.now());
     let (updates, dropped) = gateway.updates.take(allowed);
     gateway.metrics.dropped_dispatch_reports.inc_by(dropped as u64);
@@ -154,8 +156,8 @@
     limits.for_each(|limit| gateway.apply_peer_limit(limit));
     let now = gateway.now();
     let mut placement = gateway.placement();
-    for RelayedUpdate { from, zone, news } in batch.iter() {
-        let request = |number: u16| ToldRequest { router: *from, number };
+    for RelayedUpdate { from, zone, update } in batch.iter() {
+        let request = |number: u16| ReportedRequest { router: *from, number };
         for notice in news.notices.iter().flatten() {
             apply_peer_notice(&mut placement, notice, *from, now);
         }
@@ -163,14 +165,19 @@
             match report.number {
                 // Sent by a router of an earlier version; the request expires.
                 0 => placement.sighted(&from_message(report), now),
-                number => placement.heard_sent(request(number), &from_message(report), now),
+                number => {
+                    placement.apply_peer_dispatch(request(number), &from_message(report), now)
+                }
             }
         }
-        news.ended.iter().for_each(|number| placement.heard_end(request(*number)));
+        update
+            .ended_requests
+            .iter()
+            .for_each(|number| placement.apply_peer_completion(request(*number)));
         let reporter = Reporter { node: from.0, zone: zone.as_str() };
         for report in &news.reachability {
             let instance = report.id();
-            if placement.heard_reachability(reporter, &instance, report.reached, now) {
+            if placement.apply_peer_reachability(reporter, &instance, report.reached, now) {
                 log::info!("event=server_reported_unreachable instance={instance}");
                 gateway.metrics.servers_reported_unreachable.inc();
             }
@@ -186,31 +193,31 @@
     now: Timestamp,
 ) {
     let instance = notice.id();
-    if notice.is_leaving && placement.heard_leaving(&instance, now) {
+    if notice.is_departing && placement.record_departure(&instance, now) {
         log::info!("event=server_leaving_heard request=- instance={instance} from={from}");
     }
-    if notice.pause_ms > 0 {
-        placement.told_of_pause(&instance, from, notice.pause(), now);
+    if notice.backoff_ms > 0 {
+        placement.apply_peer_backoff(&instance, from, notice.backoff(), now);
     }
 }
 
-fn to_message(report: ChainSighting, number: u16) -> DispatchReport {
-    let ChainSighting { instance, version, keys, part_tokens, own_tokens, tokens, read_tokens } =
+fn to_message(report: DispatchRecord, number: u16) -> DispatchReport {
+    let DispatchRecord { instance, version, keys, part_tokens, own_tokens, tokens, read_tokens } =
         report;
     DispatchReport {
         instance: instance.name().clone(),
         version,
-        chains: keys,
-        part_tokens,
-        own_tokens,
-        tokens,
-        read_tokens,
-        number,
+        prefix_hashes: keys,
+        segment_tokens: part_tokens,
+        unshared_tokens: own_tokens,
+        uncached_tokens: tokens,
+        prefill_tokens: read_tokens,
+        request_number: number,
     }
 }
 
-fn from_message(report: &DispatchReport) -> ChainSighting {
-    ChainSighting {
+fn from_message(report: &DispatchReport) -> DispatchRecord {
+    DispatchRecord {
         instance: InstanceId::started_at(report.instance.clone(), StartTime::UNKNOWN),
         version: report.version,
         keys: report.chains.clone(),
--- a/crates/gateway/tests/paths/backoffs.rs
+++ b/crates/gateway/tests/paths/backoffs.rs
@@ -97,7 +97,7 @@
         started: StartTime::UNKNOWN,
         sequence: 9,
         per_second: 50.0,
-        is_over: false,
+        is_withdrawn: false,
     };
     let update = RouterUpdate { server_limits: Some(vec![limit]), ..RouterUpdate::default() };
     gateway.control.send_peer_update(2, "south", update);
@@ -145,7 +145,7 @@
 /// Another router's report of a requested backoff.
 fn backoff_update(server: &FakeServer, pause_ms: u64) -> RouterUpdate {
     let (instance, started) = (server.report().name, StartTime::UNKNOWN);
-    let notice = ServerNoticeUpdate { instance, started, pause_ms, is_leaving: false };
+    let notice = ServerNoticeUpdate { instance, started, backoff_ms, is_departing: false };
     RouterUpdate { notices: Some(vec![notice]), ..RouterUpdate::default() }
 }
 
--- a/crates/gateway/tests/paths/server_limits.rs
+++ b/crates/gateway/tests/paths/server_limits.rs
@@ -42,7 +42,7 @@
 
 fn limit_update(server: &FakeServer, sequence: u64, is_over: bool) -> RouterUpdate {
     let (instance, started) = (server.report().name, StartTime::UNKNOWN);
-    let limit = ServerLimitUpdate { instance, started, sequence, per_second: 2.5, is_over };
+    let limit = ServerLimitUpdate { instance, started, sequence, per_second: 2.5, is_withdrawn };
     RouterUpdate { server_limits: Some(vec![limit]), ..RouterUpdate::default() }
 }
 
--- a/crates/gateway/tests/paths/support/dialect.rs
+++ b/crates/gateway/tests/paths/support/dialect.rs
@@ -4,8 +4,8 @@
 
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::http::{request, response};
-use juniper_gateway::{AnswerFacts, AttemptFacts, CallFacts, CallFault, Dialect};
-use juniper_limits::{ServerNotice, StatedDeparture, StatedLimit, StatedPause};
+use juniper_gateway::{AnswerInfo, AttemptInfo, CallError, CallInfo, Dialect};
+use juniper_limits::{AdvertisedLimit, DepartureNotice, RequestedBackoff, ServerNotice};
 use juniper_registry::InstanceId;
 
 pub struct TestDialect;
@@ -15,11 +15,11 @@
 }
 
 impl Dialect for TestDialect {
-    fn read_call(&self, head: &request::Parts) -> Result<CallFacts, CallFault> {
+    fn read_call(&self, head: &request::Parts) -> Result<CallInfo, CallError> {
         let headers = &head.headers;
         let key = headers.get("x-key").and_then(|key| key.to_str().ok());
-        Ok(CallFacts {
-            id: headers.get("x-id").cloned().ok_or(CallFault::NoId)?,
+        Ok(CallInfo {
+            id: headers.get("x-id").cloned().ok_or(CallError::NoId)?,
             deadline: number(headers, "x-deadline").map(Duration::from_millis),
             key: key.map(str::to_owned),
             prompt: None,
@@ -27,7 +27,7 @@
         })
     }
 
-    fn write_attempt(&self, headers: &mut HeaderMap, facts: &AttemptFacts<'_>) {
+    fn write_attempt(&self, headers: &mut HeaderMap, facts: &AttemptInfo<'_>) {
         headers.remove("x-key");
         let mut set = |name: &'static str, value: &str| {
             headers.insert(name, HeaderValue::from_str(value).expect("visible"));
@@ -47,24 +47,24 @@
         head: &response::Parts,
         id: &HeaderValue,
         _instance: &InstanceId,
-    ) -> AnswerFacts {
+    ) -> AnswerInfo {
         let stated = head.headers.get_all("x-limit").iter();
         let pauses = head.headers.get_all("x-pause").iter();
         let is_misdirected = head.status.as_u16() == 421;
         let has_other_weights = head.headers.contains_key("x-other-weights");
-        AnswerFacts {
+        AnswerInfo {
             is_own: head.headers.get("x-id") == Some(id),
             is_sealed: head.headers.contains_key("x-seal"),
             not_run: head.headers.contains_key("x-not-run"),
             is_other_server: is_misdirected && !has_other_weights,
             is_other_version: is_misdirected && has_other_weights,
             version: None,
-            stated_limit: StatedLimit::read(stated.map(|value| value.to_str().ok())),
+            stated_limit: AdvertisedLimit::read(stated.map(|value| value.to_str().ok())),
             notice: ServerNotice {
-                pause: StatedPause::read(pauses.map(|value| value.to_str().ok())),
+                pause: RequestedBackoff::read(pauses.map(|value| value.to_str().ok())),
                 departure: match head.headers.contains_key("x-leaving") {
-                    true => StatedDeparture::Leaving,
-                    false => StatedDeparture::Nothing,
+                    true => DepartureNotice::Leaving,
+                    false => DepartureNotice::Nothing,
                 },
             },
         }
--- a/crates/limits/src/advertised_limit.rs
+++ b/crates/limits/src/advertised_limit.rs
@@ -16,10 +16,10 @@
     ///
     /// # Errors
     /// Fails if the rate is outside the accepted range.
-    pub fn of(per_second: f64) -> Result<Self, RateFault> {
+    pub fn of(per_second: f64) -> Result<Self, RateError> {
         match (MIN_PER_SECOND..=MAX_PER_SECOND).contains(&per_second) {
             true => Ok(RequestRate(per_second)),
-            false => Err(RateFault::OutOfRange),
+            false => Err(RateError::OutOfRange),
         }
     }
 
@@ -31,7 +31,7 @@
 
 /// Reason why an advertised rate is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum RateFault {
+pub enum RateError {
     /// Not a decimal number.
     #[error("not a decimal number")]
     NoNumber,
@@ -45,27 +45,27 @@
 
 /// Limit that one answer of a server advertises.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum StatedLimit {
+pub enum AdvertisedLimit {
     /// No limit.
     #[default]
     Nothing,
     /// Highest rate that the server accepts from all routers together.
     Rate(RequestRate),
     /// Invalid limit, ignored: a known limit neither changes nor ends.
-    Unreadable(RateFault),
+    Unreadable(RateError),
 }
 
-impl StatedLimit {
+impl AdvertisedLimit {
     /// Parses the values of an answer's header. `None` is a value that isn't text.
     pub fn read<'a>(values: impl IntoIterator<Item = Option<&'a str>>) -> Self {
-        let mut advertised = StatedLimit::Nothing;
+        let mut advertised = AdvertisedLimit::Nothing;
         for value in values {
-            let next = match value.map_or(Err(RateFault::NoNumber), parse_rate) {
-                Ok(rate) => StatedLimit::Rate(rate),
-                Err(error) => return StatedLimit::Unreadable(error),
+            let next = match value.map_or(Err(RateError::NoNumber), parse_rate) {
+                Ok(rate) => AdvertisedLimit::Rate(rate),
+                Err(error) => return AdvertisedLimit::Unreadable(error),
             };
-            if advertised != StatedLimit::Nothing && advertised != next {
-                return StatedLimit::Unreadable(RateFault::Several);
+            if advertised != AdvertisedLimit::Nothing && advertised != next {
+                return AdvertisedLimit::Unreadable(RateError::Several);
             }
             advertised = next;
         }
@@ -73,7 +73,7 @@
     }
 }
 
-fn parse_rate(text: &str) -> Result<RequestRate, RateFault> {
-    let per_second = text.trim().parse().map_err(|_| RateFault::NoNumber)?;
+fn parse_rate(text: &str) -> Result<RequestRate, RateError> {
+    let per_second = text.trim().parse().map_err(|_| RateError::NoNumber)?;
     RequestRate::of(per_second)
 }
--- a/crates/limits/src/notice.rs
+++ b/crates/limits/src/notice.rs
@@ -7,7 +7,7 @@
 
 /// Reason why a requested backoff is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum PauseFault {
+pub enum BackoffError {
     /// Not a decimal number of seconds. Dates aren't supported.
     #[error("not a decimal number")]
     NoNumber,
@@ -21,27 +21,27 @@
 
 /// Backoff that an answer requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum StatedPause {
+pub enum RequestedBackoff {
     /// No backoff.
     #[default]
     Nothing,
     /// Send nothing to the server for this long.
     For(Duration),
     /// Invalid request, ignored: a backoff neither starts nor ends.
-    Unreadable(PauseFault),
+    Unreadable(BackoffError),
 }
 
-impl StatedPause {
+impl RequestedBackoff {
     /// Parses the values of an answer's header, in seconds. `None` is a value that isn't text.
     pub fn read<'a>(values: impl IntoIterator<Item = Option<&'a str>>) -> Self {
-        let mut requested = StatedPause::Nothing;
+        let mut requested = RequestedBackoff::Nothing;
         for value in values {
-            let next = match value.map_or(Err(PauseFault::NoNumber), parse_backoff) {
-                Ok(backoff) => StatedPause::For(backoff),
-                Err(error) => return StatedPause::Unreadable(error),
+            let next = match value.map_or(Err(BackoffError::NoNumber), parse_backoff) {
+                Ok(backoff) => RequestedBackoff::For(backoff),
+                Err(error) => return RequestedBackoff::Unreadable(error),
             };
-            if requested != StatedPause::Nothing && requested != next {
-                return StatedPause::Unreadable(PauseFault::Several);
+            if requested != RequestedBackoff::Nothing && requested != next {
+                return RequestedBackoff::Unreadable(BackoffError::Several);
             }
             requested = next;
         }
@@ -49,18 +49,18 @@
     }
 }
 
-fn parse_backoff(text: &str) -> Result<Duration, PauseFault> {
-    let seconds: f64 = text.trim().parse().map_err(|_| PauseFault::NoNumber)?;
-    let backoff = Duration::try_from_secs_f64(seconds).map_err(|_| PauseFault::OutOfRange)?;
+fn parse_backoff(text: &str) -> Result<Duration, BackoffError> {
+    let seconds: f64 = text.trim().parse().map_err(|_| BackoffError::NoNumber)?;
+    let backoff = Duration::try_from_secs_f64(seconds).map_err(|_| BackoffError::OutOfRange)?;
     match backoff.is_zero() || backoff > MAX_BACKOFF {
-        true => Err(PauseFault::OutOfRange),
+        true => Err(BackoffError::OutOfRange),
         false => Ok(backoff),
     }
 }
 
 /// Announcement of a departure in an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum StatedDeparture {
+pub enum DepartureNotice {
     /// No announcement.
     #[default]
     Nothing,
@@ -74,7 +74,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ServerNotice {
     /// Backoff that the server requests.
-    pub pause: StatedPause,
+    pub pause: RequestedBackoff,
     /// Whether the server announces its departure.
-    pub departure: StatedDeparture,
+    pub departure: DepartureNotice,
 }
--- a/crates/limits/tests/server_limit.rs
+++ b/crates/limits/tests/server_limit.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use juniper_limits::{Allowance, Decider, RateLimit, RequestRate, ServerLimit, ToldLimit, Verdict};
+use juniper_limits::{Allowance, Decider, PeerLimit, RateLimit, RequestRate, ServerLimit, Verdict};
 use juniper_types::Timestamp;
 
 const UNIX_MS: u64 = 1_700_000_000_000;
@@ -19,8 +19,8 @@
     ServerLimit::heard_first(rate(1.6), at(millis), UNIX_MS + millis)
 }
 
-fn reported(sequence: u64, per_second: f64, is_over: bool) -> ToldLimit {
-    ToldLimit { sequence, rate: rate(per_second), is_over }
+fn reported(sequence: u64, per_second: f64, is_over: bool) -> PeerLimit {
+    PeerLimit { sequence, rate: rate(per_second), is_over }
 }
 
 #[test]
--- a/crates/placement/src/admission.rs
+++ b/crates/placement/src/admission.rs
@@ -27,7 +27,7 @@
 
 /// Expected timing of a prompt at the server with the lowest cost.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Prospect {
+pub struct StartEstimate {
     /// Time to first output, in milliseconds.
     pub first_output_ms: f64,
     /// Part of that time spent in the queue, in milliseconds.
@@ -38,7 +38,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Overload {
     /// Expected timing of the prompt.
-    pub prospect: Prospect,
+    pub prospect: StartEstimate,
     /// Lower quartile of the queueing times over all servers, in milliseconds.
     pub least_waits_ms: f64,
     /// Time within which the prompt had to start, in milliseconds.
@@ -53,7 +53,7 @@
     }
 }
 
-impl Prospect {
+impl StartEstimate {
     /// Returns the reason for rejecting a prompt of this rank (0 is the most urgent), or `None` to
     /// admit it. `least_waits_ms` visits every server and is only called if the start limit is
     /// exceeded.
--- a/crates/placement/src/choice.rs
+++ b/crates/placement/src/choice.rs
@@ -8,7 +8,7 @@
 use juniper_types::Timestamp;
 
 use crate::admission::Overload;
-use crate::dispatch_record::{ChainSighting, ToldRequest};
+use crate::dispatch_record::{DispatchRecord, ReportedRequest};
 use crate::homes::ChainKeys;
 
 /// Why a server was chosen.
@@ -82,8 +82,8 @@
     }
 
     /// Description of the dispatch for other routers.
-    pub fn sighting(&self) -> ChainSighting {
-        ChainSighting {
+    pub fn sighting(&self) -> DispatchRecord {
+        DispatchRecord {
             instance: self.instance.clone(),
             version: self.version,
             keys: self.keys.clone(),
@@ -122,7 +122,7 @@
 
 /// Why no server was chosen.
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
-pub enum NoChoice {
+pub enum ChoiceError {
     /// The service has no server.
     #[error("the service has no server")]
     NoServer,
@@ -155,7 +155,7 @@
     pub(crate) started_at: Timestamp,
     pub(crate) had_output: bool,
     /// Number of the request among those of this router.
-    pub(crate) request: ToldRequest,
+    pub(crate) request: ReportedRequest,
     /// Prefill tokens queued at the server when the request was dispatched.
     pub(crate) tokens_ahead: f64,
 }
--- a/crates/placement/src/dispatch_record.rs
+++ b/crates/placement/src/dispatch_record.rs
@@ -5,7 +5,7 @@
 
 /// Identity of a request that a router has reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct ToldRequest {
+pub struct ReportedRequest {
     /// The router that dispatched the request.
     pub router: NodeId,
     /// Number of the request, unique among the router's in-flight requests.
@@ -14,7 +14,7 @@
 
 /// A request dispatched to a server, with the segments of its prompt if there is one.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ChainSighting {
+pub struct DispatchRecord {
     /// Incarnation of the server.
     pub instance: InstanceId,
     /// Version of the server's weights.
--- a/crates/placement/src/notices.rs
+++ b/crates/placement/src/notices.rs
@@ -10,7 +10,7 @@
 
 /// Why a server is excluded from choices.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PassedOver {
+pub enum ExclusionReason {
     /// The server announced its departure.
     Leaving,
     /// The server requested a backoff from this router.
@@ -20,13 +20,13 @@
     TurnsOthersAway,
 }
 
-impl PassedOver {
+impl ExclusionReason {
     /// Value in the `servers` log key.
     pub fn as_str(self) -> &'static str {
         match self {
-            PassedOver::Leaving => "leaving",
-            PassedOver::Resting => "resting",
-            PassedOver::TurnsOthersAway => "turns_others_away",
+            ExclusionReason::Leaving => "leaving",
+            ExclusionReason::Resting => "resting",
+            ExclusionReason::TurnsOthersAway => "turns_others_away",
         }
     }
 }
@@ -34,7 +34,7 @@
 impl Placement {
     /// Records that an answer of the server requested a backoff from this router. Returns whether
     /// the backoff ends later than the known one.
-    pub fn asked_to_pause(
+    pub fn observe_backoff(
         &mut self,
         server: &InstanceId,
         duration: Duration,
@@ -46,7 +46,7 @@
 
     /// Records that the server announced its departure, to this router or another one. A departure
     /// is final. Returns whether it was unknown.
-    pub fn heard_leaving(&mut self, server: &InstanceId, now: Timestamp) -> bool {
+    pub fn record_departure(&mut self, server: &InstanceId, now: Timestamp) -> bool {
         if self.departures.covers(server) {
             return false;
         }
@@ -91,12 +91,12 @@
 
     /// Time for which this router must not send to the server; `None` if the server accepts
     /// requests.
-    pub fn rest_left(&self, server: &InstanceId, now: Timestamp) -> Option<Duration> {
+    pub fn remaining_backoff(&self, server: &InstanceId, now: Timestamp) -> Option<Duration> {
         self.backoffs.remaining(server, now)
     }
 
     /// Records another router's report that the server requested a backoff.
-    pub fn told_of_pause(
+    pub fn apply_peer_backoff(
         &mut self,
         server: &InstanceId,
         router: NodeId,
@@ -113,17 +113,17 @@
     }
 
     /// Servers of the service that are excluded from choices because of a notice, with the reason.
-    pub fn passed_over(&self, service: &str, now: Timestamp) -> Vec<(InstanceId, PassedOver)> {
+    pub fn passed_over(&self, service: &str, now: Timestamp) -> Vec<(InstanceId, ExclusionReason)> {
         let known = self.noticed.iter().filter_map(|name| self.servers.get(name));
         let known = known.filter(|server| server.instance.report.service == service);
         let over = known.filter_map(|server| {
             let id = &server.instance.id;
             let reason = if server.is_departing {
-                PassedOver::Leaving
+                ExclusionReason::Leaving
             } else if self.active_backoff(server, now).is_some() {
-                PassedOver::Resting
+                ExclusionReason::Resting
             } else if self.is_backing_off_from_peers(server, now) {
-                PassedOver::TurnsOthersAway
+                ExclusionReason::TurnsOthersAway
             } else {
                 return None;
             };
--- a/crates/placement/src/server_limits.rs
+++ b/crates/placement/src/server_limits.rs
@@ -1,6 +1,6 @@
 //! Advertised limits of servers, which hold for all routers together.
 
-use juniper_limits::{Allowance, Decider, RequestRate, ServerLimit, ToldLimit, Verdict};
+use juniper_limits::{Allowance, Decider, PeerLimit, RequestRate, ServerLimit, Verdict};
 use juniper_registry::InstanceId;
 use juniper_types::Timestamp;
 
@@ -8,7 +8,7 @@
 
 /// Time of an observation.
 #[derive(Clone, Copy, Debug)]
-pub struct HeardAt {
+pub struct ObservedAt {
     /// Time of this router's clock.
     pub now: Timestamp,
     /// Wall-clock time, in milliseconds since the Unix epoch.
@@ -26,11 +26,11 @@
 
 impl Placement {
     /// Records the rate that an answer of the server advertises. Returns the change, if any.
-    pub fn heard_limit(
+    pub fn observe_limit(
         &mut self,
         instance: &InstanceId,
         rate: RequestRate,
-        at: HeardAt,
+        at: ObservedAt,
     ) -> Option<LimitChange> {
         let server = self.server_mut(instance)?;
         let is_new = match &mut server.limit {
@@ -45,22 +45,22 @@
 
     /// Records that an answer of the server, to a request sent at `sent_at`, advertises no limit.
     /// Returns the change, if any.
-    pub fn heard_no_limit(
+    pub fn observe_no_limit(
         &mut self,
         instance: &InstanceId,
         sent_at: Timestamp,
-        at: HeardAt,
+        at: ObservedAt,
     ) -> Option<LimitChange> {
         let limit = self.server_mut(instance)?.limit.as_mut()?;
         limit.heard_none(sent_at, at.now, at.unix_ms).then_some(LimitChange::Over)
     }
 
     /// Records another router's report of the server's limit. Returns the change, if any.
-    pub fn told_limit(
+    pub fn apply_peer_limit(
         &mut self,
         instance: &InstanceId,
-        told: ToldLimit,
-        at: HeardAt,
+        told: PeerLimit,
+        at: ObservedAt,
     ) -> Option<LimitChange> {
         let server = self.server_mut(instance)?;
         let is_new = match &mut server.limit {
@@ -76,7 +76,7 @@
     }
 
     /// Takes the limit to report to other routers, if a report is due.
-    pub fn limit_news(&mut self, instance: &InstanceId, now: Timestamp) -> Option<ToldLimit> {
+    pub fn limit_news(&mut self, instance: &InstanceId, now: Timestamp) -> Option<PeerLimit> {
         self.server_mut(instance)?.limit.as_mut()?.news(now)
     }
 
@@ -92,7 +92,7 @@
     }
 
     /// Records the decision on whether a request may be sent to the server.
-    pub fn limit_decided(
+    pub fn record_limit_decision(
         &mut self,
         instance: &InstanceId,
         verdict: &Verdict,
--- a/crates/placement/tests/budget.rs
+++ b/crates/placement/tests/budget.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use juniper_placement::{RetryBudget, RetrySettings, SightingBudget};
+use juniper_placement::{ReportBudget, RetryBudget, RetrySettings};
 use juniper_types::Timestamp;
 use quickcheck::quickcheck;
 
@@ -58,7 +58,7 @@
 
 /// Sightings that each of so many routers tells in ten seconds if it has enough of them.
 fn told(routers: u32) -> usize {
-    let mut budget = SightingBudget::default();
+    let mut budget = ReportBudget::default();
     let looks = (0..10_000).step_by(25);
     looks
         .map(|millis| {
--- a/crates/placement/tests/calls.rs
+++ b/crates/placement/tests/calls.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use juniper_placement::{Choice, Outcome, Placement, ServerRequest, ToldRequest};
+use juniper_placement::{Choice, Outcome, Placement, ReportedRequest, ServerRequest};
 use juniper_registry::Instance;
 use juniper_types::NodeId;
 
@@ -47,10 +47,10 @@
 /// The others have so many calls under way on the near server, and many more behind them.
 fn others_send(placement: &mut Placement, under_way: usize) -> Choice {
     let near = choose(placement, 0);
-    let request = |number| ToldRequest { router: NodeId(5), number };
+    let request = |number| ReportedRequest { router: NodeId(5), number };
     for number in 0..100 {
-        placement.heard_sent(request(number), &near.sighting(), at(u64::from(number)));
-        placement.heard_end(request(number));
+        placement.apply_peer_dispatch(request(number), &near.sighting(), at(u64::from(number)));
+        placement.apply_peer_completion(request(number));
     }
     (0..under_way).for_each(|_| placement.sighted(&near.sighting(), at(1_000)));
     near
@@ -96,7 +96,7 @@
     let mut placement = near_and_far();
     let near = others_send(&mut placement, 6);
     (1_000..1_050).for_each(|number| {
-        placement.heard_end(ToldRequest { router: NodeId(5), number });
+        placement.apply_peer_completion(ReportedRequest { router: NodeId(5), number });
     });
     assert_ne!(choose(&placement, 1_050).instance, near.instance);
 }
--- a/crates/placement/tests/notices/world.rs
+++ b/crates/placement/tests/notices/world.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use juniper_placement::{
-    ChainSighting, Choice, Outcome, Placement, RetryBudget, RetrySettings, ServerRequest, Ticket,
-    ToldRequest,
+    Choice, DispatchRecord, Outcome, Placement, ReportedRequest, RetryBudget, RetrySettings,
+    ServerRequest, Ticket,
 };
 use juniper_registry::{
     Instance, InstanceId, InstanceMap, InstanceName, InstanceReport, InstanceState, StartTime,
@@ -79,7 +79,7 @@
     tries: u32,
     excluded: Vec<InstanceId>,
     /// Names the sending that is under way to the other routers.
-    told: Option<ToldRequest>,
+    told: Option<ReportedRequest>,
 }
 
 #[derive(Debug)]
@@ -92,8 +92,8 @@
     Arrives(usize, usize, Box<Ticket>, u64, Call),
     Answered(usize, usize, Box<Ticket>, u64, Call, Answer),
     Done(usize),
-    Told(usize, ToldRequest, ChainSighting),
-    ToldEnd(usize, ToldRequest),
+    Told(usize, ReportedRequest, DispatchRecord),
+    ToldEnd(usize, ReportedRequest),
     ToldPause(usize, usize, InstanceId, Duration),
     ToldLeaving(usize, InstanceId),
 }
@@ -259,18 +259,20 @@
             Event::Done(server) => self.working[server] -= 1,
             Event::Told(router, request, sighting) => {
                 let now = self.time_of(router);
-                self.routers[router].placement.heard_sent(request, &sighting, now);
+                self.routers[router].placement.apply_peer_dispatch(request, &sighting, now);
             }
             Event::ToldPause(router, from, id, pause) => {
                 let now = self.time_of(router);
                 let from = NodeId(from as u64 + 1);
-                self.routers[router].placement.told_of_pause(&id, from, pause, now);
+                self.routers[router].placement.apply_peer_backoff(&id, from, pause, now);
             }
             Event::ToldLeaving(router, id) => {
                 let now = self.time_of(router);
-                self.routers[router].placement.heard_leaving(&id, now);
+                self.routers[router].placement.record_departure(&id, now);
+            }
+            Event::ToldEnd(router, request) => {
+                self.routers[router].placement.apply_peer_completion(request)
             }
-            Event::ToldEnd(router, request) => self.routers[router].placement.heard_end(request),
         }
     }
 
@@ -321,10 +323,10 @@
     }
 
     /// Tells the other routers of a request that is sent.
-    fn tell_sent(&mut self, router: usize, sighting: &ChainSighting) -> ToldRequest {
+    fn tell_sent(&mut self, router: usize, sighting: &DispatchRecord) -> ReportedRequest {
         let told = &mut self.routers[router].told;
         *told = told.wrapping_add(1);
-        let request = ToldRequest { router: NodeId(router as u64 + 1), number: *told };
+        let request = ReportedRequest { router: NodeId(router as u64 + 1), number: *told };
         self.tell(router, |other| Event::Told(other, request, sighting.clone()));
         request
     }
@@ -356,7 +358,7 @@
         let now = self.time_of(router);
         let placement = &mut self.routers[router].placement;
         let id = &choice.instance;
-        if placement.rest_left(id, now).is_some() {
+        if placement.remaining_backoff(id, now).is_some() {
             placement.end(*ticket, Outcome::Cancelled, now);
             self.tell_end(router, &mut call);
             return self.search(router, call);
@@ -440,8 +442,8 @@
         }
         let tells = self.play.heeding == Heeding::Told;
         let placement = &mut self.routers[router].placement;
-        let is_new = answer.is_leaving && placement.heard_leaving(id, now);
-        let longer = answer.pause.filter(|pause| placement.asked_to_pause(id, *pause, now));
+        let is_new = answer.is_leaving && placement.record_departure(id, now);
+        let longer = answer.pause.filter(|pause| placement.observe_backoff(id, *pause, now));
         if is_new && tells {
             self.tell(router, |other| Event::ToldLeaving(other, id.clone()));
         }
--- a/crates/placement/tests/placement.rs
+++ b/crates/placement/tests/placement.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use juniper_placement::{
-    ChainSighting, NoChoice, Outcome, Placement, Prompt, PromptPart, Reason, ServerRequest,
+    ChoiceError, DispatchRecord, Outcome, Placement, Prompt, PromptSegment, Reason, ServerRequest,
     ServiceProfile,
 };
 use juniper_registry::InstanceId;
@@ -97,7 +97,7 @@
     let home = choose(&mut placement, &prompt(1, 1), 0);
     for _ in 0..20 {
         // They bring nothing into its memory, so that only the reading counts.
-        let sent = ChainSighting { keys: Vec::new(), own_tokens: 0, tokens: 0, ..home.sighting() };
+        let sent = DispatchRecord { keys: Vec::new(), own_tokens: 0, tokens: 0, ..home.sighting() };
         placement.sighted(&sent, at(0));
     }
     assert_ne!(choose(&mut placement, &prompt(1, 1), 50).instance, home.instance);
@@ -109,13 +109,13 @@
 #[test]
 fn a_long_read_goes_where_few_streams_run() {
     let mut placement = placement(4);
-    let part = |id, tokens| PromptPart { id, tokens };
+    let part = |id, tokens| PromptSegment { id, tokens };
     let parts = vec![part(1, 6_000), part(2, 20_000)];
     let long = Prompt { parts, tokens: 26_000, ..prompt(1, 1) };
     let home = choose(&mut placement, &long, 0);
     for own in 0..10 {
         let stream =
-            ChainSighting { keys: vec![own], tokens: 100, read_tokens: 100, ..home.sighting() };
+            DispatchRecord { keys: vec![own], tokens: 100, read_tokens: 100, ..home.sighting() };
         placement.sighted(&stream, at(0));
     }
     let patient = request(&long, &[]);
@@ -146,7 +146,7 @@
 #[test]
 fn short_parts_are_fetched_and_told_of_too() {
     let mut placement = placement(2);
-    let part = |id, tokens| PromptPart { id, tokens };
+    let part = |id, tokens| PromptSegment { id, tokens };
     let parts = vec![part(1, 120), part(2, 80), part(3, 600)];
     let short = Prompt { parts, tokens: 800, ..prompt(1, 1) };
     let holder = send(&mut placement, &short, 0);
@@ -162,7 +162,7 @@
 fn parts_made_under_other_weights_are_neither_kept_nor_fetched() {
     let mut placement = placement(4);
     let first = send(&mut placement, &prompt(1, 1), 0);
-    placement.saw_version(&first.instance, 2);
+    placement.observe_version(&first.instance, 2);
     let second = choose(&mut placement, &prompt(1, 2), 1_000);
     assert_eq!((second.kept_tokens, second.source), (0, None));
 }
@@ -172,9 +172,9 @@
     let mut placement = placement(3);
     let prompt = prompt(1, 1);
     let strict = ServerRequest { min_version: 2, ..request(&prompt, &[]) };
-    assert_eq!(placement.choose(&strict, at(0), 0), Err(NoChoice::OldWeights));
+    assert_eq!(placement.choose(&strict, at(0), 0), Err(ChoiceError::OldWeights));
     let id = InstanceId::new("i-2");
-    placement.saw_version(&id, 2);
+    placement.observe_version(&id, 2);
     assert_eq!(placement.choose(&strict, at(0), 0).map(|choice| choice.instance), Ok(id));
 }
 
@@ -227,7 +227,7 @@
     let ticket = placement.begin(&choice, true, at(0));
     placement.end(ticket, Outcome::Replaced, at(0));
     let prompt = prompt(1, 1);
-    assert_eq!(placement.choose(&request(&prompt, &[]), at(0), 0), Err(NoChoice::NoServer));
+    assert_eq!(placement.choose(&request(&prompt, &[]), at(0), 0), Err(ChoiceError::NoServer));
 }
 
 #[test]
@@ -238,7 +238,7 @@
     placement.end(ticket, Outcome::OtherWeights(choice.version), at(0));
     let meanwhile = choose(&mut placement, &prompt(1, 1), 900);
     assert_ne!(meanwhile.instance, choice.instance);
-    placement.saw_version(&choice.instance, choice.version + 1);
+    placement.observe_version(&choice.instance, choice.version + 1);
     // Its parts are void under other weights, so only whether it is used at all is seen.
     let used = (0..40).any(|shared| {
         choose(&mut placement, &prompt(shared + 10, 1), 900).instance == choice.instance
@@ -272,8 +272,8 @@
     let mut placement = placement(10);
     let short = |number: u64| Prompt {
         parts: vec![
-            PromptPart { id: 1_000 + number % 9, tokens: 100 },
-            PromptPart { id: number, tokens: 400 },
+            PromptSegment { id: 1_000 + number % 9, tokens: 100 },
+            PromptSegment { id: number, tokens: 400 },
         ],
         tokens: 500,
         ..prompt(0, 0)
@@ -311,11 +311,11 @@
 fn nothing_is_known_of_a_service_without_servers() {
     let placement = Placement::new("north");
     let prompt = prompt(1, 1);
-    assert_eq!(placement.choose(&request(&prompt, &[]), at(0), 0), Err(NoChoice::NoServer));
+    assert_eq!(placement.choose(&request(&prompt, &[]), at(0), 0), Err(ChoiceError::NoServer));
     let one = self::placement(1);
     let excluded = [InstanceId::new("i-1")];
     let refused = one.choose(&request(&prompt, &excluded), at(0), 0);
-    assert_eq!(refused, Err(NoChoice::AllExcluded));
+    assert_eq!(refused, Err(ChoiceError::AllExcluded));
 }
 
 #[test]
--- a/crates/placement/tests/reports.rs
+++ b/crates/placement/tests/reports.rs
@@ -10,7 +10,7 @@
 const NEAR: &str = "north";
 
 fn hear(placement: &mut Placement, node: u64, zone: &str, server: &InstanceId, reached: bool) {
-    placement.heard_reachability(Reporter { node, zone }, server, reached, at(0));
+    placement.apply_peer_reachability(Reporter { node, zone }, server, reached, at(0));
 }
 
 /// Two servers, the home of a prompt first.
--- a/crates/placement/tests/rests.rs
+++ b/crates/placement/tests/rests.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use juniper_placement::{Choice, NoChoice, PassedOver, Placement};
+use juniper_placement::{Choice, ChoiceError, ExclusionReason, Placement};
 use juniper_registry::{Instance, InstanceId, InstanceMap, StartTime};
 use juniper_types::NodeId;
 
@@ -17,7 +17,7 @@
     instance(number, 1).id
 }
 
-fn try_choose(placement: &Placement, millis: u64) -> Result<Choice, NoChoice> {
+fn try_choose(placement: &Placement, millis: u64) -> Result<Choice, ChoiceError> {
     placement.choose(&request(&prompt(1, 2), &[]), at(millis), millis)
 }
 
@@ -29,23 +29,23 @@
 fn the_earliest_end_of_all_rests_is_told() {
     let mut placement = placement(3);
     for (number, seconds) in [(1, 9), (2, 3), (3, 5)] {
-        assert!(placement.asked_to_pause(&id(number), SECOND * seconds, at(0)));
+        assert!(placement.observe_backoff(&id(number), SECOND * seconds, at(0)));
     }
-    assert_eq!(try_choose(&placement, 1_000), Err(NoChoice::Resting(SECOND * 2)));
+    assert_eq!(try_choose(&placement, 1_000), Err(ChoiceError::Resting(SECOND * 2)));
     assert_eq!(try_choose(&placement, 3_000).expect("it is back").instance, id(2));
 }
 
 #[test]
 fn a_rest_and_a_departure_outlast_a_view_without_the_server() {
     let mut placement = placement(2);
-    placement.asked_to_pause(&id(1), SECOND * 3, at(0));
-    placement.heard_leaving(&id(2), at(0));
+    placement.observe_backoff(&id(1), SECOND * 3, at(0));
+    placement.record_departure(&id(2), at(0));
     placement.set_instances(&InstanceMap::default());
     placement.set_instances(&view([instance(1, 1), instance(2, 1)]));
-    assert_eq!(try_choose(&placement, 1_000), Err(NoChoice::Resting(SECOND * 2)));
+    assert_eq!(try_choose(&placement, 1_000), Err(ChoiceError::Resting(SECOND * 2)));
     assert_eq!(
         placement.passed_over(SERVICE, at(1_000)),
-        [(id(1), PassedOver::Resting), (id(2), PassedOver::Leaving)]
+        [(id(1), ExclusionReason::Resting), (id(2), ExclusionReason::Leaving)]
     );
     assert_eq!(try_choose(&placement, 3_000).expect("it is back").instance, id(1));
 }
@@ -60,20 +60,20 @@
     let (former, later) = (started(1_000), started(2_000));
     let mut placement = placement(0);
     placement.set_instances(&view([former.clone()]));
-    placement.asked_to_pause(&former.id, SECOND * 3_600, at(0));
-    placement.heard_leaving(&former.id, at(0));
-    assert_eq!(try_choose(&placement, 10), Err(NoChoice::NoServer));
+    placement.observe_backoff(&former.id, SECOND * 3_600, at(0));
+    placement.record_departure(&former.id, at(0));
+    assert_eq!(try_choose(&placement, 10), Err(ChoiceError::NoServer));
     placement.set_instances(&view([later.clone()]));
     assert_eq!(try_choose(&placement, 20).expect("it takes requests").instance, later.id);
     placement.set_instances(&view([former]));
-    assert_eq!(try_choose(&placement, 30), Err(NoChoice::NoServer), "it is final");
+    assert_eq!(try_choose(&placement, 30), Err(ChoiceError::NoServer), "it is final");
 }
 
 #[test]
 fn what_others_tell_is_believed_for_ten_seconds_at_most() {
     let mut placement = placement(2);
     for router in [5, 6] {
-        placement.told_of_pause(&id(1), NodeId(router), SECOND * 3_600, at(0));
+        placement.apply_peer_backoff(&id(1), NodeId(router), SECOND * 3_600, at(0));
     }
     // Prompts of many homes.
     let chosen = |millis, shared| {
--- a/crates/placement/tests/sources.rs
+++ b/crates/placement/tests/sources.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
-use juniper_placement::{ChainSighting, Placement, Reason};
+use juniper_placement::{DispatchRecord, Placement, Reason};
 use juniper_registry::{Instance, InstanceId};
 
 use support::{at, choose, instance, placement, prompt, request};
@@ -29,9 +29,9 @@
     let (last, holders) = instances.split_last().expect("servers");
     for holder in holders {
         let instance = holder.id.clone();
-        let holds = ChainSighting { instance, ..sent.clone() };
+        let holds = DispatchRecord { instance, ..sent.clone() };
         placement.sighted(&holds, at(0));
-        let busy = ChainSighting { read_tokens: 40_000, keys: Vec::new(), own_tokens: 0, ..holds };
+        let busy = DispatchRecord { read_tokens: 40_000, keys: Vec::new(), own_tokens: 0, ..holds };
         placement.sighted(&busy, at(9_990));
     }
     (placement, last.id.clone())
@@ -69,8 +69,12 @@
     let mut placement = placement(SERVERS);
     let first = choose(&mut placement, &prompt(1, 1), 0);
     // 100,000 tokens are read in 2.5 s; the prompt comes after them.
-    let queue =
-        ChainSighting { read_tokens: 100_000, keys: Vec::new(), own_tokens: 0, ..first.sighting() };
+    let queue = DispatchRecord {
+        read_tokens: 100_000,
+        keys: Vec::new(),
+        own_tokens: 0,
+        ..first.sighting()
+    };
     placement.sighted(&queue, at(0));
     placement.sighted(&first.sighting(), at(0));
     let waiting = choose(&mut placement, &prompt(1, 2), 1_000);
@@ -88,7 +92,7 @@
         let holder = choose(&mut placement, &prompt(1, 1), 0);
         placement.sighted(&holder.sighting(), at(0));
         for number in 1..=2 {
-            let busy = ChainSighting {
+            let busy = DispatchRecord {
                 instance: instance(number, 1).id,
                 tokens: 400_000,
                 read_tokens: 0,
@@ -98,7 +102,7 @@
             };
             placement.sighted(&busy, at(5_000));
         }
-        let queue = ChainSighting {
+        let queue = DispatchRecord {
             read_tokens: tokens,
             tokens: 0,
             keys: Vec::new(),
--- a/crates/placement/tests/support/mod.rs
+++ b/crates/placement/tests/support/mod.rs
@@ -9,10 +9,10 @@
 use std::time::Duration;
 
 use juniper_placement::{
-    Choice, Outcome, Placement, Prompt, PromptPart, ServerRequest, ServiceProfile,
+    Choice, Outcome, Placement, Prompt, PromptSegment, ServerRequest, ServiceProfile,
 };
 use juniper_registry::{
-    Instance, InstanceId, InstanceMap, InstanceName, InstanceReport, InstanceState, ModelHolding,
+    Instance, InstanceId, InstanceMap, InstanceName, InstanceReport, InstanceState, LoadedModel,
     StartTime,
 };
 use juniper_types::Timestamp;
@@ -37,7 +37,7 @@
         slots: 32,
         state: InstanceState::Ready,
         cold_remaining_ms: 0,
-        models: vec![ModelHolding { model: "m".to_owned(), version }],
+        models: vec![LoadedModel { model: "m".to_owned(), version }],
         sequence: 1,
     };
     Instance::of(report)
@@ -53,7 +53,7 @@
 }
 
 pub fn prompt(shared: u64, own: u64) -> Prompt {
-    let part = |id, tokens| PromptPart { id, tokens };
+    let part = |id, tokens| PromptSegment { id, tokens };
     Prompt {
         model: "m".to_owned(),
         parts: vec![part(shared, 6_000), part(own, 1_000)],
--- a/crates/protocol/src/connection.rs
+++ b/crates/protocol/src/connection.rs
@@ -74,7 +74,7 @@
 
 impl Connection {
     /// Adds all later frames, headers included, to `traffic`.
-    pub fn count_on(&mut self, traffic: &Arc<Traffic>) {
+    pub fn count_traffic_in(&mut self, traffic: &Arc<Traffic>) {
         self.reader.traffic = Some(Arc::clone(traffic));
         self.writer.traffic = Some(Arc::clone(traffic));
     }
@@ -166,7 +166,7 @@
 async fn open_stream(address: SocketAddr) -> Result<TcpStream, FrameError> {
     match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
         Ok(connected) => Ok(connected?),
-        Err(_) => Err(FrameError::Unanswered),
+        Err(_) => Err(FrameError::ConnectTimeout),
     }
 }
 
--- a/crates/protocol/src/fleet.rs
+++ b/crates/protocol/src/fleet.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use juniper_registry::{InstanceId, InstanceName, StartTime, incarnations, names_and_starts};
+use juniper_registry::{InstanceId, InstanceName, StartTime, incarnations, split_incarnations};
 use juniper_types::{NodeId, RequestFingerprint, ZoneName};
 use minicbor::{Decode, Encode};
 
@@ -23,25 +23,25 @@
     pub version: u64,
     /// Hash of each prefix made of whole segments, shortest first.
     #[n(2)]
-    pub chains: Vec<u64>,
+    pub prefix_hashes: Vec<u64>,
     /// Prompt tokens not cached on the server: to be computed, or received by KV transfer.
     #[n(3)]
-    pub tokens: u32,
-    /// Tokens among [`tokens`](Self::tokens) that the server had to compute.
+    pub uncached_tokens: u32,
+    /// Tokens among [`uncached_tokens`](Self::uncached_tokens) that the server had to compute.
     #[n(4)]
-    pub read_tokens: u32,
+    pub prefill_tokens: u32,
     /// Tokens of each prefix segment; empty from a peer of an earlier version.
     #[n(5)]
     #[cbor(default)]
-    pub part_tokens: Vec<u32>,
+    pub segment_tokens: Vec<u32>,
     /// Tokens after the last shared segment; zero from a peer of an earlier version.
     #[n(6)]
     #[cbor(default)]
-    pub own_tokens: u32,
+    pub unshared_tokens: u32,
     /// Number of the request on its router; zero from a peer of an earlier version.
     #[n(7)]
     #[cbor(default)]
-    pub number: u16,
+    pub request_number: u16,
 }
 
 /// Report whether a router can open connections to a server.
@@ -80,10 +80,10 @@
     pub age_ms: u64,
     /// Time for which the request had been in flight when its connection broke, in milliseconds.
     #[n(3)]
-    pub under_way_ms: u64,
+    pub in_flight_ms: u64,
     /// Whether the router has seen the same request complete before.
     #[n(4)]
-    pub ended_well: bool,
+    pub completed_before: bool,
     /// Start time of the crashed incarnation; unknown from a peer of an earlier version.
     #[n(5)]
     #[cbor(default)]
@@ -114,8 +114,8 @@
 
 impl CrashClearance {
     /// Clears `request` of the crashes of these incarnations.
-    pub fn of(request: RequestFingerprint, cleared: &[InstanceId]) -> Self {
-        let (instances, starts) = names_and_starts(cleared);
+    pub fn new(request: RequestFingerprint, cleared: &[InstanceId]) -> Self {
+        let (instances, starts) = split_incarnations(cleared);
         CrashClearance { request, instances, starts }
     }
 
@@ -152,7 +152,7 @@
 pub struct QuarantineUpdate {
     /// Whether `added` lists all quarantined requests.
     #[n(0)]
-    pub is_whole: bool,
+    pub is_complete: bool,
     /// Quarantined requests.
     #[n(1)]
     pub added: Vec<RequestFingerprint>,
@@ -166,18 +166,18 @@
 pub struct RouterUpdate {
     /// Requests that the router dispatched.
     #[n(0)]
-    pub sightings: Vec<DispatchReport>,
+    pub dispatches: Vec<DispatchReport>,
     /// Servers that became unreachable from the router or reachable again.
     #[n(1)]
     pub reachability: Vec<Reachability>,
     /// Always empty; earlier versions list here the servers on which requests ended. Without
     /// request numbers, the end of an unreported request was counted for another one.
     #[n(2)]
-    pub ended_at: Vec<InstanceName>,
+    pub ended_at_servers: Vec<InstanceName>,
     /// Numbers of reported requests that have ended.
     #[n(3)]
     #[cbor(default)]
-    pub ended: Vec<u16>,
+    pub ended_requests: Vec<u16>,
     /// Servers that crashed under requests; usually absent, which takes no bytes.
     #[n(4)]
     #[cbor(default)]
@@ -196,9 +196,9 @@
 impl RouterUpdate {
     /// Whether the update has no content.
     pub fn is_empty(&self) -> bool {
-        self.sightings.is_empty()
+        self.dispatches.is_empty()
             && self.reachability.is_empty()
-            && self.ended.is_empty()
+            && self.ended_requests.is_empty()
             && self.crashes.is_none()
             && self.server_limits.is_none()
             && self.notices.is_none()
@@ -216,7 +216,7 @@
     pub zone: ZoneName,
     /// Relayed update.
     #[n(2)]
-    pub news: RouterUpdate,
+    pub update: RouterUpdate,
 }
 
 /// An encoded [`juniper_catalog::Catalog`].
@@ -276,7 +276,7 @@
 pub struct RenewalUpdate {
     /// Servers that take no new requests until their weights are replaced.
     #[n(0)]
-    pub under_way: Vec<InstanceName>,
+    pub renewing: Vec<InstanceName>,
     /// Known versions of the weights on servers.
     #[n(1)]
     pub versions: Vec<KnownVersion>,
@@ -285,11 +285,11 @@
     pub ended: Vec<InstanceName>,
     /// Whether this is the complete state rather than a change.
     #[n(3)]
-    pub is_whole: bool,
-    /// Start times of the incarnations in `under_way`; empty from a peer of an earlier version.
+    pub is_complete: bool,
+    /// Start times of the incarnations in `renewing`; empty from a peer of an earlier version.
     #[n(4)]
     #[cbor(default)]
-    pub under_way_starts: Vec<StartTime>,
+    pub renewing_starts: Vec<StartTime>,
     /// Start times of the incarnations in `ended`; empty from a peer of an earlier version.
     #[n(5)]
     #[cbor(default)]
@@ -299,27 +299,27 @@
 impl RenewalUpdate {
     /// Whether the update lists no servers.
     pub fn is_empty(&self) -> bool {
-        self.under_way.is_empty() && self.ended.is_empty() && self.versions.is_empty()
+        self.renewing.is_empty() && self.ended.is_empty() && self.versions.is_empty()
     }
 
     /// Replaces the servers being renewed and those whose renewal has ended.
     pub fn with_servers<'a>(
         self,
-        under_way: impl IntoIterator<Item = &'a InstanceId>,
+        renewing: impl IntoIterator<Item = &'a InstanceId>,
         ended: impl IntoIterator<Item = &'a InstanceId>,
     ) -> Self {
-        let (under_way, under_way_starts) = names_and_starts(under_way);
-        let (ended, ended_starts) = names_and_starts(ended);
-        RenewalUpdate { under_way, under_way_starts, ended, ended_starts, ..self }
+        let (renewing, renewing_starts) = split_incarnations(renewing);
+        let (ended, ended_starts) = split_incarnations(ended);
+        RenewalUpdate { renewing, renewing_starts, ended, ended_starts, ..self }
     }
 
-    /// Incarnations in `under_way`.
-    pub fn ids_under_way(&self) -> Vec<InstanceId> {
-        incarnations(self.under_way.clone(), &self.under_way_starts)
+    /// Incarnations in `renewing`.
+    pub fn renewing_ids(&self) -> Vec<InstanceId> {
+        incarnations(self.renewing.clone(), &self.renewing_starts)
     }
 
     /// Incarnations in `ended`.
-    pub fn ids_ended(&self) -> Vec<InstanceId> {
+    pub fn ended_ids(&self) -> Vec<InstanceId> {
         incarnations(self.ended.clone(), &self.ended_starts)
     }
 }
--- a/crates/protocol/src/message.rs
+++ b/crates/protocol/src/message.rs
@@ -185,10 +185,10 @@
     Share {
         /// Incarnation of the sending router; update sequences restart with each.
         #[n(0)]
-        life: Incarnation,
+        incarnation: Incarnation,
         /// Updates by engine.
         #[n(1)]
-        news: ShareMessage,
+        updates: ShareMessage,
     },
     /// Router to control: list the nodes and the leader.
     #[n(8)]
@@ -218,10 +218,10 @@
     /// Router to control: start or stop relaying updates of other routers on this connection. A
     /// router subscribes to one replica only, to avoid duplicates.
     #[n(13)]
-    ListenToRouters {
+    RelayRouterUpdates {
         /// Whether to relay updates from now on.
         #[n(0)]
-        wanted: bool,
+        enabled: bool,
     },
     /// Router to control: charge a request against a limit. The reply is [`Reply::Charged`]; a
     /// replica without a recent quorum confirmation refuses.
@@ -229,7 +229,7 @@
     Charge(#[n(0)] LimitCharge),
     /// Router to control: refund the units of a charged request that no server executed.
     #[n(15)]
-    GiveBack {
+    Refund {
         /// Account of the charge.
         #[n(0)]
         account: String,
@@ -328,7 +328,7 @@
     Shared {
         /// Engines with a gap in their updates, for which the sender must send a full state.
         #[n(0)]
-        in_doubt: Vec<EngineId>,
+        engines_with_gaps: Vec<EngineId>,
     },
 }
 
--- a/crates/protocol/tests/sizes.rs
+++ b/crates/protocol/tests/sizes.rs
@@ -28,22 +28,25 @@
     let report = |number: u64| DispatchReport {
         instance: InstanceName::new("i-0123456789"),
         version: 12,
-        chains: vec![u64::MAX - number; 2],
-        tokens: 20_000,
-        read_tokens: 3_000,
-        part_tokens: vec![9_000; 2],
-        own_tokens: 2_000,
-        number: u16::MAX,
+        prefix_hashes: vec![u64::MAX - number; 2],
+        uncached_tokens: 20_000,
+        prefill_tokens: 3_000,
+        segment_tokens: vec![9_000; 2],
+        unshared_tokens: 2_000,
+        request_number: u16::MAX,
     };
-    let with_reports = |sightings| {
-        wire_bytes(&Message::RouterUpdate(RouterUpdate { sightings, ..RouterUpdate::default() }))
+    let with_reports = |dispatches| {
+        wire_bytes(&Message::RouterUpdate(RouterUpdate { dispatches, ..RouterUpdate::default() }))
     };
     let one = with_reports(vec![report(0)]);
     let more = with_reports((0..11).map(report).collect());
     let each = (more - one) / 10;
     println!("dispatch report with two prefixes: {each} bytes, message with one: {one}");
-    let with_ended = |ended| {
-        wire_bytes(&Message::RouterUpdate(RouterUpdate { ended, ..RouterUpdate::default() }))
+    let with_ended = |ended_requests| {
+        wire_bytes(&Message::RouterUpdate(RouterUpdate {
+            ended_requests,
+            ..RouterUpdate::default()
+        }))
     };
     let end = (with_ended(vec![u16::MAX; 11]) - with_ended(vec![u16::MAX])) / 10;
     println!("end of a request: {end} bytes");
@@ -54,7 +57,7 @@
 #[test]
 fn relay_overhead_per_router() {
     let zone = ZoneName::new("new-england-1").expect("a name");
-    let relayed = RelayedUpdate { from: NodeId(u64::MAX), zone, news: RouterUpdate::default() };
+    let relayed = RelayedUpdate { from: NodeId(u64::MAX), zone, update: RouterUpdate::default() };
     let each = wire_bytes(&Message::RelayedUpdate(vec![relayed.clone(); 2]))
         - wire_bytes(&Message::RelayedUpdate(vec![relayed]));
     println!("overhead per relayed router: {each} bytes");
@@ -67,12 +70,15 @@
     let earlier = ("i-1", 12_u64, [7_u64, 8], 20_000_u32, 3_000_u32);
     let mut bytes = Vec::new();
     let mut encoder = minicbor::Encoder::new(&mut bytes);
-    let (instance, version, chains, tokens, read_tokens) = earlier;
+    let (instance, version, prefix_hashes, uncached_tokens, prefill_tokens) = earlier;
     encoder.array(5).expect("memory").str(instance).expect("memory");
-    encoder.u64(version).expect("memory").encode(chains).expect("memory");
-    encoder.u32(tokens).expect("memory").u32(read_tokens).expect("memory");
+    encoder.u64(version).expect("memory").encode(prefix_hashes).expect("memory");
+    encoder.u32(uncached_tokens).expect("memory").u32(prefill_tokens).expect("memory");
     let decoded: DispatchReport = minicbor::decode(&bytes).expect("decode");
-    assert_eq!((decoded.chains.len(), decoded.tokens, decoded.part_tokens.len()), (2, 20_000, 0));
+    assert_eq!(
+        (decoded.prefix_hashes.len(), decoded.uncached_tokens, decoded.segment_tokens.len()),
+        (2, 20_000, 0)
+    );
 }
 
 #[test]
@@ -82,8 +88,8 @@
         instance: InstanceName::new("i-0123456789"),
         started: StartTime::from_unix_ms(1_784_840_000_000),
         age_ms: 90_000,
-        under_way_ms: 30_000,
-        ended_well: true,
+        in_flight_ms: 30_000,
+        completed_before: true,
     };
     let with_crashes = |crashes: Option<CrashUpdate>| {
         wire_bytes(&Message::RouterUpdate(RouterUpdate { crashes, ..RouterUpdate::default() }))
@@ -108,8 +114,8 @@
     let notice = || ServerNoticeUpdate {
         instance: InstanceName::new("i-0123456789"),
         started: StartTime::from_unix_ms(1_784_840_000_000),
-        pause_ms: 30_000,
-        is_leaving: false,
+        backoff_ms: 30_000,
+        is_departing: false,
     };
     let with_notices = |notices| {
         wire_bytes(&Message::RouterUpdate(RouterUpdate { notices, ..RouterUpdate::default() }))
@@ -127,21 +133,24 @@
     #[derive(minicbor::Decode)]
     struct EarlierUpdate {
         #[n(0)]
-        sightings: Vec<DispatchReport>,
+        dispatches: Vec<DispatchReport>,
         #[n(3)]
         #[cbor(default)]
-        ended: Vec<u16>,
+        ended_requests: Vec<u16>,
     }
     let notice = ServerNoticeUpdate {
         instance: InstanceName::new("i-1"),
         started: StartTime::UNKNOWN,
-        pause_ms: 3_000,
-        is_leaving: true,
+        backoff_ms: 3_000,
+        is_departing: true,
+    };
+    let update = RouterUpdate {
+        ended_requests: vec![7],
+        notices: Some(vec![notice]),
+        ..RouterUpdate::default()
     };
-    let update =
-        RouterUpdate { ended: vec![7], notices: Some(vec![notice]), ..RouterUpdate::default() };
     let bytes = minicbor::to_vec(&update).expect("encode");
     let decoded: EarlierUpdate = minicbor::decode(&bytes).expect("decode");
-    assert_eq!((decoded.sightings.len(), decoded.ended), (0, vec![7]));
+    assert_eq!((decoded.dispatches.len(), decoded.ended_requests), (0, vec![7]));
     assert_eq!(minicbor::decode::<RouterUpdate>(&bytes).expect("decode"), update);
 }
--- a/crates/quarantine/src/completed_requests.rs
+++ b/crates/quarantine/src/completed_requests.rs
@@ -8,17 +8,17 @@
 
 /// Fixed-size, lossy set of recently completed requests.
 #[derive(Clone, Debug)]
-pub struct EndedWell {
+pub struct CompletedRequests {
     slots: Vec<u64>,
 }
 
-impl Default for EndedWell {
+impl Default for CompletedRequests {
     fn default() -> Self {
-        EndedWell { slots: vec![0; SLOTS] }
+        CompletedRequests { slots: vec![0; SLOTS] }
     }
 }
 
-impl EndedWell {
+impl CompletedRequests {
     /// Records a completed request.
     pub fn note(&mut self, request: &RequestFingerprint) {
         let (slot, tag) = slot_of(request);
--- a/crates/quarantine/src/interrupted_requests.rs
+++ b/crates/quarantine/src/interrupted_requests.rs
@@ -45,12 +45,12 @@
     /// Proof of the crash.
     pub proof: CrashProof,
     /// Interrupted requests that weren't returned with an earlier crash of this incarnation.
-    pub requests: Vec<CutRequest>,
+    pub requests: Vec<InterruptedRequest>,
 }
 
 /// Request whose connection broke before the answer was complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct CutRequest {
+pub struct InterruptedRequest {
     /// Fingerprint of the request.
     pub request: RequestFingerprint,
     /// When the request was dispatched to the server.
@@ -64,23 +64,23 @@
     address: SocketAddr,
     last_interrupted_at: Timestamp,
     proof: Option<CrashProof>,
-    pending: BTreeMap<RequestFingerprint, CutRequest>,
+    pending: BTreeMap<RequestFingerprint, InterruptedRequest>,
 }
 
 /// Interrupted requests by server.
 #[derive(Clone, Debug, Default)]
-pub struct CutRequests {
+pub struct InterruptedRequests {
     servers: BTreeMap<InstanceId, SuspectedServer>,
 }
 
-impl CutRequests {
+impl InterruptedRequests {
     /// Records an interrupted request to a server that wasn't departing. Returns the crash if the
     /// server is already known to have crashed.
     pub fn cut(
         &mut self,
         instance: &InstanceId,
         address: SocketAddr,
-        interrupted: CutRequest,
+        interrupted: InterruptedRequest,
     ) -> Option<ServerCrash> {
         let now = interrupted.cut_at;
         self.remove_expired(now);
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -1,12 +1,12 @@
 //! Detection and quarantine of requests that crash the servers that execute them.
 //!
-//! - [`CutRequests`] tracks interrupted requests until it is known whether their server crashed.
+//! - [`InterruptedRequests`] tracks interrupted requests until it is known whether their server crashed.
 //! - [`CrashCounts`] counts the crashes under each request from the reports of all routers. A
 //!   request is quarantined after [`CRASHES_BEFORE_QUARANTINE`] crashes and cleared when it
 //!   completes.
-//! - [`EndedWell`] records requests that have completed, so that simultaneous crashes of many
+//! - [`CompletedRequests`] records requests that have completed, so that simultaneous crashes of many
 //!   servers, as in a power failure, don't count against frequent requests.
-//! - [`Retelling`] repeats a router's own reports, since messages between routers may be lost.
+//! - [`Rebroadcast`] repeats a router's own reports, since messages between routers may be lost.
 //!
 //! Time is passed in; nothing here performs I/O.
 
@@ -16,8 +16,8 @@
 mod rebroadcast;
 mod report;
 
-pub use completed_requests::EndedWell;
-pub use counts::{CRASHES_BEFORE_QUARANTINE, Counted, CrashCounts, Unrecorded};
-pub use interrupted_requests::{CrashProof, CutRequest, CutRequests, ServerCrash};
-pub use rebroadcast::Retelling;
+pub use completed_requests::CompletedRequests;
+pub use counts::{CRASHES_BEFORE_QUARANTINE, Counted, CrashCounts, UnrecordedQuarantine};
+pub use interrupted_requests::{CrashProof, InterruptedRequest, InterruptedRequests, ServerCrash};
+pub use rebroadcast::Rebroadcast;
 pub use report::{Clearance, CrashReport, Report};
--- a/crates/quarantine/tests/counts.rs
+++ b/crates/quarantine/tests/counts.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use juniper_quarantine::{
-    Counted, CrashCounts, CrashReport, EndedWell, Report, Retelling, Unrecorded,
+    CompletedRequests, Counted, CrashCounts, CrashReport, Rebroadcast, Report, UnrecordedQuarantine,
 };
 use juniper_registry::InstanceId;
 use juniper_types::{RequestFingerprint, Timestamp};
@@ -88,7 +88,7 @@
 
 #[test]
 fn completed_requests_are_recorded_until_overwritten() {
-    let mut completed_requests = EndedWell::default();
+    let mut completed_requests = CompletedRequests::default();
     assert!(!completed_requests.has(&request(0)), "a free slot matches no request");
     (1..=9).for_each(|number| completed_requests.note(&request(number)));
     assert!((1..=9).all(|number| completed_requests.has(&request(number))));
@@ -149,8 +149,10 @@
         counts.due_records(at(103), |_| false).is_empty(),
         "another router may have it recorded"
     );
-    let unrecorded =
-        Unrecorded { request: request(1), servers: vec![server(1), server(2), server(3)] };
+    let unrecorded = UnrecordedQuarantine {
+        request: request(1),
+        servers: vec![server(1), server(2), server(3)],
+    };
     assert_eq!(counts.due_records(at(104), |_| false), std::slice::from_ref(&unrecorded));
     assert!(counts.due_records(at(104), |_| false).is_empty(), "retried after an interval");
     assert_eq!(counts.due_records(at(105), |_| false), [unrecorded]);
@@ -217,7 +219,7 @@
 
 #[test]
 fn a_report_is_repeated_three_times_with_its_current_age() {
-    let mut rebroadcast = Retelling::default();
+    let mut rebroadcast = Rebroadcast::default();
     rebroadcast.told(Report::Crash(report(1, 1, 50)), at(100));
     let mut ages = Vec::new();
     for tenths in 0..80_u64 {
--- a/crates/quarantine/tests/interrupted_requests.rs
+++ b/crates/quarantine/tests/interrupted_requests.rs
@@ -3,7 +3,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-use juniper_quarantine::{CrashProof, CutRequest, CutRequests};
+use juniper_quarantine::{CrashProof, InterruptedRequest, InterruptedRequests};
 use juniper_registry::InstanceId;
 use juniper_types::{RequestFingerprint, Timestamp};
 
@@ -24,14 +24,14 @@
 }
 
 /// A request that was sent a second before it was interrupted.
-fn interrupted(request: RequestFingerprint, seconds: u64) -> CutRequest {
+fn interrupted(request: RequestFingerprint, seconds: u64) -> InterruptedRequest {
     let sent_at = at(seconds).before(Duration::from_secs(1));
-    CutRequest { request, sent_at, cut_at: at(seconds) }
+    InterruptedRequest { request, sent_at, cut_at: at(seconds) }
 }
 
 #[test]
 fn an_interrupted_request_alone_is_no_crash() {
-    let mut tracker = CutRequests::default();
+    let mut tracker = InterruptedRequests::default();
     assert_eq!(tracker.cut(&server("a"), address(1), interrupted(request(1), 0)), None);
     let same = server("a");
     assert!(tracker.find_new_lives(at(1), |_| Some(&same)).is_empty(), "same incarnation");
@@ -40,7 +40,7 @@
 
 #[test]
 fn a_refused_connection_proves_a_crash_under_all_interrupted_requests() {
-    let mut tracker = CutRequests::default();
+    let mut tracker = InterruptedRequests::default();
     tracker.cut(&server("a"), address(1), interrupted(request(1), 0));
     tracker.cut(&server("a"), address(1), interrupted(request(2), 0));
     tracker.cut(&server("b"), address(2), interrupted(request(3), 0));
@@ -58,7 +58,7 @@
 
 #[test]
 fn another_incarnation_at_the_address_proves_a_crash() {
-    let mut tracker = CutRequests::default();
+    let mut tracker = InterruptedRequests::default();
     tracker.cut(&server("a"), address(1), interrupted(request(1), 0));
     tracker.cut(&server("b"), address(2), interrupted(request(2), 0));
     let (same, next) = (server("b"), server("a2"));
@@ -71,7 +71,7 @@
 
 #[test]
 fn interrupted_requests_without_timely_proof_are_removed() {
-    let mut tracker = CutRequests::default();
+    let mut tracker = InterruptedRequests::default();
     tracker.cut(&server("a"), address(1), interrupted(request(1), 0));
     assert_eq!(tracker.proved(&server("a"), CrashProof::Refused, at(10)), None);
     assert!(tracker.is_empty());
@@ -79,7 +79,7 @@
 
 #[test]
 fn pending_requests_are_bounded() {
-    let mut tracker = CutRequests::default();
+    let mut tracker = InterruptedRequests::default();
     for number in 0..2_000_u32 {
         let mut bytes = [0; 16];
         bytes[..4].copy_from_slice(&number.to_be_bytes());
--- a/crates/registry/src/incarnation.rs
+++ b/crates/registry/src/incarnation.rs
@@ -131,7 +131,7 @@
 }
 
 /// Splits incarnations into the names and start times of a message.
-pub fn names_and_starts<'a>(
+pub fn split_incarnations<'a>(
     instances: impl IntoIterator<Item = &'a InstanceId>,
 ) -> (Vec<InstanceName>, Vec<StartTime>) {
     instances.into_iter().map(|id| (id.name.clone(), id.started)).unzip()
--- a/crates/renewal/src/giver.rs
+++ b/crates/renewal/src/giver.rs
@@ -38,7 +38,7 @@
 
 /// Settings of the one who gives orders.
 #[derive(Clone, Debug)]
-pub struct GiverSettings {
+pub struct OrderDispatcherSettings {
     /// This control node.
     pub node: NodeId,
     /// Its name, which servers are told.
@@ -69,8 +69,8 @@
 }
 
 /// Gives orders while its node leads.
-pub struct OrderGiver {
-    settings: GiverSettings,
+pub struct OrderDispatcher {
+    settings: OrderDispatcherSettings,
     dialect: Arc<dyn OrderDialect>,
     calls: FleetCalls,
     feed: Feed,
@@ -88,16 +88,16 @@
     next_lease_try: Instant,
 }
 
-impl OrderGiver {
+impl OrderDispatcher {
     /// Holds nothing yet.
     pub fn new(
-        settings: GiverSettings,
+        settings: OrderDispatcherSettings,
         dialect: impl OrderDialect,
         calls: FleetCalls,
         feed: Feed,
     ) -> Self {
         let (outcome_sender, outcomes) = mpsc::unbounded_channel();
-        OrderGiver {
+        OrderDispatcher {
             plan: RenewalPlan::new(settings.plan),
             settings,
             dialect: Arc::new(dialect),
@@ -275,8 +275,8 @@
         self.versions.retain(|(instance, model), version| {
             report(instance).is_some_and(|report| report.version_of(model) < Some(*version))
         });
-        self.calls.announce(Renewals {
-            under_way: self.under_way.clone(),
+        self.calls.publish_renewals(Renewals {
+            renewing: self.under_way.clone(),
             versions: self.versions.clone(),
         });
     }
--- a/crates/renewal/src/hand_on.rs
+++ b/crates/renewal/src/hand_on.rs
@@ -13,7 +13,7 @@
 
 /// Tells the routers that follow this node's replica what the feed knows from all replicas, until the feed
 /// ends.
-pub async fn hand_on_fleet(feed: Feed, calls: FleetCalls) {
+pub async fn publish_fleet_view(feed: Feed, calls: FleetCalls) {
     let mut views = feed.view();
     loop {
         let view = std::sync::Arc::clone(&views.borrow_and_update());
@@ -30,5 +30,5 @@
         let instance = InstanceId::started_at(known.instance.clone(), known.started);
         ((instance, known.model.clone()), known.version)
     });
-    Renewals { under_way: view.renewing.iter().cloned().collect(), versions: versions.collect() }
+    Renewals { renewing: view.renewing.iter().cloned().collect(), versions: versions.collect() }
 }
--- a/crates/renewal/src/task.rs
+++ b/crates/renewal/src/task.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use juniper_control::FleetCalls;
-use juniper_limits::{ServerNotice, StatedDeparture, StatedPause};
+use juniper_limits::{DepartureNotice, RequestedBackoff, ServerNotice};
 use tokio::time::{Instant, sleep};
 
 use crate::exchange::{
@@ -169,11 +169,11 @@
 
 /// What an order comes to whose server asks for something.
 fn end_by(notice: &ServerNotice) -> Option<TaskEnd> {
-    if notice.departure == StatedDeparture::Leaving {
+    if notice.departure == DepartureNotice::Leaving {
         return Some(TaskEnd::Leaving);
     }
     match notice.pause {
-        StatedPause::For(pause) => Some(TaskEnd::AgainAfter(pause)),
-        StatedPause::Nothing | StatedPause::Unreadable(_) => None,
+        RequestedBackoff::For(pause) => Some(TaskEnd::AgainAfter(pause)),
+        RequestedBackoff::Nothing | RequestedBackoff::Unreadable(_) => None,
     }
 }
