--- a/crates/renewal/src/exchange.rs
+++ b/crates/renewal/src/exchange.rs
@@ -1,4 +1,4 @@
-//! Orders to servers over HTTP.
+//! HTTP exchanges with servers: orders and state requests.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -15,117 +15,117 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Time within which a server answers.
+/// Timeout of an exchange.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Largest answer, in bytes.
+/// Maximum size of an answer's body.
 const MAX_ANSWER_BYTES: usize = 64 << 10;
 
-/// What becomes of the requests that run on a server when it takes other weights.
+/// Treatment of running requests when a server loads other weights.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunningRequests {
-    /// They finish first; the server begins nothing new until then.
+    /// Finish them first, without starting new requests until then.
     FinishFirst,
-    /// They go on under the new weights, after a pause.
+    /// Interrupt them while the weights are loaded, and continue them under the new weights.
     GoOn,
 }
 
-/// An order to take weights of another version.
+/// Order to load another version of a model's weights.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
-    /// The life of the server that it is meant for.
+    /// Incarnation of the server.
     pub instance: InstanceId,
-    /// The model.
+    /// Name of the model.
     pub model: String,
-    /// Version of its weights.
+    /// Version of the weights.
     pub version: u64,
-    /// What becomes of the requests that run.
+    /// Treatment of running requests.
     pub running: RunningRequests,
-    /// Who gives the order.
+    /// Name of the lease holder that sends the order.
     pub holder: String,
-    /// The holder's fencing token.
+    /// Fencing token of the holder's lease.
     pub token: u64,
-    /// Orders that the server has taken before this one.
+    /// Number of orders that the server is expected to have accepted before this one.
     pub expected_orders: u64,
 }
 
-/// What a server says to an order.
+/// A server's answer to an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderAnswer {
-    /// It has taken the order.
+    /// The order was accepted.
     Taken,
-    /// It has these weights already.
+    /// The server already has the weights.
     AlreadyDone,
-    /// Another order is under way, or it has taken other orders than expected.
+    /// Another order is in progress, or the number of accepted orders differs from the expected one.
     Conflict,
-    /// A holder with a higher token has given orders.
+    /// A holder with a higher token has sent orders.
     Fenced,
-    /// Another server has the address.
+    /// The address belongs to another server.
     OtherServer,
-    /// It can't carry out the order.
+    /// The server can't execute the order.
     Refused(StatusCode),
 }
 
-/// What a server says of itself.
+/// State that a server reports.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ServerState {
-    /// Orders that it has taken.
+    /// Number of orders that the server has accepted.
     pub orders: u64,
-    /// Whether an order is under way.
+    /// Whether an order is in progress.
     pub busy: bool,
-    /// Versions of the weights of its models.
+    /// Models with the versions of their weights.
     pub versions: Vec<(String, u64)>,
 }
 
-/// Writes orders and reads what servers say to them.
+/// Translation between orders and the HTTP API of the servers.
 pub trait OrderDialect: Send + Sync + 'static {
-    /// The request for an order.
+    /// Builds the request for an order.
     fn order(&self, order: &Order) -> Request<Full<Bytes>>;
 
-    /// What the answer to an order says.
+    /// Interprets the status of the answer to an order.
     fn read_answer(&self, status: StatusCode) -> OrderAnswer;
 
-    /// What an answer to an order, or to a question for the state, asks for beside that.
+    /// Parses the notices in the answer to an order or a state request.
     fn read_notice(&self, status: StatusCode, headers: &HeaderMap) -> ServerNotice;
 
-    /// The request for a server's state.
+    /// Builds the request for a server's state.
     fn state(&self) -> Request<Full<Bytes>>;
 
-    /// Reads a server's state, if it can be read.
+    /// Parses a server's state, or returns `None` if it is malformed.
     fn read_state(&self, body: &[u8]) -> Option<ServerState>;
 }
 
-/// Why a server didn't answer.
+/// Failure of an exchange.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ExchangeError {
-    #[error("no answer in time")]
+    #[error("timed out")]
     Timeout,
-    #[error("can't connect: {0}")]
+    #[error("failed to connect: {0}")]
     Connect(#[from] std::io::Error),
-    #[error("the connection broke: {0}")]
+    #[error("connection broke: {0}")]
     Broken(#[from] hyper::Error),
-    #[error("the answer can't be read")]
+    #[error("failed to read the answer body")]
     Unreadable,
 }
 
-/// An answer with what it asks for.
-pub(crate) type Noticed<T> = (T, ServerNotice);
+/// Content of an answer and its notices.
+pub(crate) type WithNotice<T> = (T, ServerNotice);
 
-/// Sends an order. Without an answer it may have been taken.
-pub(crate) async fn give(
+/// Sends an order. After an error, the server may still have accepted it.
+pub(crate) async fn send_order(
     dialect: &dyn OrderDialect,
     address: SocketAddrV4,
     order: &Order,
-) -> Result<Noticed<OrderAnswer>, ExchangeError> {
+) -> Result<WithNotice<OrderAnswer>, ExchangeError> {
     let (head, _) = exchange(address, dialect.order(order)).await?;
     Ok((dialect.read_answer(head.status), dialect.read_notice(head.status, &head.headers)))
 }
 
-/// Asks a server for its state, which may be unreadable.
-pub(crate) async fn ask_state(
+/// Requests a server's state; `None` if it is malformed.
+pub(crate) async fn request_state(
     dialect: &dyn OrderDialect,
     address: SocketAddrV4,
-) -> Result<Noticed<Option<ServerState>>, ExchangeError> {
+) -> Result<WithNotice<Option<ServerState>>, ExchangeError> {
     let (head, body) = exchange(address, dialect.state()).await?;
     Ok((dialect.read_state(&body), dialect.read_notice(head.status, &head.headers)))
 }
@@ -134,11 +134,11 @@
     address: SocketAddrV4,
     request: Request<Full<Bytes>>,
 ) -> Result<(response::Parts, Bytes), ExchangeError> {
-    let exchanged = timeout(ANSWER_TIMEOUT, exchange_unbounded(address, request)).await;
-    exchanged.map_err(|_| ExchangeError::Timeout)?
+    let result = timeout(ANSWER_TIMEOUT, exchange_without_timeout(address, request)).await;
+    result.map_err(|_| ExchangeError::Timeout)?
 }
 
-async fn exchange_unbounded(
+async fn exchange_without_timeout(
     address: SocketAddrV4,
     mut request: Request<Full<Bytes>>,
 ) -> Result<(response::Parts, Bytes), ExchangeError> {
@@ -150,13 +150,13 @@
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
     let task = tokio::spawn(connection);
     let response = sender.send_request(request).await;
-    let read = async {
+    let received = async {
         let response = response?;
         let (head, body) = response.into_parts();
         let body = Limited::new(body, MAX_ANSWER_BYTES).collect().await;
         Ok((head, body.map_err(|_| ExchangeError::Unreadable)?.to_bytes()))
     };
-    let read = read.await;
+    let received = received.await;
     task.abort();
-    read
+    received
 }
--- a/crates/renewal/src/lib.rs
+++ b/crates/renewal/src/lib.rs
@@ -1,19 +1,18 @@
-//! Brings model servers to the weights that are wanted.
+//! Rollout of new weights to model servers.
 //!
-//! The leader of the control replicas holds a lease in the replicated log and
-//! gives the orders; a fencing token that rises with each lease keeps a former
-//! holder's orders out. [`RenewalPlan`] decides who is ordered next and when; it
-//! is pure. [`OrderGiver`] holds the lease and talks to the servers; how an order
-//! is written is the business of an [`OrderDialect`].
+//! The leader of the control replicas holds a lease in the replicated log and sends orders to the
+//! servers. A fencing token that increases with each lease makes servers reject the orders of
+//! former holders. [`RenewalPlan`] decides which server is ordered next and when, without I/O.
+//! [`OrderGiver`] holds the lease and sends the orders, in the format of an [`OrderDialect`].
 
 mod exchange;
-mod giver;
-mod hand_on;
+mod load_trials;
+mod order_dispatcher;
+mod order_task;
 mod plan;
-mod task;
-mod trials;
+mod publish;
 
 pub use exchange::{Order, OrderAnswer, OrderDialect, RunningRequests, ServerState};
-pub use giver::{GiverSettings, OrderGiver};
-pub use hand_on::hand_on_fleet;
+pub use order_dispatcher::{GiverSettings, OrderGiver};
 pub use plan::{PlanSettings, RenewalPlan, RenewalServer};
+pub use publish::hand_on_fleet;
--- a/crates/renewal/src/giver.rs
+++ b/crates/renewal/src/order_dispatcher.rs
@@ -1,4 +1,4 @@
-//! The one who gives orders: holds the lease and decides whom to order next.
+//! Dispatch of orders while this node holds the order lease.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
@@ -14,61 +14,61 @@
 use tokio::time::{Instant, MissedTickBehavior, interval};
 
 use crate::exchange::{Order, OrderDialect, RunningRequests};
+use crate::order_task::{OrderResult, OrderTask, TaskOutcome};
 use crate::plan::{PlanSettings, RenewalPlan, RenewalServer};
-use crate::task::{OrderTask, TaskEnd, TaskOutcome};
 
-/// Pace at which the plan is looked at.
-const PACE: Duration = Duration::from_millis(100);
+/// Interval at which the plan is evaluated.
+const PLAN_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Age of the quorum's last confirmation beyond which this node may have been
-/// replaced as leader without knowing.
-const CONFIRMED_WITHIN: Duration = Duration::from_millis(900);
+/// Age of the quorum's last confirmation beyond which this node may have been replaced as leader
+/// without knowing.
+const MAX_CONFIRMATION_AGE: Duration = Duration::from_millis(900);
 
-/// What is waited beyond the lease of another holder, for clocks that run unevenly.
-const LEASE_MARGIN: Duration = Duration::from_millis(400);
+/// Wait beyond the lease of the previous holder, to allow for clock drift.
+const LEASE_CLOCK_MARGIN: Duration = Duration::from_millis(400);
 
-/// Pause before the lease is asked for again.
-const LEASE_PAUSE: Duration = Duration::from_millis(300);
+/// Delay between two attempts to acquire the lease.
+const LEASE_RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// Pause before a server that didn't take an order is ordered again.
-const REPEAT_PAUSE: Duration = Duration::from_millis(300);
+/// Delay before an order that a server didn't accept is retried.
+const ORDER_RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// Orders given at one look at the plan.
-const MAX_ORDERS_AT_ONCE: usize = 16;
+/// Maximum number of orders sent in one evaluation of the plan.
+const MAX_ORDERS_PER_TICK: usize = 16;
 
-/// Settings of the one who gives orders.
+/// Settings of the order dispatcher.
 #[derive(Clone, Debug)]
 pub struct GiverSettings {
-    /// This control node.
+    /// Id of this control node.
     pub node: NodeId,
-    /// Its name, which servers are told.
+    /// Name of this control node, sent to servers as the holder of the lease.
     pub name: String,
     /// Shortest time between the orders of two holders.
     pub lease: Duration,
-    /// Bounds on a renewal.
+    /// Time limits of a rollout.
     pub plan: PlanSettings,
 }
 
-/// The lease while this node holds it.
+/// Order lease that this node holds.
 #[derive(Clone, Copy, Debug)]
 struct HeldLease {
     lease: OrderLease,
     term: u64,
-    /// No order before this.
-    from: Instant,
+    /// Earliest time at which orders may be sent.
+    orders_allowed_from: Instant,
 }
 
-/// Whether this node leads, in `term` if one is given, and a quorum has confirmed
-/// so just now.
-pub(crate) fn leads(calls: &FleetCalls, term: Option<u64>) -> bool {
+/// Whether this node is the leader, in `term` if given, and a quorum has confirmed it recently.
+pub(crate) fn is_confirmed_leader(calls: &FleetCalls, term: Option<u64>) -> bool {
     let view = calls.view();
     let status = view.status.borrow();
     let same_term = term.is_none_or(|term| term == status.term);
-    let confirmed = view.confirmed_at.borrow().is_some_and(|at| at.elapsed() < CONFIRMED_WITHIN);
+    let confirmed =
+        view.confirmed_at.borrow().is_some_and(|at| at.elapsed() < MAX_CONFIRMATION_AGE);
     status.is_leader() && same_term && confirmed
 }
 
-/// Gives orders while its node leads.
+/// Sends orders to servers while its node is the leader.
 pub struct OrderGiver {
     settings: GiverSettings,
     dialect: Arc<dyn OrderDialect>,
@@ -76,20 +76,21 @@
     feed: Feed,
     plan: RenewalPlan,
     held: Option<HeldLease>,
-    /// Orders that each server is believed to have taken.
+    /// Number of orders that each server is expected to have accepted.
     orders: BTreeMap<InstanceId, u64>,
-    /// Servers with an order under way.
-    under_way: BTreeSet<InstanceId>,
-    /// Servers that said in an answer that they leave.
+    /// Servers with an order in flight.
+    in_flight: BTreeSet<InstanceId>,
+    /// Servers that announced their departure in an answer.
     departures: Departures,
+    /// Versions of weights that servers were observed to have loaded.
     versions: BTreeMap<(InstanceId, String), u64>,
     outcomes: mpsc::UnboundedReceiver<TaskOutcome>,
     outcome_sender: mpsc::UnboundedSender<TaskOutcome>,
-    next_lease_try: Instant,
+    next_lease_attempt: Instant,
 }
 
 impl OrderGiver {
-    /// Holds nothing yet.
+    /// Creates a dispatcher without a lease.
     pub fn new(
         settings: GiverSettings,
         dialect: impl OrderDialect,
@@ -105,43 +106,43 @@
             feed,
             held: None,
             orders: BTreeMap::new(),
-            under_way: BTreeSet::new(),
+            in_flight: BTreeSet::new(),
             departures: Departures::default(),
             versions: BTreeMap::new(),
             outcomes,
             outcome_sender,
-            next_lease_try: Instant::now(),
+            next_lease_attempt: Instant::now(),
         }
     }
 
-    /// Gives orders whenever that is due and allowed, for ever.
+    /// Sends orders while they are due and this node holds the lease. Runs forever.
     pub async fn run(mut self) {
-        let mut ticks = interval(PACE);
+        let mut ticks = interval(PLAN_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 _ = ticks.tick() => self.tick().await,
                 outcome = self.outcomes.recv() => match outcome {
-                    Some(outcome) => self.note(outcome),
+                    Some(outcome) => self.record_outcome(outcome),
                     None => return,
                 },
             }
-            self.announce();
+            self.publish_renewals();
         }
     }
 
     async fn tick(&mut self) {
         let view = self.feed.latest();
         let term = self.held.map(|held| held.term);
-        if view.weights.is_empty() || !leads(&self.calls, term) {
+        if view.weights.is_empty() || !is_confirmed_leader(&self.calls, term) {
             self.held = None;
             return;
         }
         if self.held.is_none() {
-            self.take_lease().await;
+            self.acquire_lease().await;
         }
-        if self.held.is_some_and(|held| Instant::now() >= held.from) {
-            self.give_due(&view);
+        if self.held.is_some_and(|held| Instant::now() >= held.orders_allowed_from) {
+            self.dispatch_due(&view);
         }
     }
 
@@ -149,11 +150,11 @@
         Timestamp::ZERO.after(self.feed.started().elapsed())
     }
 
-    async fn take_lease(&mut self) {
-        if Instant::now() < self.next_lease_try {
+    async fn acquire_lease(&mut self) {
+        if Instant::now() < self.next_lease_attempt {
             return;
         }
-        self.next_lease_try = Instant::now() + LEASE_PAUSE;
+        self.next_lease_attempt = Instant::now() + LEASE_RETRY_DELAY;
         let term = self.calls.view().status.borrow().term;
         let lease = match self.calls.take_order_lease(self.settings.node).await {
             Ok(lease) => lease,
@@ -163,7 +164,7 @@
             }
         };
         let wait = match lease.previous {
-            Some(_) => self.settings.lease + LEASE_MARGIN,
+            Some(_) => self.settings.lease + LEASE_CLOCK_MARGIN,
             None => Duration::ZERO,
         };
         log::info!(
@@ -172,26 +173,26 @@
             lease.previous.map_or(0, |node| node.0),
             wait.as_millis()
         );
-        self.held = Some(HeldLease { lease, term, from: Instant::now() + wait });
+        self.held = Some(HeldLease { lease, term, orders_allowed_from: Instant::now() + wait });
     }
 
-    /// Gives every order that is due.
-    fn give_due(&mut self, view: &FleetView) {
+    /// Sends the orders that are due.
+    fn dispatch_due(&mut self, view: &FleetView) {
         let servers = self.servers(view);
-        for _ in 0..MAX_ORDERS_AT_ONCE {
+        for _ in 0..MAX_ORDERS_PER_TICK {
             let next = self.plan.next(&servers, &view.weights, self.now());
             let Some((server, version)) = next else { return };
             let found = view.instances.get(server.instance.name());
             let Some(instance) = found.filter(|known| known.id == server.instance) else { return };
-            self.give(&server, version, instance.report.address);
+            self.dispatch(&server, version, instance.report.address);
         }
     }
 
-    /// The servers of all models with the versions that they are known to have.
+    /// Servers of all models with their known versions.
     fn servers(&self, view: &FleetView) -> Vec<RenewalServer> {
-        // Their own word counts also before it has come to the list of servers.
-        let stays = |instance: &&Arc<Instance>| !self.departures.covers(&instance.id);
-        let usable = view.instances.iter().filter(|instance| !instance.silent).filter(stays);
+        // Departures count even before they reach the list of servers.
+        let is_staying = |instance: &&Arc<Instance>| !self.departures.covers(&instance.id);
+        let usable = view.instances.iter().filter(|instance| !instance.silent).filter(is_staying);
         let held = usable.flat_map(|instance| {
             let id = &instance.id;
             instance.report.models.iter().map(move |held| (id, held))
@@ -207,22 +208,22 @@
         .collect()
     }
 
-    fn give(&mut self, server: &RenewalServer, version: u64, address: SocketAddrV4) {
+    fn dispatch(&mut self, server: &RenewalServer, version: u64, address: SocketAddrV4) {
         let Some(held) = self.held else { return };
         let order = Order {
             instance: server.instance.clone(),
             model: server.model.clone(),
             version,
-            // A stream runs for seconds. A server that waits for its streams is out
-            // for as long, and with several of them out at once the others are crowded.
+            // Streams run for seconds. Waiting for them would take several servers out of service
+            // for that long and overload the others.
             running: RunningRequests::GoOn,
             holder: self.settings.name.clone(),
             token: held.lease.token,
             expected_orders: self.orders.get(&server.instance).copied().unwrap_or(0),
         };
         self.plan.ordered(server, version, self.now());
-        self.under_way.insert(order.instance.clone());
-        let task = OrderTask {
+        self.in_flight.insert(order.instance.clone());
+        let order_task = OrderTask {
             dialect: Arc::clone(&self.dialect),
             calls: self.calls.clone(),
             term: held.term,
@@ -232,39 +233,39 @@
         };
         let outcomes = self.outcome_sender.clone();
         tokio::spawn(async move {
-            // The giver lives as long as the process.
-            let _ = outcomes.send(task.run().await);
+            // The receiver lives as long as the process.
+            let _ = outcomes.send(order_task.run().await);
         });
     }
 
-    fn note(&mut self, outcome: TaskOutcome) {
-        let TaskOutcome { order, end, orders } = outcome;
-        self.under_way.remove(&order.instance);
+    fn record_outcome(&mut self, outcome: TaskOutcome) {
+        let TaskOutcome { order, result, orders } = outcome;
+        self.in_flight.remove(&order.instance);
         if let Some(orders) = orders {
             self.orders.insert(order.instance.clone(), orders);
         }
         let now = self.now();
-        match end {
-            TaskEnd::Renewed(version) => {
+        match result {
+            OrderResult::Renewed(version) => {
                 self.versions.insert((order.instance, order.model), version);
             }
-            TaskEnd::Fenced => self.held = None,
-            TaskEnd::Again => {
-                self.plan.postpone(&order.instance, order.version, REPEAT_PAUSE, now);
+            OrderResult::Fenced => self.held = None,
+            OrderResult::Retry => {
+                self.plan.postpone(&order.instance, order.version, ORDER_RETRY_DELAY, now);
             }
-            TaskEnd::AgainAfter(pause) => {
-                self.plan.postpone(&order.instance, order.version, pause, now);
+            OrderResult::RetryAfter(backoff) => {
+                self.plan.postpone(&order.instance, order.version, backoff, now);
             }
-            TaskEnd::Leaving => {
+            OrderResult::Departing => {
                 log::info!("event=server_leaving_heard request=- instance={}", order.instance);
                 self.departures.add(&Departure::of(&order.instance), now);
             }
-            TaskEnd::Gone => {}
+            OrderResult::Gone => {}
         }
     }
 
-    /// Tells routers what they can't know from the servers yet.
-    fn announce(&mut self) {
+    /// Publishes to routers the orders in flight and the versions that servers haven't reported yet.
+    fn publish_renewals(&mut self) {
         let view = self.feed.latest();
         let report = |id: &InstanceId| {
             let known = view.instances.get(id.name()).filter(|known| known.id == *id);
@@ -276,7 +277,7 @@
             report(instance).is_some_and(|report| report.version_of(model) < Some(*version))
         });
         self.calls.announce(Renewals {
-            under_way: self.under_way.clone(),
+            under_way: self.in_flight.clone(),
             versions: self.versions.clone(),
         });
     }
--- a/crates/renewal/src/plan.rs
+++ b/crates/renewal/src/plan.rs
@@ -1,9 +1,8 @@
-//! Who is ordered next. Pure: servers, wanted versions and time in, one order out.
+//! Schedule of orders: decides from servers, wanted versions and time which server is ordered next.
 //!
-//! Each version has to be in use within a bound after it was named, and a server
-//! serves nothing while it takes new weights. So orders are spaced evenly over
-//! most of that time, the server whose time is up first goes first, and it goes
-//! to the newest version at once: versions in between are skipped.
+//! Each version has to be in use within a deadline after it was requested, and a server serves
+//! nothing while it loads new weights. Orders are therefore spaced evenly over the remaining time,
+//! the most overdue server comes first, and it is ordered to load the newest version directly.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,123 +11,125 @@
 use juniper_registry::InstanceId;
 use juniper_types::Timestamp;
 
-use crate::trials::LoadTrials;
+use crate::load_trials::LoadTrials;
 
-/// Bounds on a renewal.
+/// Time limits of a rollout.
 #[derive(Clone, Copy, Debug)]
 pub struct PlanSettings {
-    /// Time after the naming of a version within which all servers should have it.
+    /// Time after the request of a version within which all servers should have it.
     pub within: Duration,
-    /// Time after which an order that changed nothing is given again.
+    /// Time after which an order without effect is sent again.
     pub repeat_after: Duration,
 }
 
-/// Part of a service's servers that may be under way at once, also when time is short: the
-/// others have to carry all of its work meanwhile, and loads slow one another down.
-const MAX_UNDER_WAY: f64 = 0.34;
+/// Maximum fraction of the servers with an order in flight. The others have to carry the whole load
+/// meanwhile, and concurrent loads of weights slow each other down.
+const MAX_IN_FLIGHT_FRACTION: f64 = 0.34;
 
-/// Longest time for which missed orders are made up for.
-const MAX_ARREARS: Duration = Duration::from_millis(250);
+/// Longest delay of orders that is caught up.
+const MAX_CATCH_UP: Duration = Duration::from_millis(250);
 
-/// A server of a model.
+/// Server of a model.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RenewalServer {
-    /// Its life.
+    /// Incarnation of the server.
     pub instance: InstanceId,
-    /// The model.
+    /// Name of the model.
     pub model: String,
-    /// Version of the model's weights that it has.
+    /// Version of the weights that the server has loaded.
     pub version: u64,
 }
 
-/// A server with older weights than its model should have.
-struct Behind<'a> {
+/// Server whose weights are older than the wanted version.
+struct OutdatedServer<'a> {
     server: &'a RenewalServer,
-    /// When the first version that it lacks was named.
-    since: Timestamp,
-    /// Version that it should have.
+    /// When the first version newer than the server's was requested.
+    overdue_since: Timestamp,
+    /// Version that the server should have.
     wanted: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Ordered {
+struct SentOrder {
     version: u64,
-    /// Another order may follow from then on.
-    again_at: Timestamp,
+    /// When another order may be sent.
+    retry_at: Timestamp,
 }
 
-/// Orders that were given, and when the next one is due.
+/// Schedule of orders to the servers of all models.
 #[derive(Clone, Debug)]
 pub struct RenewalPlan {
     settings: PlanSettings,
-    ordered: BTreeMap<InstanceId, Ordered>,
-    trials: LoadTrials,
+    ordered: BTreeMap<InstanceId, SentOrder>,
+    load_trials: LoadTrials,
     /// When the next order is due.
-    due_at: Timestamp,
-    /// Time between two orders, as the latest look at the servers has it.
+    next_order_at: Timestamp,
+    /// Time between two orders, from the latest evaluation of the servers.
     interval: Duration,
 }
 
 impl RenewalPlan {
-    /// Nothing was ordered yet.
+    /// Creates a plan without orders.
     pub fn new(settings: PlanSettings) -> Self {
-        let (due_at, interval) = (Timestamp::ZERO, Duration::ZERO);
-        let (ordered, trials) = (BTreeMap::new(), LoadTrials::default());
-        RenewalPlan { settings, ordered, trials, due_at, interval }
+        let (next_order_at, interval) = (Timestamp::ZERO, Duration::ZERO);
+        let (ordered, load_trials) = (BTreeMap::new(), LoadTrials::default());
+        RenewalPlan { settings, ordered, load_trials, next_order_at, interval }
     }
 
-    /// The server to order next, with the version, if one is due now.
+    /// Returns the server to order next and the version to load, if an order is due now.
     pub fn next(
         &mut self,
         servers: &[RenewalServer],
         wanted: &BTreeMap<String, WantedWeights>,
         now: Timestamp,
     ) -> Option<(RenewalServer, u64)> {
-        self.trials.observe(servers, now);
+        self.load_trials.observe(servers, now);
         for (model, weights) in wanted {
-            self.trials.forget_below(model, weights.version());
+            self.load_trials.remove_older(model, weights.version());
         }
         self.ordered.retain(|id, _| servers.iter().any(|server| server.instance == *id));
-        let behind = servers.iter().filter_map(|server| {
+        let outdated = servers.iter().filter_map(|server| {
             let weights = wanted.get(&server.model)?;
-            let since = weights.overdue_since(server.version)?;
-            Some(Behind { server, since, wanted: weights.version() })
+            let overdue_since = weights.overdue_since(server.version)?;
+            Some(OutdatedServer { server, overdue_since, wanted: weights.version() })
         });
-        let mut behind: Vec<Behind<'_>> = behind.collect();
-        behind.sort_by(|a, b| (a.since, &a.server.instance).cmp(&(b.since, &b.server.instance)));
-        let total = behind.len();
-        behind.retain(|behind| !self.is_under_way(behind.server, now));
-        let under_way = total - behind.len();
-        let first = behind.first()?;
-        let left = self.settings.within.saturating_sub(now.since(first.since));
-        self.interval = left / u32::try_from(behind.len() + 1).unwrap_or(u32::MAX);
-        let most = (servers.len() as f64 * MAX_UNDER_WAY).ceil() as usize;
-        let has_room = under_way < most;
-        let may_load = self.trials.may_order(&first.server.model, first.wanted, now);
-        let is_due = now >= self.due_at && has_room && may_load;
+        let mut outdated: Vec<OutdatedServer<'_>> = outdated.collect();
+        outdated.sort_by(|one, other| {
+            (one.overdue_since, &one.server.instance)
+                .cmp(&(other.overdue_since, &other.server.instance))
+        });
+        let total = outdated.len();
+        outdated.retain(|outdated| !self.is_in_flight(outdated.server, now));
+        let in_flight = total - outdated.len();
+        let first = outdated.first()?;
+        let remaining = self.settings.within.saturating_sub(now.since(first.overdue_since));
+        self.interval = remaining / u32::try_from(outdated.len() + 1).unwrap_or(u32::MAX);
+        let max_in_flight = (servers.len() as f64 * MAX_IN_FLIGHT_FRACTION).ceil() as usize;
+        let has_room = in_flight < max_in_flight;
+        let trials_allow = self.load_trials.may_order(&first.server.model, first.wanted, now);
+        let is_due = now >= self.next_order_at && has_room && trials_allow;
         is_due.then(|| (first.server.clone(), first.wanted))
     }
 
-    fn is_under_way(&self, server: &RenewalServer, now: Timestamp) -> bool {
+    fn is_in_flight(&self, server: &RenewalServer, now: Timestamp) -> bool {
         self.ordered
             .get(&server.instance)
-            .is_some_and(|ordered| ordered.version > server.version && now < ordered.again_at)
+            .is_some_and(|ordered| ordered.version > server.version && now < ordered.retry_at)
     }
 
-    /// An order was taken, or may have been.
+    /// Records an order that is sent to a server.
     pub fn ordered(&mut self, server: &RenewalServer, version: u64, now: Timestamp) {
-        let again_at = now.after(self.settings.repeat_after);
-        self.trials.ordered(server, version, again_at);
-        self.ordered.insert(server.instance.clone(), Ordered { version, again_at });
-        // What the pace of looking has missed is made up for, but not what was due
-        // long ago.
-        let earliest = Timestamp(now.0.saturating_sub(MAX_ARREARS.as_micros() as u64));
-        self.due_at = self.due_at.max(earliest).after(self.interval);
+        let retry_at = now.after(self.settings.repeat_after);
+        self.load_trials.record_order(server, version, retry_at);
+        self.ordered.insert(server.instance.clone(), SentOrder { version, retry_at });
+        // Orders delayed by the polling interval are caught up, longer delays aren't.
+        let earliest = Timestamp(now.0.saturating_sub(MAX_CATCH_UP.as_micros() as u64));
+        self.next_order_at = self.next_order_at.max(earliest).after(self.interval);
     }
 
-    /// The server is to be asked again after a while.
+    /// Postpones the next order to a server by the given time.
     pub fn postpone(&mut self, instance: &InstanceId, version: u64, by: Duration, now: Timestamp) {
-        let again_at = now.after(by);
-        self.ordered.insert(instance.clone(), Ordered { version, again_at });
+        let retry_at = now.after(by);
+        self.ordered.insert(instance.clone(), SentOrder { version, retry_at });
     }
 }
--- a/crates/renewal/src/hand_on.rs
+++ b/crates/renewal/src/publish.rs
@@ -1,4 +1,4 @@
-//! Hands on to routers what all replicas together know.
+//! Publication of the merged fleet view to routers.
 
 use std::time::Duration;
 
@@ -7,18 +7,17 @@
 use juniper_registry::InstanceId;
 use tokio::time::sleep;
 
-/// Shortest time between two changes that routers are told of. While servers are replaced, dozens
-/// change each second, and hundreds of routers are told.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Shortest interval between two publications. It batches changes while many servers are replaced.
+const MIN_PUBLISH_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Tells the routers that follow this node's replica what the feed knows from all replicas, until the feed
-/// ends.
+/// Publishes the view that the feed merges from all replicas to the routers that subscribe to this
+/// node's replica, until the feed ends.
 pub async fn hand_on_fleet(feed: Feed, calls: FleetCalls) {
     let mut views = feed.view();
     loop {
         let view = std::sync::Arc::clone(&views.borrow_and_update());
         calls.publish_fleet(&view.instances, renewals(&view));
-        sleep(PAUSE).await;
+        sleep(MIN_PUBLISH_INTERVAL).await;
         if views.changed().await.is_err() {
             return;
         }
