--- a/crates/limits/tests/server_limits/fleet.rs
+++ b/crates/limits/tests/server_limits/fleet.rs
@@ -328,7 +328,7 @@
     let rng = ChaCha8Rng::seed_from_u64(fleet.seed ^ 0x5eed);
     let (events, outcome) = (BinaryHeap::new(), Outcome::default());
     let aware_since = vec![None; fleet.routers];
-    let mut simulate =
+    let mut simulation =
         Simulation { fleet, strategy, rng, events, next_number: 0, outcome, aware_since };
     let requests = (fleet.demand * DURATION_MS as f64 / 1_000.0) as usize;
     for _ in 0..requests {
