--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -28,7 +28,7 @@
 pub use advertised_limit::{RateFault, RequestRate, StatedLimit};
 pub use bucket::TokenBucket;
 pub use local::LocalLimits;
-pub use notice::{PauseFault, ServerNotice, StatedDeparture, StatedPause};
+pub use notice::{BackoffError, ServerNotice, StatedDeparture, StatedPause};
 pub use owner::LimitOwner;
 pub use owners::owners;
 pub use server_limit::{Allowance, Decider, ServerLimit, ToldLimit};
--- a/crates/limits/src/notice.rs
+++ b/crates/limits/src/notice.rs
@@ -7,16 +7,16 @@
 
 /// Reason why a requested backoff is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum PauseFault {
+pub enum BackoffError {
     /// Not a decimal number of seconds. Dates aren't supported.
     #[error("not a decimal number")]
-    NoNumber,
+    NotANumber,
     /// Negative, zero, infinite or above the longest accepted backoff.
     #[error("out of range")]
     OutOfRange,
     /// Several different backoffs in one answer.
     #[error("conflicting values")]
-    Several,
+    Conflicting,
 }
 
 /// Backoff that an answer requests.
@@ -28,7 +28,7 @@
     /// Send nothing to the server for this long.
     For(Duration),
     /// Invalid request, ignored: a backoff neither starts nor ends.
-    Unreadable(PauseFault),
+    Unreadable(BackoffError),
 }
 
 impl StatedPause {
@@ -36,12 +36,12 @@
     pub fn read<'a>(values: impl IntoIterator<Item = Option<&'a str>>) -> Self {
         let mut requested = StatedPause::Nothing;
         for value in values {
-            let next = match value.map_or(Err(PauseFault::NoNumber), parse_backoff) {
+            let next = match value.map_or(Err(BackoffError::NotANumber), parse_backoff) {
                 Ok(backoff) => StatedPause::For(backoff),
                 Err(error) => return StatedPause::Unreadable(error),
             };
             if requested != StatedPause::Nothing && requested != next {
-                return StatedPause::Unreadable(PauseFault::Several);
+                return StatedPause::Unreadable(BackoffError::Conflicting);
             }
             requested = next;
         }
@@ -49,11 +49,11 @@
     }
 }
 
-fn parse_backoff(text: &str) -> Result<Duration, PauseFault> {
-    let seconds: f64 = text.trim().parse().map_err(|_| PauseFault::NoNumber)?;
-    let backoff = Duration::try_from_secs_f64(seconds).map_err(|_| PauseFault::OutOfRange)?;
+fn parse_backoff(text: &str) -> Result<Duration, BackoffError> {
+    let seconds: f64 = text.trim().parse().map_err(|_| BackoffError::NotANumber)?;
+    let backoff = Duration::try_from_secs_f64(seconds).map_err(|_| BackoffError::OutOfRange)?;
     match backoff.is_zero() || backoff > MAX_BACKOFF {
-        true => Err(PauseFault::OutOfRange),
+        true => Err(BackoffError::OutOfRange),
         false => Ok(backoff),
     }
 }
