--- a/crates/limits/src/advertised_limit.rs
+++ b/crates/limits/src/advertised_limit.rs
@@ -16,10 +16,10 @@
     ///
     /// # Errors
     /// Fails if the rate is outside the accepted range.
-    pub fn of(per_second: f64) -> Result<Self, RateFault> {
+    pub fn of(per_second: f64) -> Result<Self, RateError> {
         match (MIN_PER_SECOND..=MAX_PER_SECOND).contains(&per_second) {
             true => Ok(RequestRate(per_second)),
-            false => Err(RateFault::OutOfRange),
+            false => Err(RateError::OutOfRange),
         }
     }
 
@@ -31,16 +31,16 @@
 
 /// Reason why an advertised rate is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum RateFault {
+pub enum RateError {
     /// Not a decimal number.
     #[error("not a decimal number")]
-    NoNumber,
+    NotANumber,
     /// Negative, zero, infinite or outside the accepted range.
     #[error("out of range")]
     OutOfRange,
     /// Several different rates in one answer.
     #[error("conflicting values")]
-    Several,
+    Conflicting,
 }
 
 /// Limit that one answer of a server advertises.
@@ -52,7 +52,7 @@
     /// Highest rate that the server accepts from all routers together.
     Rate(RequestRate),
     /// Invalid limit, ignored: a known limit neither changes nor ends.
-    Unreadable(RateFault),
+    Unreadable(RateError),
 }
 
 impl StatedLimit {
@@ -60,12 +60,12 @@
     pub fn read<'a>(values: impl IntoIterator<Item = Option<&'a str>>) -> Self {
         let mut advertised = StatedLimit::Nothing;
         for value in values {
-            let next = match value.map_or(Err(RateFault::NoNumber), parse_rate) {
+            let next = match value.map_or(Err(RateError::NotANumber), parse_rate) {
                 Ok(rate) => StatedLimit::Rate(rate),
                 Err(error) => return StatedLimit::Unreadable(error),
             };
             if advertised != StatedLimit::Nothing && advertised != next {
-                return StatedLimit::Unreadable(RateFault::Several);
+                return StatedLimit::Unreadable(RateError::Conflicting);
             }
             advertised = next;
         }
@@ -73,7 +73,7 @@
     }
 }
 
-fn parse_rate(text: &str) -> Result<RequestRate, RateFault> {
-    let per_second = text.trim().parse().map_err(|_| RateFault::NoNumber)?;
+fn parse_rate(text: &str) -> Result<RequestRate, RateError> {
+    let per_second = text.trim().parse().map_err(|_| RateError::NotANumber)?;
     RequestRate::of(per_second)
 }
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -25,7 +25,7 @@
 mod share;
 
 pub use account::{ChargeRequest, RateLimit, Verdict};
-pub use advertised_limit::{RateFault, RequestRate, StatedLimit};
+pub use advertised_limit::{RateError, RequestRate, StatedLimit};
 pub use bucket::TokenBucket;
 pub use local::LocalLimits;
 pub use notice::{BackoffError, ServerNotice, StatedDeparture, StatedPause};
--- a/crates/limits/tests/advertised_limit.rs
+++ b/crates/limits/tests/advertised_limit.rs
@@ -1,6 +1,6 @@
 //! Parsing of the limits that servers advertise.
 
-use juniper_limits::{RateFault, RequestRate, StatedLimit};
+use juniper_limits::{RateError, RequestRate, StatedLimit};
 use quickcheck::quickcheck;
 
 fn parse(values: &[&str]) -> StatedLimit {
@@ -22,19 +22,19 @@
 #[test]
 fn repeated_rates_are_accepted_and_conflicting_rates_are_invalid() {
     assert_eq!(parse(&["1.6", "1.60"]), rate(1.6));
-    assert_eq!(parse(&["1.6", "2.7"]), StatedLimit::Unreadable(RateFault::Several));
+    assert_eq!(parse(&["1.6", "2.7"]), StatedLimit::Unreadable(RateError::Conflicting));
 }
 
 #[test]
 fn malformed_and_out_of_range_rates_are_invalid() {
     for text in ["", "many", "1,6", "1.6 a second", "0x10"] {
-        assert_eq!(parse(&[text]), StatedLimit::Unreadable(RateFault::NoNumber), "{text:?}");
+        assert_eq!(parse(&[text]), StatedLimit::Unreadable(RateError::NotANumber), "{text:?}");
     }
     for text in ["0", "-1.6", "-0", "inf", "-inf", "NaN", "1e300", "1e-300"] {
-        assert_eq!(parse(&[text]), StatedLimit::Unreadable(RateFault::OutOfRange), "{text:?}");
+        assert_eq!(parse(&[text]), StatedLimit::Unreadable(RateError::OutOfRange), "{text:?}");
     }
-    assert_eq!(StatedLimit::read([None]), StatedLimit::Unreadable(RateFault::NoNumber));
-    assert_eq!(parse(&["1.6", "none"]), StatedLimit::Unreadable(RateFault::NoNumber));
+    assert_eq!(StatedLimit::read([None]), StatedLimit::Unreadable(RateError::NotANumber));
+    assert_eq!(parse(&["1.6", "none"]), StatedLimit::Unreadable(RateError::NotANumber));
 }
 
 quickcheck! {
