--- a/crates/gateway/src/notices.rs
+++ b/crates/gateway/src/notices.rs
@@ -1,6 +1,6 @@
 //! What servers ask of this router in their answers: a pause, or nothing new since they leave.
 
-use juniper_limits::{ServerNotice, StatedDeparture, StatedPause};
+use juniper_limits::{RequestedBackoff, ServerNotice, StatedDeparture};
 use juniper_protocol::message::ServerNoticeNews;
 use juniper_registry::InstanceId;
 
@@ -28,10 +28,10 @@
     }
 
     /// Returns the milliseconds that the others are to be told of.
-    fn note_pause(&self, instance: &InstanceId, pause: StatedPause, request: &str) -> u64 {
+    fn note_pause(&self, instance: &InstanceId, pause: RequestedBackoff, request: &str) -> u64 {
         match pause {
-            StatedPause::Nothing => 0,
-            StatedPause::For(pause) => {
+            RequestedBackoff::Nothing => 0,
+            RequestedBackoff::For(pause) => {
                 self.metrics.noticed("pause", true);
                 let is_longer = self.placement().asked_to_pause(instance, pause, self.now());
                 let pause_ms = u64::try_from(pause.as_millis()).unwrap_or(u64::MAX);
@@ -41,7 +41,7 @@
                 );
                 if is_longer { pause_ms } else { 0 }
             }
-            StatedPause::Unreadable(fault) => {
+            RequestedBackoff::Invalid(fault) => {
                 self.metrics.noticed("pause", false);
                 log::warn!(
                     "event=server_pause_unreadable request={request} instance={instance} \
--- a/crates/gateway/tests/paths/support/dialect.rs
+++ b/crates/gateway/tests/paths/support/dialect.rs
@@ -5,7 +5,7 @@
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::http::{request, response};
 use juniper_gateway::{AnswerFacts, AttemptFacts, CallFacts, CallFault, Dialect};
-use juniper_limits::{ServerNotice, StatedDeparture, StatedLimit, StatedPause};
+use juniper_limits::{RequestedBackoff, ServerNotice, StatedDeparture, StatedLimit};
 use juniper_registry::InstanceId;
 
 pub struct TestDialect;
@@ -61,7 +61,7 @@
             version: None,
             stated_limit: StatedLimit::read(stated.map(|value| value.to_str().ok())),
             notice: ServerNotice {
-                pause: StatedPause::read(pauses.map(|value| value.to_str().ok())),
+                pause: RequestedBackoff::parse(pauses.map(|value| value.to_str().ok())),
                 departure: match head.headers.contains_key("x-leaving") {
                     true => StatedDeparture::Leaving,
                     false => StatedDeparture::Nothing,
--- a/crates/limits/src/notice.rs
+++ b/crates/limits/src/notice.rs
@@ -21,27 +21,27 @@
 
 /// Backoff that an answer requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum StatedPause {
+pub enum RequestedBackoff {
     /// No backoff.
     #[default]
     Nothing,
     /// Send nothing to the server for this long.
     For(Duration),
     /// Invalid request, ignored: a backoff neither starts nor ends.
-    Unreadable(BackoffError),
+    Invalid(BackoffError),
 }
 
-impl StatedPause {
+impl RequestedBackoff {
     /// Parses the values of an answer's header, in seconds. `None` is a value that isn't text.
-    pub fn read<'a>(values: impl IntoIterator<Item = Option<&'a str>>) -> Self {
-        let mut requested = StatedPause::Nothing;
+    pub fn parse<'a>(values: impl IntoIterator<Item = Option<&'a str>>) -> Self {
+        let mut requested = RequestedBackoff::Nothing;
         for value in values {
             let next = match value.map_or(Err(BackoffError::NotANumber), parse_backoff) {
-                Ok(backoff) => StatedPause::For(backoff),
-                Err(error) => return StatedPause::Unreadable(error),
+                Ok(backoff) => RequestedBackoff::For(backoff),
+                Err(error) => return RequestedBackoff::Invalid(error),
             };
-            if requested != StatedPause::Nothing && requested != next {
-                return StatedPause::Unreadable(BackoffError::Conflicting);
+            if requested != RequestedBackoff::Nothing && requested != next {
+                return RequestedBackoff::Invalid(BackoffError::Conflicting);
             }
             requested = next;
         }
@@ -74,7 +74,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ServerNotice {
     /// Backoff that the server requests.
-    pub pause: StatedPause,
+    pub pause: RequestedBackoff,
     /// Whether the server announces its departure.
     pub departure: StatedDeparture,
 }
--- a/crates/renewal/src/order_task.rs
+++ b/crates/renewal/src/order_task.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use juniper_control::FleetCalls;
-use juniper_limits::{ServerNotice, StatedDeparture, StatedPause};
+use juniper_limits::{RequestedBackoff, ServerNotice, StatedDeparture};
 use tokio::time::{Instant, sleep};
 
 use crate::exchange::{
@@ -178,7 +178,7 @@
         return Some(OrderResult::Departing);
     }
     match notice.pause {
-        StatedPause::For(backoff) => Some(OrderResult::RetryAfter(backoff)),
-        StatedPause::Nothing | StatedPause::Unreadable(_) => None,
+        RequestedBackoff::For(backoff) => Some(OrderResult::RetryAfter(backoff)),
+        RequestedBackoff::Nothing | RequestedBackoff::Invalid(_) => None,
     }
 }
