--- a/crates/gateway/src/notices.rs
+++ b/crates/gateway/src/notices.rs
@@ -1,6 +1,6 @@
 //! What servers ask of this router in their answers: a pause, or nothing new since they leave.
 
-use juniper_limits::{RequestedBackoff, ServerNotice, StatedDeparture};
+use juniper_limits::{DepartureNotice, RequestedBackoff, ServerNotice};
 use juniper_protocol::message::ServerNoticeNews;
 use juniper_registry::InstanceId;
 
@@ -56,12 +56,12 @@
     fn note_departure(
         &self,
         instance: &InstanceId,
-        departure: StatedDeparture,
+        departure: DepartureNotice,
         request: &str,
     ) -> bool {
         match departure {
-            StatedDeparture::Nothing => false,
-            StatedDeparture::Leaving => {
+            DepartureNotice::Nothing => false,
+            DepartureNotice::Departing => {
                 self.metrics.noticed("departure", true);
                 let is_new = self.placement().heard_leaving(instance, self.now());
                 if is_new {
@@ -69,7 +69,7 @@
                 }
                 is_new
             }
-            StatedDeparture::Unreadable => {
+            DepartureNotice::Invalid => {
                 self.metrics.noticed("departure", false);
                 log::warn!("event=server_leaving_unreadable request={request} instance={instance}");
                 false
--- a/crates/gateway/tests/paths/support/dialect.rs
+++ b/crates/gateway/tests/paths/support/dialect.rs
@@ -5,7 +5,7 @@
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::http::{request, response};
 use juniper_gateway::{AnswerFacts, AttemptFacts, CallFacts, CallFault, Dialect};
-use juniper_limits::{RequestedBackoff, ServerNotice, StatedDeparture, StatedLimit};
+use juniper_limits::{DepartureNotice, RequestedBackoff, ServerNotice, StatedLimit};
 use juniper_registry::InstanceId;
 
 pub struct TestDialect;
@@ -63,8 +63,8 @@
             notice: ServerNotice {
                 pause: RequestedBackoff::parse(pauses.map(|value| value.to_str().ok())),
                 departure: match head.headers.contains_key("x-leaving") {
-                    true => StatedDeparture::Leaving,
-                    false => StatedDeparture::Nothing,
+                    true => DepartureNotice::Departing,
+                    false => DepartureNotice::Nothing,
                 },
             },
         }
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -28,7 +28,7 @@
 pub use advertised_limit::{RateError, RequestRate, StatedLimit};
 pub use bucket::TokenBucket;
 pub use local::LocalLimits;
-pub use notice::{BackoffError, RequestedBackoff, ServerNotice, StatedDeparture};
+pub use notice::{BackoffError, DepartureNotice, RequestedBackoff, ServerNotice};
 pub use owner::LimitOwner;
 pub use owners::owners;
 pub use server_limit::{Allowance, Decider, ServerLimit, ToldLimit};
--- a/crates/limits/src/notice.rs
+++ b/crates/limits/src/notice.rs
@@ -60,14 +60,14 @@
 
 /// Announcement of a departure in an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum StatedDeparture {
+pub enum DepartureNotice {
     /// No announcement.
     #[default]
     Nothing,
     /// The server is departing.
-    Leaving,
+    Departing,
     /// Invalid announcement, ignored.
-    Unreadable,
+    Invalid,
 }
 
 /// Notices in one answer of a server.
@@ -76,5 +76,5 @@
     /// Backoff that the server requests.
     pub pause: RequestedBackoff,
     /// Whether the server announces its departure.
-    pub departure: StatedDeparture,
+    pub departure: DepartureNotice,
 }
--- a/crates/renewal/src/order_task.rs
+++ b/crates/renewal/src/order_task.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use juniper_control::FleetCalls;
-use juniper_limits::{RequestedBackoff, ServerNotice, StatedDeparture};
+use juniper_limits::{DepartureNotice, RequestedBackoff, ServerNotice};
 use tokio::time::{Instant, sleep};
 
 use crate::exchange::{
@@ -174,7 +174,7 @@
 
 /// Result of an order that follows from the server's notices, if any.
 fn result_from_notice(notice: &ServerNotice) -> Option<OrderResult> {
-    if notice.departure == StatedDeparture::Leaving {
+    if notice.departure == DepartureNotice::Departing {
         return Some(OrderResult::Departing);
     }
     match notice.pause {
