--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -5,7 +5,7 @@
 
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::http::{request, response};
-use juniper_limits::{ServerNotice, StatedLimit};
+use juniper_limits::{AdvertisedLimit, ServerNotice};
 use juniper_placement::Prompt;
 use juniper_registry::InstanceId;
 
@@ -76,7 +76,7 @@
     /// Version of the weights that it was made with.
     pub version: Option<u64>,
     /// The requests that the server takes from all routers together.
-    pub stated_limit: StatedLimit,
+    pub stated_limit: AdvertisedLimit,
     /// What the server asks of this router.
     pub notice: ServerNotice,
 }
--- a/crates/gateway/src/server_limits.rs
+++ b/crates/gateway/src/server_limits.rs
@@ -3,7 +3,7 @@
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use juniper_limits::{Allowance, Decider, RequestRate, StatedLimit, ToldLimit, Verdict};
+use juniper_limits::{AdvertisedLimit, Allowance, Decider, RequestRate, ToldLimit, Verdict};
 use juniper_placement::{Choice, HeardAt, LimitChange};
 use juniper_protocol::message::{LimitCharge, ServerLimitNews, server_account};
 use juniper_registry::InstanceId;
@@ -59,12 +59,12 @@
         }
         let at = self.heard_at();
         let change = match facts.stated_limit {
-            StatedLimit::Nothing => self.placement().heard_no_limit(instance, sent_at, at),
-            StatedLimit::Rate(rate) => {
+            AdvertisedLimit::Nothing => self.placement().heard_no_limit(instance, sent_at, at),
+            AdvertisedLimit::Rate(rate) => {
                 self.metrics.stated_limits.with_label_values(&["yes"]).inc();
                 self.placement().heard_limit(instance, rate, at)
             }
-            StatedLimit::Unreadable(fault) => {
+            AdvertisedLimit::Invalid(fault) => {
                 self.metrics.stated_limits.with_label_values(&["no"]).inc();
                 log::warn!(
                     "event=server_limit_unreadable request={request} instance={instance} \
--- a/crates/gateway/tests/paths/support/dialect.rs
+++ b/crates/gateway/tests/paths/support/dialect.rs
@@ -5,7 +5,7 @@
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::http::{request, response};
 use juniper_gateway::{AnswerFacts, AttemptFacts, CallFacts, CallFault, Dialect};
-use juniper_limits::{DepartureNotice, RequestedBackoff, ServerNotice, StatedLimit};
+use juniper_limits::{AdvertisedLimit, DepartureNotice, RequestedBackoff, ServerNotice};
 use juniper_registry::InstanceId;
 
 pub struct TestDialect;
@@ -59,7 +59,7 @@
             is_other_server: is_misdirected && !has_other_weights,
             is_other_version: is_misdirected && has_other_weights,
             version: None,
-            stated_limit: StatedLimit::read(stated.map(|value| value.to_str().ok())),
+            stated_limit: AdvertisedLimit::parse(stated.map(|value| value.to_str().ok())),
             notice: ServerNotice {
                 pause: RequestedBackoff::parse(pauses.map(|value| value.to_str().ok())),
                 departure: match head.headers.contains_key("x-leaving") {
--- a/crates/limits/src/advertised_limit.rs
+++ b/crates/limits/src/advertised_limit.rs
@@ -45,27 +45,27 @@
 
 /// Limit that one answer of a server advertises.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum StatedLimit {
+pub enum AdvertisedLimit {
     /// No limit.
     #[default]
     Nothing,
     /// Highest rate that the server accepts from all routers together.
     Rate(RequestRate),
     /// Invalid limit, ignored: a known limit neither changes nor ends.
-    Unreadable(RateError),
+    Invalid(RateError),
 }
 
-impl StatedLimit {
+impl AdvertisedLimit {
     /// Parses the values of an answer's header. `None` is a value that isn't text.
-    pub fn read<'a>(values: impl IntoIterator<Item = Option<&'a str>>) -> Self {
-        let mut advertised = StatedLimit::Nothing;
+    pub fn parse<'a>(values: impl IntoIterator<Item = Option<&'a str>>) -> Self {
+        let mut advertised = AdvertisedLimit::Nothing;
         for value in values {
             let next = match value.map_or(Err(RateError::NotANumber), parse_rate) {
-                Ok(rate) => StatedLimit::Rate(rate),
-                Err(error) => return StatedLimit::Unreadable(error),
+                Ok(rate) => AdvertisedLimit::Rate(rate),
+                Err(error) => return AdvertisedLimit::Invalid(error),
             };
-            if advertised != StatedLimit::Nothing && advertised != next {
-                return StatedLimit::Unreadable(RateError::Conflicting);
+            if advertised != AdvertisedLimit::Nothing && advertised != next {
+                return AdvertisedLimit::Invalid(RateError::Conflicting);
             }
             advertised = next;
         }
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -7,7 +7,7 @@
 //!   a quorum has recently confirmed owns the account.
 //! - [`LocalLimits`] decides on a router that reaches no owner. The router then admits its
 //!   [`FleetShare`] of a fraction of the limit.
-//! - [`StatedLimit`] is the limit that a server's answer advertises. [`ServerLimit`] tracks it on a
+//! - [`AdvertisedLimit`] is the limit that a server's answer advertises. [`ServerLimit`] tracks it on a
 //!   router and decides when to report it to the other routers.
 //! - [`ServerNotice`] is a backoff request or departure announcement in a server's answer.
 //!
@@ -25,7 +25,7 @@
 mod share;
 
 pub use account::{ChargeRequest, RateLimit, Verdict};
-pub use advertised_limit::{RateError, RequestRate, StatedLimit};
+pub use advertised_limit::{AdvertisedLimit, RateError, RequestRate};
 pub use bucket::TokenBucket;
 pub use local::LocalLimits;
 pub use notice::{BackoffError, DepartureNotice, RequestedBackoff, ServerNotice};
