--- a/crates/gateway/src/server_limits.rs
+++ b/crates/gateway/src/server_limits.rs
@@ -3,7 +3,7 @@
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use juniper_limits::{AdvertisedLimit, Allowance, Decider, RequestRate, ToldLimit, Verdict};
+use juniper_limits::{AdvertisedLimit, Allowance, Decider, PeerLimit, RequestRate, Verdict};
 use juniper_placement::{Choice, HeardAt, LimitChange};
 use juniper_protocol::message::{LimitCharge, ServerLimitNews, server_account};
 use juniper_registry::InstanceId;
@@ -84,7 +84,7 @@
             log::warn!("event=server_limit_unreadable request=- instance={instance} reason=news");
             return;
         };
-        let told = ToldLimit { sequence: news.sequence, rate, is_over: news.is_over };
+        let told = PeerLimit { sequence: news.sequence, rate, has_ended: news.is_over };
         let at = self.heard_at();
         let change = self.placement().told_limit(&instance, told, at);
         log_change(&instance, change, "-");
@@ -98,7 +98,7 @@
             started: instance.started(),
             sequence: told.sequence,
             per_second: told.rate.per_second(),
-            is_over: told.is_over,
+            is_over: told.has_ended,
         });
     }
 
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -31,5 +31,5 @@
 pub use notice::{BackoffError, DepartureNotice, RequestedBackoff, ServerNotice};
 pub use owner::LimitOwner;
 pub use owners::owners;
-pub use server_limit::{Allowance, Decider, ServerLimit, ToldLimit};
+pub use server_limit::{Allowance, Decider, PeerLimit, ServerLimit};
 pub use share::FleetShare;
--- a/crates/limits/src/server_limit.rs
+++ b/crates/limits/src/server_limit.rs
@@ -45,13 +45,13 @@
 
 /// State of a server's limit as routers report it to each other.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ToldLimit {
+pub struct PeerLimit {
     /// Orders the reports about one server; the highest applies.
     pub sequence: u64,
     /// Last advertised rate.
     pub rate: RequestRate,
     /// Whether the limit has ended: the server doesn't advertise it any more.
-    pub is_over: bool,
+    pub has_ended: bool,
 }
 
 /// Limit that currently applies to the requests of all routers together.
@@ -75,7 +75,7 @@
 /// A router's state of one server's limit.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerLimit {
-    known: ToldLimit,
+    known: PeerLimit,
     /// When the known state was adopted.
     adopted_at: Timestamp,
     /// When any router last observed that the server advertises the limit.
@@ -96,12 +96,12 @@
     /// Creates the state from this router's first observation. `unix_ms` is the wall-clock time; it
     /// orders concurrent first reports of several routers.
     pub fn heard_first(rate: RequestRate, now: Timestamp, unix_ms: u64) -> Self {
-        let known = ToldLimit { sequence: unix_ms, rate, is_over: false };
+        let known = PeerLimit { sequence: unix_ms, rate, has_ended: false };
         ServerLimit { last_observed_at: Some(now), ..Self::new(known, now) }
     }
 
     /// Creates the state from a peer's report.
-    pub fn told_first(reported: ToldLimit, now: Timestamp) -> Self {
+    pub fn told_first(reported: PeerLimit, now: Timestamp) -> Self {
         ServerLimit {
             last_reported_at: Some(now),
             has_unreported_change: false,
@@ -109,7 +109,7 @@
         }
     }
 
-    fn new(known: ToldLimit, now: Timestamp) -> Self {
+    fn new(known: PeerLimit, now: Timestamp) -> Self {
         let mut utilization = Decaying::new(UTILIZATION_HALF_LIFE);
         // A server advertises a limit when it receives more requests than it can serve.
         utilization.add(1.0, now);
@@ -132,7 +132,7 @@
 
     /// Records that an answer to this router advertised `rate`. Returns whether the rate changed.
     pub fn heard(&mut self, rate: RequestRate, now: Timestamp, unix_ms: u64) -> bool {
-        let is_same = !self.known.is_over && is_same_rate(rate, self.known.rate);
+        let is_same = !self.known.has_ended && is_same_rate(rate, self.known.rate);
         (self.last_advertised_at, self.last_observed_at) = (now, Some(now));
         if !is_same {
             self.set_limit(rate, false, now, unix_ms);
@@ -144,21 +144,21 @@
     /// this ends the limit: an answer to a request sent before the limit was last advertised may
     /// be older than the limit.
     pub fn heard_none(&mut self, sent_at: Timestamp, now: Timestamp, unix_ms: u64) -> bool {
-        let is_over = sent_at > self.last_advertised_at && !self.known.is_over;
-        if is_over {
+        let has_ended = sent_at > self.last_advertised_at && !self.known.has_ended;
+        if has_ended {
             self.set_limit(self.known.rate, true, now, unix_ms);
         }
-        is_over
+        has_ended
     }
 
     /// Applies a peer's report. Returns whether it was newer than the known state.
-    pub fn told(&mut self, reported: ToldLimit, now: Timestamp, unix_ms: u64) -> bool {
+    pub fn told(&mut self, reported: PeerLimit, now: Timestamp, unix_ms: u64) -> bool {
         if reported.sequence < self.known.sequence {
             return false;
         }
         let observed_recently =
             self.last_observed_at.is_some_and(|at| now.since(at) < OBSERVATION_PRECEDENCE);
-        if reported.is_over && observed_recently && !self.known.is_over {
+        if reported.has_ended && observed_recently && !self.known.has_ended {
             // This router has just observed the limit: report to the others that it still applies.
             self.known.sequence = reported.sequence;
             self.set_limit(self.known.rate, false, now, unix_ms);
@@ -169,7 +169,7 @@
             self.blocked_until = self.blocked_until.min(self.scaled_blocked_until(reported, now));
             (self.known, self.adopted_at, self.has_unreported_change) = (reported, now, false);
         }
-        if !reported.is_over {
+        if !reported.has_ended {
             self.last_advertised_at = now;
         }
         self.last_reported_at = Some(now);
@@ -177,7 +177,7 @@
     }
 
     /// Returns the state if it is due to be reported to the other routers, and marks it as reported.
-    pub fn news(&mut self, now: Timestamp) -> Option<ToldLimit> {
+    pub fn news(&mut self, now: Timestamp) -> Option<PeerLimit> {
         let age = self.last_reported_at.map(|at| now.since(at));
         let advertised_now = self.last_advertised_at == now;
         let is_due = match self.has_unreported_change {
@@ -240,26 +240,26 @@
 
     /// Number of times that an ended limit has doubled.
     fn doublings(&self, now: Timestamp) -> u64 {
-        if !self.known.is_over {
+        if !self.known.has_ended {
             return 0;
         }
         let elapsed = now.since(self.adopted_at).as_millis();
         u64::try_from(elapsed / DOUBLING_INTERVAL.as_millis()).unwrap_or(u64::MAX)
     }
 
-    fn set_limit(&mut self, rate: RequestRate, is_over: bool, now: Timestamp, unix_ms: u64) {
+    fn set_limit(&mut self, rate: RequestRate, has_ended: bool, now: Timestamp, unix_ms: u64) {
         // Exceeds every version that the account may have received for the doublings.
         let sequence = unix_ms.max(self.known.sequence + MAX_DOUBLINGS + 1);
-        let known = ToldLimit { sequence, rate, is_over };
+        let known = PeerLimit { sequence, rate, has_ended };
         self.blocked_until = self.blocked_until.min(self.scaled_blocked_until(known, now));
         (self.known, self.adopted_at, self.has_unreported_change) = (known, now, true);
     }
 
     /// End of the current wait, rescaled to the next limit: a higher rate shortens the wait.
-    fn scaled_blocked_until(&self, next: ToldLimit, now: Timestamp) -> Timestamp {
+    fn scaled_blocked_until(&self, next: PeerLimit, now: Timestamp) -> Timestamp {
         let wait = self.blocked_until.since(now);
         let factor = self.known.rate.per_second() / next.rate.per_second();
-        let factor = if next.is_over { factor / 2.0 } else { factor };
+        let factor = if next.has_ended { factor / 2.0 } else { factor };
         now.after(wait.mul_f64(factor.min(1.0)))
     }
 }
--- a/crates/limits/tests/server_limit.rs
+++ b/crates/limits/tests/server_limit.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use juniper_limits::{Allowance, Decider, RateLimit, RequestRate, ServerLimit, ToldLimit, Verdict};
+use juniper_limits::{Allowance, Decider, PeerLimit, RateLimit, RequestRate, ServerLimit, Verdict};
 use juniper_types::Timestamp;
 
 const UNIX_MS: u64 = 1_700_000_000_000;
@@ -19,8 +19,8 @@
     ServerLimit::heard_first(rate(1.6), at(millis), UNIX_MS + millis)
 }
 
-fn reported(sequence: u64, per_second: f64, is_over: bool) -> ToldLimit {
-    ToldLimit { sequence, rate: rate(per_second), is_over }
+fn reported(sequence: u64, per_second: f64, has_ended: bool) -> PeerLimit {
+    PeerLimit { sequence, rate: rate(per_second), has_ended }
 }
 
 #[test]
@@ -66,7 +66,7 @@
     let ended = reported(UNIX_MS + 1_005, 1.6, true);
     assert!(!limit.told(ended, at(1_030), UNIX_MS + 1_030));
     let corrected = limit.news(at(1_300)).expect("the limit is reported again");
-    assert!(corrected.sequence > ended.sequence && !corrected.is_over);
+    assert!(corrected.sequence > ended.sequence && !corrected.has_ended);
     assert!(limit.told(reported(corrected.sequence + 50, 1.6, true), at(1_400), UNIX_MS));
 }
 
--- a/crates/limits/tests/server_limits/fleet.rs
+++ b/crates/limits/tests/server_limits/fleet.rs
@@ -4,7 +4,7 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-use juniper_limits::{RequestRate, ToldLimit};
+use juniper_limits::{PeerLimit, RequestRate};
 use juniper_types::Timestamp;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -191,9 +191,9 @@
         sent_at: u64,
         advertised: Option<RequestRate>,
         now: u64,
-    ) -> Option<ToldLimit>;
+    ) -> Option<PeerLimit>;
     /// Processes a peer's report.
-    fn apply_report(&mut self, router: usize, reported: ToldLimit, now: u64);
+    fn apply_report(&mut self, router: usize, reported: PeerLimit, now: u64);
     /// Discards the router's state.
     fn restart(&mut self, router: usize);
 }
@@ -202,7 +202,7 @@
 enum EventKind {
     Request { router: usize },
     Answer { router: usize, sent_at: u64, advertised: Option<f64> },
-    Report { router: usize, reported: ToldLimit },
+    Report { router: usize, reported: PeerLimit },
 }
 
 /// Event, ordered by time and then by number.
@@ -280,7 +280,7 @@
         self.push(received_at, EventKind::Answer { router, sent_at: now, advertised });
     }
 
-    fn broadcast(&mut self, from: usize, reported: ToldLimit, now: u64) {
+    fn broadcast(&mut self, from: usize, reported: PeerLimit, now: u64) {
         self.outcome.reports += 1;
         for to in (0..self.fleet.routers).filter(|to| *to != from) {
             if !self.fleet.loses_report(from, to, now) {
--- a/crates/limits/tests/server_limits/strategies.rs
+++ b/crates/limits/tests/server_limits/strategies.rs
@@ -1,8 +1,8 @@
 //! Production strategy and the alternatives that it is compared with.
 
 use juniper_limits::{
-    Allowance, ChargeRequest, Decider, FleetShare, LimitOwner, LocalLimits, RateLimit, RequestRate,
-    ServerLimit, TokenBucket, ToldLimit, owners,
+    Allowance, ChargeRequest, Decider, FleetShare, LimitOwner, LocalLimits, PeerLimit, RateLimit,
+    RequestRate, ServerLimit, TokenBucket, owners,
 };
 use juniper_types::NodeId;
 
@@ -86,7 +86,7 @@
         sent_at: u64,
         advertised: Option<RequestRate>,
         now: u64,
-    ) -> Option<ToldLimit> {
+    ) -> Option<PeerLimit> {
         let limit = &mut self.routers[router].limit;
         match (advertised, limit.as_mut()) {
             (Some(rate), Some(limit)) => {
@@ -103,7 +103,7 @@
         limit.as_mut()?.news(time(now))
     }
 
-    fn apply_report(&mut self, router: usize, reported: ToldLimit, now: u64) {
+    fn apply_report(&mut self, router: usize, reported: PeerLimit, now: u64) {
         match &mut self.routers[router].limit {
             Some(limit) => {
                 limit.told(reported, time(now), unix_ms(now));
@@ -158,17 +158,17 @@
         _sent_at: u64,
         advertised: Option<RequestRate>,
         now: u64,
-    ) -> Option<ToldLimit> {
+    ) -> Option<PeerLimit> {
         let local_limit = self.local_limit();
         let is_first = advertised.is_some() && self.buckets[router].is_none();
         if is_first {
             self.buckets[router] = Some(TokenBucket::at_level(0.0, local_limit, time(now)));
         }
         let rate = advertised.filter(|_| is_first)?;
-        Some(ToldLimit { sequence: 0, rate, is_over: false })
+        Some(PeerLimit { sequence: 0, rate, has_ended: false })
     }
 
-    fn apply_report(&mut self, router: usize, _reported: ToldLimit, now: u64) {
+    fn apply_report(&mut self, router: usize, _reported: PeerLimit, now: u64) {
         let local_limit = self.local_limit();
         self.buckets[router].get_or_insert(TokenBucket::at_level(0.0, local_limit, time(now)));
     }
--- a/crates/placement/src/server_limits.rs
+++ b/crates/placement/src/server_limits.rs
@@ -1,6 +1,6 @@
 //! What servers take from all routers together.
 
-use juniper_limits::{Allowance, Decider, RequestRate, ServerLimit, ToldLimit, Verdict};
+use juniper_limits::{Allowance, Decider, PeerLimit, RequestRate, ServerLimit, Verdict};
 use juniper_registry::InstanceId;
 use juniper_types::Timestamp;
 
@@ -59,24 +59,25 @@
     pub fn told_limit(
         &mut self,
         instance: &InstanceId,
-        told: ToldLimit,
+        told: PeerLimit,
         at: HeardAt,
     ) -> Option<LimitChange> {
         let server = self.server_mut(instance)?;
         let is_new = match &mut server.limit {
             Some(limit) => limit.told(told, at.now, at.unix_ms),
-            None if told.is_over => false,
+            None if told.has_ended => false,
             limit => {
                 *limit = Some(ServerLimit::told_first(told, at.now));
                 true
             }
         };
-        let change = if told.is_over { LimitChange::Over } else { LimitChange::Stated(told.rate) };
+        let change =
+            if told.has_ended { LimitChange::Over } else { LimitChange::Stated(told.rate) };
         is_new.then_some(change)
     }
 
     /// What the other routers should be told now of the server's limit.
-    pub fn limit_news(&mut self, instance: &InstanceId, now: Timestamp) -> Option<ToldLimit> {
+    pub fn limit_news(&mut self, instance: &InstanceId, now: Timestamp) -> Option<PeerLimit> {
         self.server_mut(instance)?.limit.as_mut()?.news(now)
     }
 
