--- a/crates/gateway/src/server_limits.rs
+++ b/crates/gateway/src/server_limits.rs
@@ -80,7 +80,7 @@
     /// Notes what another router tells.
     pub(crate) fn learn_limit(&self, news: &ServerLimitNews) {
         let instance = news.id();
-        let Ok(rate) = RequestRate::of(news.per_second) else {
+        let Ok(rate) = RequestRate::new(news.per_second) else {
             log::warn!("event=server_limit_unreadable request=- instance={instance} reason=news");
             return;
         };
--- a/crates/limits/src/advertised_limit.rs
+++ b/crates/limits/src/advertised_limit.rs
@@ -16,7 +16,7 @@
     ///
     /// # Errors
     /// Fails if the rate is outside the accepted range.
-    pub fn of(per_second: f64) -> Result<Self, RateError> {
+    pub fn new(per_second: f64) -> Result<Self, RateError> {
         match (MIN_PER_SECOND..=MAX_PER_SECOND).contains(&per_second) {
             true => Ok(RequestRate(per_second)),
             false => Err(RateError::OutOfRange),
@@ -75,5 +75,5 @@
 
 fn parse_rate(text: &str) -> Result<RequestRate, RateError> {
     let per_second = text.trim().parse().map_err(|_| RateError::NotANumber)?;
-    RequestRate::of(per_second)
+    RequestRate::new(per_second)
 }
--- a/crates/limits/tests/advertised_limit.rs
+++ b/crates/limits/tests/advertised_limit.rs
@@ -8,7 +8,7 @@
 }
 
 fn rate(per_second: f64) -> AdvertisedLimit {
-    AdvertisedLimit::Rate(RequestRate::of(per_second).expect("in range"))
+    AdvertisedLimit::Rate(RequestRate::new(per_second).expect("in range"))
 }
 
 #[test]
--- a/crates/limits/tests/server_limit.rs
+++ b/crates/limits/tests/server_limit.rs
@@ -12,7 +12,7 @@
 }
 
 fn rate(per_second: f64) -> RequestRate {
-    RequestRate::of(per_second).expect("in range")
+    RequestRate::new(per_second).expect("in range")
 }
 
 fn observed_at(millis: u64) -> ServerLimit {
--- a/crates/limits/tests/server_limits/fleet.rs
+++ b/crates/limits/tests/server_limits/fleet.rs
@@ -165,7 +165,7 @@
             Advertisement::Fluctuates(part) => self.rate * (1.0 - part * draw),
             _ => self.rate,
         };
-        Some(RequestRate::of(rate).expect("in range"))
+        Some(RequestRate::new(rate).expect("in range"))
     }
 
     /// Rate that the requirement applies to a window that starts at `begin`, or `None` if the limit
@@ -310,7 +310,7 @@
                         self.aware_since[router].get_or_insert(at);
                     }
                     let advertised =
-                        advertised.map(|rate| RequestRate::of(rate).expect("in range"));
+                        advertised.map(|rate| RequestRate::new(rate).expect("in range"));
                     if let Some(report) =
                         self.strategy.observe_answer(router, sent_at, advertised, at)
                     {
