--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -88,7 +88,7 @@
     match answer.refused_for_ms {
         None => Verdict::Admitted { fleet_per_second },
         Some(pause_ms) => {
-            Verdict::Refused { pause: Duration::from_millis(pause_ms), fleet_per_second }
+            Verdict::Refused { retry_after: Duration::from_millis(pause_ms), fleet_per_second }
         }
     }
 }
@@ -109,7 +109,7 @@
         let charge = charge_of(tenant, limit, version, tokens);
         let wait = self.answer_limit(&charge.account);
         let (verdict, by) = self.decide(&charge, wait).await;
-        let Verdict::Refused { pause, fleet_per_second } = verdict else {
+        let Verdict::Refused { retry_after, fleet_per_second } = verdict else {
             return Ok(Some(Charged(charge)));
         };
         log::info!(
@@ -119,10 +119,10 @@
             by.as_str(),
             charge.units,
             limit.per_second,
-            pause.as_millis()
+            retry_after.as_millis()
         );
         self.metrics.over_limit(&tenant.name, by);
-        Err(OwnAnswer::OverLimit(pause))
+        Err(OwnAnswer::OverLimit(retry_after))
     }
 
     /// Decides on a charge: the owner if it answers within `wait`, or else this router.
--- a/crates/gateway/src/server_limits.rs
+++ b/crates/gateway/src/server_limits.rs
@@ -118,7 +118,7 @@
                 let counted = (by == DecidedBy::Owner).then_some(Charged(charge));
                 Admission::Granted(counted)
             }
-            Verdict::Refused { pause, fleet_per_second } => {
+            Verdict::Refused { retry_after, fleet_per_second } => {
                 log::info!(
                     "event=server_used_up request={} instance={} decided_by={} limit_per_s={:.2} \
                      admitted_per_s={fleet_per_second:.2} pause_ms={}",
@@ -126,7 +126,7 @@
                     choice.instance,
                     by.as_str(),
                     allowance.limit.per_second,
-                    pause.as_millis()
+                    retry_after.as_millis()
                 );
                 Admission::UsedUp
             }
--- a/crates/limits/src/account.rs
+++ b/crates/limits/src/account.rs
@@ -41,7 +41,7 @@
     /// Over the limit; nothing was charged.
     Refused {
         /// Time after which a retry may be admitted.
-        pause: Duration,
+        retry_after: Duration,
         /// Recently admitted units per second over all routers.
         fleet_per_second: f64,
     },
--- a/crates/limits/src/local.rs
+++ b/crates/limits/src/local.rs
@@ -146,7 +146,9 @@
         }
         match local.bucket.take_by_chance(request.units, limit, now, draw) {
             Ok(()) => Verdict::Admitted { fleet_per_second },
-            Err(pause) => Verdict::Refused { pause: pause.max(MIN_RETRY_AFTER), fleet_per_second },
+            Err(pause) => {
+                Verdict::Refused { retry_after: pause.max(MIN_RETRY_AFTER), fleet_per_second }
+            }
         }
     }
 
--- a/crates/limits/src/owner.rs
+++ b/crates/limits/src/owner.rs
@@ -76,9 +76,9 @@
                 Verdict::Admitted { fleet_per_second: per_second(&self.admitted, now) }
             }
             Err(_) => {
-                let pause = self.retry_after(reserve, now, draw);
+                let retry_after = self.retry_after(reserve, now, draw);
                 self.refused.add(units, now);
-                Verdict::Refused { pause, fleet_per_second: per_second(&self.admitted, now) }
+                Verdict::Refused { retry_after, fleet_per_second: per_second(&self.admitted, now) }
             }
         }
     }
--- a/crates/limits/src/server_limit.rs
+++ b/crates/limits/src/server_limit.rs
@@ -207,10 +207,10 @@
     pub fn decided(&mut self, verdict: &Verdict, by: Decider, now: Timestamp) {
         let fleet_per_second = match *verdict {
             Verdict::Admitted { fleet_per_second } => fleet_per_second,
-            Verdict::Refused { pause, fleet_per_second } => {
+            Verdict::Refused { retry_after, fleet_per_second } => {
                 let wait = match by {
-                    Decider::Owner => pause,
-                    Decider::Router => pause.min(MAX_LOCAL_WAIT),
+                    Decider::Owner => retry_after,
+                    Decider::Router => retry_after.min(MAX_LOCAL_WAIT),
                 };
                 self.blocked_until = now.after(wait);
                 fleet_per_second
--- a/crates/limits/tests/buckets.rs
+++ b/crates/limits/tests/buckets.rs
@@ -105,7 +105,7 @@
     let mut delays = Vec::new();
     for draw in [0.0, 0.25, 0.5, 0.75] {
         match owner.charge(&request(2_000.0), at(0), draw) {
-            Verdict::Refused { pause, .. } => delays.push(pause),
+            Verdict::Refused { retry_after, .. } => delays.push(retry_after),
             Verdict::Admitted { .. } => panic!("the bucket is empty"),
         }
     }
--- a/crates/limits/tests/server_limit.rs
+++ b/crates/limits/tests/server_limit.rs
@@ -113,7 +113,8 @@
 #[test]
 fn a_refusal_blocks_requests_and_a_higher_rate_shortens_the_wait() {
     let mut limit = observed_at(0);
-    let refused = Verdict::Refused { pause: Duration::from_millis(900), fleet_per_second: 1.6 };
+    let refused =
+        Verdict::Refused { retry_after: Duration::from_millis(900), fleet_per_second: 1.6 };
     limit.decided(&refused, Decider::Owner, at(100));
     assert_eq!(limit.pause(at(100)), Some(Duration::from_millis(900)));
     assert_eq!(limit.pause(at(1_000)), None);
@@ -125,7 +126,7 @@
 #[test]
 fn a_local_refusal_blocks_requests_for_at_most_a_second() {
     let mut limit = observed_at(0);
-    let refused = Verdict::Refused { pause: Duration::from_secs(60), fleet_per_second: 0.0 };
+    let refused = Verdict::Refused { retry_after: Duration::from_secs(60), fleet_per_second: 0.0 };
     limit.decided(&refused, Decider::Router, at(0));
     assert_eq!(limit.pause(at(0)), Some(Duration::from_secs(1)));
 }
