--- a/crates/control/src/limits.rs
+++ b/crates/control/src/limits.rs
@@ -36,7 +36,7 @@
             limit: RateLimit { per_second: charge.per_second, burst: charge.burst },
             version: charge.version,
             units: charge.units,
-            is_certain: charge.is_certain,
+            is_unconditional: charge.is_certain,
             reserve: charge.reserve.unwrap_or(0.0),
         };
         let mut owner = self.owner.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -78,7 +78,7 @@
         limit: RateLimit { per_second: charge.per_second, burst: charge.burst },
         version: charge.version,
         units: charge.units,
-        is_certain: charge.is_certain,
+        is_unconditional: charge.is_certain,
         reserve: charge.reserve.unwrap_or(0.0),
     }
 }
--- a/crates/limits/src/account.rs
+++ b/crates/limits/src/account.rs
@@ -24,7 +24,7 @@
     pub units: f64,
     /// Charge without checking the limit, for requests that run in any case, such as the second
     /// attempt of a request that was admitted.
-    pub is_certain: bool,
+    pub is_unconditional: bool,
     /// Units that are reserved for more urgent requests: a request is admitted only if the bucket
     /// holds at least this many.
     pub reserve: f64,
--- a/crates/limits/src/local.rs
+++ b/crates/limits/src/local.rs
@@ -140,7 +140,7 @@
         let fleet_per_second = account.fleet_per_second;
         let local = account.local_bucket(request.limit, routers, now);
         let limit = local_limit(request.limit, local.share);
-        if request.is_certain {
+        if request.is_unconditional {
             local.bucket.take_anyway(request.units, limit, now);
             return Verdict::Admitted { fleet_per_second };
         }
--- a/crates/limits/src/owner.rs
+++ b/crates/limits/src/owner.rs
@@ -62,8 +62,8 @@
     }
 
     fn charge(&mut self, request: &ChargeRequest<'_>, now: Timestamp, draw: f64) -> Verdict {
-        let ChargeRequest { units, is_certain, reserve, .. } = *request;
-        let taken = match is_certain {
+        let ChargeRequest { units, is_unconditional, reserve, .. } = *request;
+        let taken = match is_unconditional {
             true => {
                 self.bucket.take_anyway(units, self.limit, now);
                 Ok(())
--- a/crates/limits/tests/buckets.rs
+++ b/crates/limits/tests/buckets.rs
@@ -20,7 +20,7 @@
         limit: LIMIT,
         version: 1,
         units,
-        is_certain: false,
+        is_unconditional: false,
         reserve: 0.0,
     }
 }
@@ -93,7 +93,7 @@
     while charge(&mut owner, 50.0, at(0)) {}
     owner.give_back("one", 100.0, at(0));
     assert!(charge(&mut owner, 1.0, at(0)));
-    let second_attempt = ChargeRequest { is_certain: true, ..request(10_000.0) };
+    let second_attempt = ChargeRequest { is_unconditional: true, ..request(10_000.0) };
     assert!(owner.charge(&second_attempt, at(0), 0.0).is_admitted());
     assert!(!charge(&mut owner, 1.0, at(9_000)));
 }
--- a/crates/limits/tests/server_limits/strategies.rs
+++ b/crates/limits/tests/server_limits/strategies.rs
@@ -62,8 +62,14 @@
             return false;
         }
         let (account, units) = ("server", 1.0);
-        let charge =
-            ChargeRequest { account, limit: rate, version, units, is_certain: false, reserve: 0.0 };
+        let charge = ChargeRequest {
+            account,
+            limit: rate,
+            version,
+            units,
+            is_unconditional: false,
+            reserve: 0.0,
+        };
         let (verdict, by) = match Self::owner(fleet, router, now) {
             Some(owner) => {
                 self.charges += 1;
--- a/crates/limits/tests/strategies/owned.rs
+++ b/crates/limits/tests/strategies/owned.rs
@@ -48,7 +48,7 @@
             limit: world.limit,
             version: 1,
             units: arrival.units,
-            is_certain: false,
+            is_unconditional: false,
             reserve: 0.0,
         };
         for (replica, owner) in self.owners.iter_mut().enumerate() {
