--- a/crates/control/src/limits.rs
+++ b/crates/control/src/limits.rs
@@ -54,6 +54,6 @@
     /// Takes back what was counted for a request that no server has run.
     pub fn give_back(&self, account: &str, units: f64) {
         let mut owner = self.owner.lock().unwrap_or_else(PoisonError::into_inner);
-        owner.give_back(account, units, self.now());
+        owner.refund(account, units, self.now());
     }
 }
--- a/crates/limits/src/bucket.rs
+++ b/crates/limits/src/bucket.rs
@@ -29,7 +29,7 @@
     }
 
     /// Creates a half-filled bucket, for a limit that another bucket may have served until now.
-    pub fn of_unknown_past(limit: RateLimit, now: Timestamp) -> Self {
+    pub fn half_full(limit: RateLimit, now: Timestamp) -> Self {
         Self::at_level(limit.burst * UNKNOWN_FILL_FRACTION, limit, now)
     }
 
@@ -78,7 +78,7 @@
     ///
     /// # Errors
     /// Returns the time until the bucket holds all of the units.
-    pub fn take_by_chance(
+    pub fn take_probabilistic(
         &mut self,
         units: f64,
         limit: RateLimit,
@@ -99,18 +99,18 @@
     }
 
     /// Takes `units` unconditionally, overdrawing the bucket if necessary.
-    pub fn take_anyway(&mut self, units: f64, limit: RateLimit, now: Timestamp) {
+    pub fn take_unconditional(&mut self, units: f64, limit: RateLimit, now: Timestamp) {
         self.refill(limit, now);
         self.level -= units;
     }
 
     /// Returns units that were taken but not used.
-    pub fn give_back(&mut self, units: f64) {
+    pub fn refund(&mut self, units: f64) {
         self.level = (self.level + units).min(self.burst);
     }
 
     /// Units missing until the bucket holds `reserve`.
-    pub fn lacking(&self, reserve: f64) -> f64 {
+    pub fn deficit(&self, reserve: f64) -> f64 {
         (reserve - self.level).max(0.0)
     }
 
--- a/crates/limits/src/local.rs
+++ b/crates/limits/src/local.rs
@@ -141,10 +141,10 @@
         let local = account.local_bucket(request.limit, routers, now);
         let limit = local_limit(request.limit, local.share);
         if request.is_unconditional {
-            local.bucket.take_anyway(request.units, limit, now);
+            local.bucket.take_unconditional(request.units, limit, now);
             return Verdict::Admitted { fleet_per_second };
         }
-        match local.bucket.take_by_chance(request.units, limit, now, draw) {
+        match local.bucket.take_probabilistic(request.units, limit, now, draw) {
             Ok(()) => Verdict::Admitted { fleet_per_second },
             Err(pause) => {
                 Verdict::Refused { retry_after: pause.max(MIN_RETRY_AFTER), fleet_per_second }
--- a/crates/limits/src/owner.rs
+++ b/crates/limits/src/owner.rs
@@ -45,7 +45,7 @@
         Account {
             version: request.version,
             limit: request.limit,
-            bucket: TokenBucket::of_unknown_past(request.limit, now),
+            bucket: TokenBucket::half_full(request.limit, now),
             admitted: Decaying::new(RECENT_HALF_LIFE),
             refused: Decaying::new(RECENT_HALF_LIFE),
             used_at: now,
@@ -65,7 +65,7 @@
         let ChargeRequest { units, is_unconditional, reserve, .. } = *request;
         let taken = match is_unconditional {
             true => {
-                self.bucket.take_anyway(units, self.limit, now);
+                self.bucket.take_unconditional(units, self.limit, now);
                 Ok(())
             }
             false => self.bucket.take_or_overdraw(units, reserve, self.limit, now),
@@ -86,7 +86,7 @@
     /// Time until the bucket holds the reserve, plus a random fraction of the time in which all
     /// recently refused units can be admitted, so that retries are spread out.
     fn retry_after(&self, reserve: f64, now: Timestamp, draw: f64) -> Duration {
-        let needed = self.bucket.lacking(reserve) + draw * self.refused.at(now);
+        let needed = self.bucket.deficit(reserve) + draw * self.refused.at(now);
         if self.limit.per_second <= 0.0 {
             return MAX_RETRY_AFTER;
         }
@@ -118,15 +118,15 @@
     }
 
     /// Refunds the units of a request that no server has run.
-    pub fn give_back(&mut self, account: &str, units: f64, now: Timestamp) {
+    pub fn refund(&mut self, account: &str, units: f64, now: Timestamp) {
         if let Some(account) = self.accounts.get_mut(account) {
-            account.bucket.give_back(units);
+            account.bucket.refund(units);
             account.admitted.add(-units, now);
         }
     }
 
     /// Number of accounts.
-    pub fn accounts(&self) -> usize {
+    pub fn account_count(&self) -> usize {
         self.accounts.len()
     }
 
--- a/crates/limits/tests/buckets.rs
+++ b/crates/limits/tests/buckets.rs
@@ -91,7 +91,7 @@
 fn refunds_are_credited_and_unconditional_charges_are_counted() {
     let mut owner = LimitOwner::default();
     while charge(&mut owner, 50.0, at(0)) {}
-    owner.give_back("one", 100.0, at(0));
+    owner.refund("one", 100.0, at(0));
     assert!(charge(&mut owner, 1.0, at(0)));
     let second_attempt = ChargeRequest { is_unconditional: true, ..request(10_000.0) };
     assert!(owner.charge(&second_attempt, at(0), 0.0).is_admitted());
@@ -120,10 +120,10 @@
     let none = RateLimit { per_second: 0.0, burst: 0.0 };
     let refused = owner.charge(&ChargeRequest { limit: none, ..request(1.0) }, at(0), 0.0);
     assert!(!refused.is_admitted());
-    assert_eq!(owner.accounts(), 1);
+    assert_eq!(owner.account_count(), 1);
     let later = ChargeRequest { account: "two", ..request(1.0) };
     owner.charge(&later, at(80_000), 0.0);
-    assert_eq!(owner.accounts(), 1);
+    assert_eq!(owner.account_count(), 1);
 }
 
 #[test]
@@ -135,7 +135,7 @@
         let mut bucket = TokenBucket::at_level(1.0, LIMIT, at(0));
         let draw = f64::from(index) / f64::from(buckets);
         let limit = RateLimit { per_second: 0.0, ..LIMIT };
-        if bucket.take_by_chance(100.0, limit, at(0), draw).is_ok() {
+        if bucket.take_probabilistic(100.0, limit, at(0), draw).is_ok() {
             admitted += 100.0;
         }
     }
--- a/crates/limits/tests/server_limits/strategies.rs
+++ b/crates/limits/tests/server_limits/strategies.rs
@@ -155,7 +155,7 @@
     fn admits(&mut self, _fleet: &Fleet, router: usize, now: u64, draw: f64) -> bool {
         let local_limit = self.local_limit();
         let Some(bucket) = &mut self.buckets[router] else { return true };
-        bucket.take_by_chance(1.0, local_limit, time(now), draw).is_ok()
+        bucket.take_probabilistic(1.0, local_limit, time(now), draw).is_ok()
     }
 
     fn observe_answer(
--- a/crates/limits/tests/strategies/shares.rs
+++ b/crates/limits/tests/strategies/shares.rs
@@ -31,7 +31,7 @@
     fn admits(&mut self, world: &World, arrival: &Arrival, now: Timestamp) -> bool {
         let limit = share_of(world.limit, FleetShare::even(world.routers as u32));
         let bucket = &mut self.buckets[arrival.router];
-        bucket.take_by_chance(arrival.units, limit, now, arrival.draw).is_ok()
+        bucket.take_probabilistic(arrival.units, limit, now, arrival.draw).is_ok()
     }
 }
 
@@ -73,6 +73,6 @@
         let share = FleetShare::by_demand(world.routers as u32, self.reported[arrival.router], all);
         let limit = share_of(world.limit, share);
         let bucket = &mut self.buckets[arrival.router];
-        bucket.take_by_chance(arrival.units, limit, now, arrival.draw).is_ok()
+        bucket.take_probabilistic(arrival.units, limit, now, arrival.draw).is_ok()
     }
 }
