--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -140,7 +140,7 @@
         match answered {
             Some(answer) => {
                 let verdict = verdict(answer);
-                local.heard(&request(charge), &verdict, now);
+                local.record_verdict(&request(charge), &verdict, now);
                 (verdict, DecidedBy::Owner)
             }
             None => {
@@ -153,7 +153,7 @@
 
     /// How long the owner's answer is worth waiting for.
     fn answer_limit(&self, account: &str) -> Duration {
-        match lock(&self.limits.local).knows(account, self.now()) {
+        match lock(&self.limits.local).has_recent_verdict(account, self.now()) {
             true => ANSWER_LIMIT,
             false => FIRST_ANSWER_LIMIT,
         }
--- a/crates/limits/src/local.rs
+++ b/crates/limits/src/local.rs
@@ -105,7 +105,12 @@
 
 impl LocalLimits {
     /// Records the owner's verdict on a request.
-    pub fn heard(&mut self, request: &ChargeRequest<'_>, verdict: &Verdict, now: Timestamp) {
+    pub fn record_verdict(
+        &mut self,
+        request: &ChargeRequest<'_>,
+        verdict: &Verdict,
+        now: Timestamp,
+    ) {
         let account = self.account(request.account, now);
         account.local = None;
         account.owner_answered_at = Some(now);
@@ -122,7 +127,7 @@
 
     /// Whether an owner has recently answered for this account. Without the fleet-wide rate the
     /// router's share is unknown, and local decisions refuse most requests within the limit.
-    pub fn knows(&self, account: &str, now: Timestamp) -> bool {
+    pub fn has_recent_verdict(&self, account: &str, now: Timestamp) -> bool {
         let answered_at = self.accounts.get(account).and_then(|account| account.owner_answered_at);
         answered_at.is_some_and(|at| now.since(at) < FLEET_RATE_TTL)
     }
--- a/crates/limits/tests/buckets.rs
+++ b/crates/limits/tests/buckets.rs
@@ -148,7 +148,7 @@
     // The owner admits 400 units per second over all routers, a quarter of them on this one.
     for step in 0..400 {
         let verdict = Verdict::Admitted { fleet_per_second: 400.0 };
-        local.heard(&request(10.0), &verdict, at(step * 100));
+        local.record_verdict(&request(10.0), &verdict, at(step * 100));
     }
     let start = 40_000;
     let mut admitted = 0.0;
--- a/crates/limits/tests/server_limits/strategies.rs
+++ b/crates/limits/tests/server_limits/strategies.rs
@@ -74,7 +74,7 @@
             Some(owner) => {
                 self.charges += 1;
                 let verdict = self.owners[owner].charge(&charge, time(now), draw);
-                local.heard(&charge, &verdict, time(now));
+                local.record_verdict(&charge, &verdict, time(now));
                 (verdict, Decider::Owner)
             }
             None => {
--- a/crates/limits/tests/strategies/owned.rs
+++ b/crates/limits/tests/strategies/owned.rs
@@ -67,7 +67,7 @@
         match Self::owner(world, arrival) {
             Some(owner) => {
                 let verdict = self.owners[owner].charge(&request, now, arrival.draw);
-                local.heard(&request, &verdict, now);
+                local.record_verdict(&request, &verdict, now);
                 verdict.is_admitted()
             }
             None => local.decide(&request, world.routers as u32, now, arrival.draw).is_admitted(),
