--- a/crates/feed/src/following.rs
+++ b/crates/feed/src/following.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use juniper_limits::owners;
+use juniper_limits::rank_owners;
 use juniper_protocol::PeerRole;
 use juniper_types::NodeId;
 use tokio::sync::{mpsc, watch};
@@ -66,7 +66,7 @@
             }
             false => self.zones.keys().copied().collect(),
         };
-        owners(candidates, subject).get(rank).copied()
+        rank_owners(candidates, subject).get(rank).copied()
     }
 
     fn lost_nodes(&self) -> BTreeSet<NodeId> {
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -3,7 +3,7 @@
 //! - [`TokenBucket`] is the token bucket behind every rate limit.
 //! - [`LimitOwner`] runs on a control replica and keeps one bucket for the whole fleet for each
 //!   account that the replica owns. Routers charge the account before they dispatch a request.
-//! - [`owners`] ranks the replicas for an account. The first one that the router reaches and that
+//! - [`rank_owners`] ranks the replicas for an account. The first one that the router reaches and that
 //!   a quorum has recently confirmed owns the account.
 //! - [`LocalLimits`] decides on a router that reaches no owner. The router then admits its
 //!   [`FleetShare`] of a fraction of the limit.
@@ -30,6 +30,6 @@
 pub use local::LocalLimits;
 pub use notice::{BackoffError, DepartureNotice, RequestedBackoff, ServerNotice};
 pub use owner::LimitOwner;
-pub use owners::owners;
+pub use owners::rank_owners;
 pub use server_limit::{Allowance, Decider, PeerLimit, ServerLimit};
 pub use share::FleetShare;
--- a/crates/limits/src/owners.rs
+++ b/crates/limits/src/owners.rs
@@ -10,7 +10,7 @@
 
 /// Replicas in order of preference as owner of an account, by rendezvous hashing: the accounts of
 /// a failed replica are spread over the others, and all other accounts keep their owner.
-pub fn owners(replicas: impl IntoIterator<Item = NodeId>, account: &str) -> Vec<NodeId> {
+pub fn rank_owners(replicas: impl IntoIterator<Item = NodeId>, account: &str) -> Vec<NodeId> {
     let mut ordered: Vec<NodeId> = replicas.into_iter().collect();
     ordered.sort_unstable_by_key(|node| (std::cmp::Reverse(weight(*node, account)), node.0));
     ordered
--- a/crates/limits/tests/buckets.rs
+++ b/crates/limits/tests/buckets.rs
@@ -3,7 +3,8 @@
 use std::time::Duration;
 
 use juniper_limits::{
-    ChargeRequest, FleetShare, LimitOwner, LocalLimits, RateLimit, TokenBucket, Verdict, owners,
+    ChargeRequest, FleetShare, LimitOwner, LocalLimits, RateLimit, TokenBucket, Verdict,
+    rank_owners,
 };
 use juniper_types::{NodeId, Timestamp};
 use quickcheck::QuickCheck;
@@ -166,7 +167,7 @@
 fn only_accounts_of_a_failed_replica_change_owner() {
     let replicas: Vec<NodeId> = (1..=6).map(NodeId).collect();
     let names: Vec<String> = (0..600).map(|number| format!("tenant-{number}")).collect();
-    let first = |replicas: &[NodeId], name: &str| owners(replicas.iter().copied(), name)[0];
+    let first = |replicas: &[NodeId], name: &str| rank_owners(replicas.iter().copied(), name)[0];
     let remaining: Vec<NodeId> = replicas[1..].to_vec();
     let mut owned = [0; 6];
     for name in &names {
@@ -177,7 +178,7 @@
         }
     }
     assert!(owned.iter().all(|count| (60..=140).contains(count)), "{owned:?}");
-    assert!(owners([], "one").is_empty());
+    assert!(rank_owners([], "one").is_empty());
 }
 
 #[test]
--- a/crates/limits/tests/server_limits/strategies.rs
+++ b/crates/limits/tests/server_limits/strategies.rs
@@ -2,7 +2,7 @@
 
 use juniper_limits::{
     Allowance, ChargeRequest, Decider, FleetShare, LimitOwner, LocalLimits, PeerLimit, RateLimit,
-    RequestRate, ServerLimit, TokenBucket, owners,
+    RequestRate, ServerLimit, TokenBucket, rank_owners,
 };
 use juniper_types::NodeId;
 
@@ -39,7 +39,8 @@
     fn owner(fleet: &Fleet, router: usize, now: u64) -> Option<usize> {
         let connected_replicas =
             (0..fleet.replicas).filter(|replica| fleet.seems_connected(router, *replica, now));
-        let ordered = owners(connected_replicas.map(|replica| NodeId(replica as u64)), "server");
+        let ordered =
+            rank_owners(connected_replicas.map(|replica| NodeId(replica as u64)), "server");
         let first = ordered.first()?.0 as usize;
         let reaches = fleet.is_up(first, now) && !fleet.is_partitioned(router, now);
         reaches.then_some(first)
--- a/crates/limits/tests/strategies/owned.rs
+++ b/crates/limits/tests/strategies/owned.rs
@@ -1,6 +1,6 @@
 //! Production strategy: each request is charged to the replica that owns the account.
 
-use juniper_limits::{ChargeRequest, LimitOwner, LocalLimits, owners};
+use juniper_limits::{ChargeRequest, LimitOwner, LocalLimits, rank_owners};
 use juniper_types::{NodeId, Timestamp};
 
 use crate::world::{Arrival, KEY_CACHE_TTL_MS, Strategy, World};
@@ -27,7 +27,7 @@
         let (router, now) = (arrival.router, arrival.at);
         let connected =
             (0..world.replicas).filter(|replica| world.seems_connected(router, *replica, now));
-        let ordered = owners(connected.map(|replica| NodeId(replica as u64)), "tenant");
+        let ordered = rank_owners(connected.map(|replica| NodeId(replica as u64)), "tenant");
         for node in ordered.into_iter().take(2) {
             let replica = node.0 as usize;
             if !world.reaches(router, replica, now) {
