--- a/crates/limits/src/server_limit.rs
+++ b/crates/limits/src/server_limit.rs
@@ -95,13 +95,13 @@
 impl ServerLimit {
     /// Creates the state from this router's first observation. `unix_ms` is the wall-clock time; it
     /// orders concurrent first reports of several routers.
-    pub fn heard_first(rate: RequestRate, now: Timestamp, unix_ms: u64) -> Self {
+    pub fn from_observation(rate: RequestRate, now: Timestamp, unix_ms: u64) -> Self {
         let known = PeerLimit { sequence: unix_ms, rate, has_ended: false };
         ServerLimit { last_observed_at: Some(now), ..Self::new(known, now) }
     }
 
     /// Creates the state from a peer's report.
-    pub fn told_first(reported: PeerLimit, now: Timestamp) -> Self {
+    pub fn from_report(reported: PeerLimit, now: Timestamp) -> Self {
         ServerLimit {
             last_reported_at: Some(now),
             has_unreported_change: false,
@@ -131,7 +131,7 @@
     }
 
     /// Records that an answer to this router advertised `rate`. Returns whether the rate changed.
-    pub fn heard(&mut self, rate: RequestRate, now: Timestamp, unix_ms: u64) -> bool {
+    pub fn observe_rate(&mut self, rate: RequestRate, now: Timestamp, unix_ms: u64) -> bool {
         let is_same = !self.known.has_ended && is_same_rate(rate, self.known.rate);
         (self.last_advertised_at, self.last_observed_at) = (now, Some(now));
         if !is_same {
@@ -143,7 +143,7 @@
     /// Records that an answer to a request sent at `sent_at` advertised no limit. Returns whether
     /// this ends the limit: an answer to a request sent before the limit was last advertised may
     /// be older than the limit.
-    pub fn heard_none(&mut self, sent_at: Timestamp, now: Timestamp, unix_ms: u64) -> bool {
+    pub fn observe_no_limit(&mut self, sent_at: Timestamp, now: Timestamp, unix_ms: u64) -> bool {
         let has_ended = sent_at > self.last_advertised_at && !self.known.has_ended;
         if has_ended {
             self.set_limit(self.known.rate, true, now, unix_ms);
@@ -152,7 +152,7 @@
     }
 
     /// Applies a peer's report. Returns whether it was newer than the known state.
-    pub fn told(&mut self, reported: PeerLimit, now: Timestamp, unix_ms: u64) -> bool {
+    pub fn apply_report(&mut self, reported: PeerLimit, now: Timestamp, unix_ms: u64) -> bool {
         if reported.sequence < self.known.sequence {
             return false;
         }
@@ -177,7 +177,7 @@
     }
 
     /// Returns the state if it is due to be reported to the other routers, and marks it as reported.
-    pub fn news(&mut self, now: Timestamp) -> Option<PeerLimit> {
+    pub fn take_due_report(&mut self, now: Timestamp) -> Option<PeerLimit> {
         let age = self.last_reported_at.map(|at| now.since(at));
         let advertised_now = self.last_advertised_at == now;
         let is_due = match self.has_unreported_change {
@@ -204,7 +204,7 @@
     }
 
     /// Records the verdict on a request to the server.
-    pub fn decided(&mut self, verdict: &Verdict, by: Decider, now: Timestamp) {
+    pub fn record_verdict(&mut self, verdict: &Verdict, by: Decider, now: Timestamp) {
         let fleet_per_second = match *verdict {
             Verdict::Admitted { fleet_per_second } => fleet_per_second,
             Verdict::Refused { retry_after, fleet_per_second } => {
@@ -224,14 +224,14 @@
     }
 
     /// Time until a request to the server may be admitted again, or `None` if it may be now.
-    pub fn pause(&self, now: Timestamp) -> Option<Duration> {
+    pub fn remaining_wait(&self, now: Timestamp) -> Option<Duration> {
         let wait = self.blocked_until.since(now);
         let is_blocked = !wait.is_zero() && self.doublings(now) < MAX_DOUBLINGS;
         is_blocked.then_some(wait)
     }
 
     /// Recently used share of the limit, over all routers, from 0 to 1.
-    pub fn used_part(&self, now: Timestamp) -> f64 {
+    pub fn used_share(&self, now: Timestamp) -> f64 {
         match self.doublings(now) {
             0 => self.utilization.at(now).clamp(0.0, 1.0),
             _ => 0.0,
--- a/crates/limits/tests/server_limit.rs
+++ b/crates/limits/tests/server_limit.rs
@@ -16,7 +16,7 @@
 }
 
 fn observed_at(millis: u64) -> ServerLimit {
-    ServerLimit::heard_first(rate(1.6), at(millis), UNIX_MS + millis)
+    ServerLimit::from_observation(rate(1.6), at(millis), UNIX_MS + millis)
 }
 
 fn reported(sequence: u64, per_second: f64, has_ended: bool) -> PeerLimit {
@@ -26,18 +26,18 @@
 #[test]
 fn an_observed_limit_is_reported_at_once_and_again_after_two_seconds() {
     let mut limit = observed_at(1_000);
-    assert_eq!(limit.news(at(1_000)), Some(reported(UNIX_MS + 1_000, 1.6, false)));
-    assert!(!limit.heard(rate(1.6), at(1_400), UNIX_MS));
-    assert_eq!(limit.news(at(1_400)), None);
-    limit.heard(rate(1.6), at(3_000), UNIX_MS);
-    assert!(limit.news(at(3_000)).is_some());
+    assert_eq!(limit.take_due_report(at(1_000)), Some(reported(UNIX_MS + 1_000, 1.6, false)));
+    assert!(!limit.observe_rate(rate(1.6), at(1_400), UNIX_MS));
+    assert_eq!(limit.take_due_report(at(1_400)), None);
+    limit.observe_rate(rate(1.6), at(3_000), UNIX_MS);
+    assert!(limit.take_due_report(at(3_000)).is_some());
 }
 
 #[test]
 fn a_limit_that_a_peer_just_reported_is_not_reported_again() {
-    let mut limit = ServerLimit::told_first(reported(7, 1.6, false), at(1_000));
-    limit.heard(rate(1.6), at(1_010), UNIX_MS);
-    assert_eq!(limit.news(at(1_010)), None);
+    let mut limit = ServerLimit::from_report(reported(7, 1.6, false), at(1_000));
+    limit.observe_rate(rate(1.6), at(1_010), UNIX_MS);
+    assert_eq!(limit.take_due_report(at(1_010)), None);
 }
 
 #[test]
@@ -46,8 +46,8 @@
     let mut reports = 0;
     for answer in 0..1_000_u64 {
         let now = at(answer * 10);
-        limit.heard(rate(1.0 + (answer % 2) as f64), now, UNIX_MS + answer * 10);
-        reports += usize::from(limit.news(now).is_some());
+        limit.observe_rate(rate(1.0 + (answer % 2) as f64), now, UNIX_MS + answer * 10);
+        reports += usize::from(limit.take_due_report(now).is_some());
     }
     assert!((30..=41).contains(&reports), "{reports}");
 }
@@ -55,33 +55,33 @@
 #[test]
 fn an_answer_older_than_the_limit_does_not_end_it() {
     let mut limit = observed_at(1_000);
-    assert!(!limit.heard_none(at(990), at(1_050), UNIX_MS + 1_050));
-    assert!(limit.heard_none(at(1_010), at(1_060), UNIX_MS + 1_060));
+    assert!(!limit.observe_no_limit(at(990), at(1_050), UNIX_MS + 1_050));
+    assert!(limit.observe_no_limit(at(1_010), at(1_060), UNIX_MS + 1_060));
 }
 
 #[test]
 fn a_recent_observation_overrides_a_peers_report_of_the_end() {
     let mut limit = observed_at(1_000);
-    limit.news(at(1_000));
+    limit.take_due_report(at(1_000));
     let ended = reported(UNIX_MS + 1_005, 1.6, true);
-    assert!(!limit.told(ended, at(1_030), UNIX_MS + 1_030));
-    let corrected = limit.news(at(1_300)).expect("the limit is reported again");
+    assert!(!limit.apply_report(ended, at(1_030), UNIX_MS + 1_030));
+    let corrected = limit.take_due_report(at(1_300)).expect("the limit is reported again");
     assert!(corrected.sequence > ended.sequence && !corrected.has_ended);
-    assert!(limit.told(reported(corrected.sequence + 50, 1.6, true), at(1_400), UNIX_MS));
+    assert!(limit.apply_report(reported(corrected.sequence + 50, 1.6, true), at(1_400), UNIX_MS));
 }
 
 #[test]
 fn reports_with_a_lower_sequence_are_ignored() {
-    let mut limit = ServerLimit::told_first(reported(50, 1.6, false), at(0));
-    assert!(!limit.told(reported(49, 9.0, false), at(10), UNIX_MS));
-    assert!(!limit.told(reported(48, 9.0, true), at(20), UNIX_MS));
+    let mut limit = ServerLimit::from_report(reported(50, 1.6, false), at(0));
+    assert!(!limit.apply_report(reported(49, 9.0, false), at(10), UNIX_MS));
+    assert!(!limit.apply_report(reported(48, 9.0, true), at(20), UNIX_MS));
     assert_eq!(limit.rate(), rate(1.6));
 }
 
 #[test]
 fn an_ended_limit_doubles_step_by_step_until_it_no_longer_applies() {
     let mut limit = observed_at(0);
-    limit.heard_none(at(10), at(1_000), UNIX_MS + 1_000);
+    limit.observe_no_limit(at(10), at(1_000), UNIX_MS + 1_000);
     let per_second =
         |millis| limit.allowance(at(millis)).map(|allowance| allowance.limit.per_second);
     assert_eq!(per_second(1_000), Some(1.6));
@@ -102,10 +102,10 @@
 #[test]
 fn a_change_has_a_higher_version_than_all_doublings_before_it() {
     let mut limit = observed_at(0);
-    limit.heard_none(at(10), at(20), UNIX_MS);
+    limit.observe_no_limit(at(10), at(20), UNIX_MS);
     let last = limit.allowance(at(3_000)).expect("still doubling").version;
     // The order holds even if the wall clock steps back.
-    limit.heard(rate(1.6), at(3_010), 0);
+    limit.observe_rate(rate(1.6), at(3_010), 0);
     let next = limit.allowance(at(3_010)).expect("advertised").version;
     assert!(next > last, "{next} after {last}");
 }
@@ -115,28 +115,28 @@
     let mut limit = observed_at(0);
     let refused =
         Verdict::Refused { retry_after: Duration::from_millis(900), fleet_per_second: 1.6 };
-    limit.decided(&refused, Decider::Owner, at(100));
-    assert_eq!(limit.pause(at(100)), Some(Duration::from_millis(900)));
-    assert_eq!(limit.pause(at(1_000)), None);
-    limit.decided(&refused, Decider::Owner, at(2_000));
-    limit.heard(rate(4.8), at(2_000), UNIX_MS);
-    assert_eq!(limit.pause(at(2_000)), Some(Duration::from_millis(300)));
+    limit.record_verdict(&refused, Decider::Owner, at(100));
+    assert_eq!(limit.remaining_wait(at(100)), Some(Duration::from_millis(900)));
+    assert_eq!(limit.remaining_wait(at(1_000)), None);
+    limit.record_verdict(&refused, Decider::Owner, at(2_000));
+    limit.observe_rate(rate(4.8), at(2_000), UNIX_MS);
+    assert_eq!(limit.remaining_wait(at(2_000)), Some(Duration::from_millis(300)));
 }
 
 #[test]
 fn a_local_refusal_blocks_requests_for_at_most_a_second() {
     let mut limit = observed_at(0);
     let refused = Verdict::Refused { retry_after: Duration::from_secs(60), fleet_per_second: 0.0 };
-    limit.decided(&refused, Decider::Router, at(0));
-    assert_eq!(limit.pause(at(0)), Some(Duration::from_secs(1)));
+    limit.record_verdict(&refused, Decider::Router, at(0));
+    assert_eq!(limit.remaining_wait(at(0)), Some(Duration::from_secs(1)));
 }
 
 #[test]
 fn the_used_share_follows_the_owner_and_decays() {
     let mut limit = observed_at(0);
-    assert!(limit.used_part(at(0)) > 0.99, "a limit is first advertised under overload");
+    assert!(limit.used_share(at(0)) > 0.99, "a limit is first advertised under overload");
     let admitted = Verdict::Admitted { fleet_per_second: 0.8 };
-    limit.decided(&admitted, Decider::Owner, at(0));
-    assert!((limit.used_part(at(0)) - 0.5).abs() < 0.01);
-    assert!(limit.used_part(at(10_000)) < 0.05);
+    limit.record_verdict(&admitted, Decider::Owner, at(0));
+    assert!((limit.used_share(at(0)) - 0.5).abs() < 0.01);
+    assert!(limit.used_share(at(10_000)) < 0.05);
 }
--- a/crates/limits/tests/server_limits/strategies.rs
+++ b/crates/limits/tests/server_limits/strategies.rs
@@ -59,7 +59,7 @@
         let Some(Allowance { limit: rate, version }) = limit.allowance(time(now)) else {
             return true;
         };
-        if limit.pause(time(now)).is_some() {
+        if limit.remaining_wait(time(now)).is_some() {
             return false;
         }
         let (account, units) = ("server", 1.0);
@@ -83,7 +83,7 @@
                 (local.decide(&charge, routers, time(now), draw), Decider::Router)
             }
         };
-        limit.decided(&verdict, by, time(now));
+        limit.record_verdict(&verdict, by, time(now));
         verdict.is_admitted()
     }
 
@@ -97,25 +97,25 @@
         let limit = &mut self.routers[router].limit;
         match (advertised, limit.as_mut()) {
             (Some(rate), Some(limit)) => {
-                limit.heard(rate, time(now), unix_ms(now));
+                limit.observe_rate(rate, time(now), unix_ms(now));
             }
             (Some(rate), None) => {
-                *limit = Some(ServerLimit::heard_first(rate, time(now), unix_ms(now)));
+                *limit = Some(ServerLimit::from_observation(rate, time(now), unix_ms(now)));
             }
             (None, Some(limit)) => {
-                limit.heard_none(time(sent_at), time(now), unix_ms(now));
+                limit.observe_no_limit(time(sent_at), time(now), unix_ms(now));
             }
             (None, None) => {}
         }
-        limit.as_mut()?.news(time(now))
+        limit.as_mut()?.take_due_report(time(now))
     }
 
     fn apply_report(&mut self, router: usize, reported: PeerLimit, now: u64) {
         match &mut self.routers[router].limit {
             Some(limit) => {
-                limit.told(reported, time(now), unix_ms(now));
+                limit.apply_report(reported, time(now), unix_ms(now));
             }
-            limit => *limit = Some(ServerLimit::told_first(reported, time(now))),
+            limit => *limit = Some(ServerLimit::from_report(reported, time(now))),
         }
     }
 
--- a/crates/placement/src/search.rs
+++ b/crates/placement/src/search.rs
@@ -181,7 +181,7 @@
             reread_tokens: work.reread_tokens,
             move_ms: work.move_ms,
             other_lane: work.other_lane,
-            used_part: server.limit.as_ref().map_or(0.0, |limit| limit.used_part(context.now)),
+            used_part: server.limit.as_ref().map_or(0.0, |limit| limit.used_share(context.now)),
             displaced: f64::from(work.inserted_tokens) * work.displacement_loss,
         }
     }
--- a/crates/placement/src/server.rs
+++ b/crates/placement/src/server.rs
@@ -67,7 +67,7 @@
 
     /// Time until it takes a request again; `None` if it takes one now.
     pub(crate) fn pause(&self, now: Timestamp) -> Option<Duration> {
-        self.limit.as_ref()?.pause(now)
+        self.limit.as_ref()?.remaining_wait(now)
     }
 
     /// Version of the model's weights that it is known to have; zero for none.
--- a/crates/placement/src/server_limits.rs
+++ b/crates/placement/src/server_limits.rs
@@ -35,9 +35,9 @@
     ) -> Option<LimitChange> {
         let server = self.server_mut(instance)?;
         let is_new = match &mut server.limit {
-            Some(limit) => limit.heard(rate, at.now, at.unix_ms),
+            Some(limit) => limit.observe_rate(rate, at.now, at.unix_ms),
             limit => {
-                *limit = Some(ServerLimit::heard_first(rate, at.now, at.unix_ms));
+                *limit = Some(ServerLimit::from_observation(rate, at.now, at.unix_ms));
                 true
             }
         };
@@ -52,7 +52,7 @@
         at: HeardAt,
     ) -> Option<LimitChange> {
         let limit = self.server_mut(instance)?.limit.as_mut()?;
-        limit.heard_none(sent_at, at.now, at.unix_ms).then_some(LimitChange::Over)
+        limit.observe_no_limit(sent_at, at.now, at.unix_ms).then_some(LimitChange::Over)
     }
 
     /// Another router tells what the server takes.
@@ -64,10 +64,10 @@
     ) -> Option<LimitChange> {
         let server = self.server_mut(instance)?;
         let is_new = match &mut server.limit {
-            Some(limit) => limit.told(told, at.now, at.unix_ms),
+            Some(limit) => limit.apply_report(told, at.now, at.unix_ms),
             None if told.has_ended => false,
             limit => {
-                *limit = Some(ServerLimit::told_first(told, at.now));
+                *limit = Some(ServerLimit::from_report(told, at.now));
                 true
             }
         };
@@ -78,7 +78,7 @@
 
     /// What the other routers should be told now of the server's limit.
     pub fn limit_news(&mut self, instance: &InstanceId, now: Timestamp) -> Option<PeerLimit> {
-        self.server_mut(instance)?.limit.as_mut()?.news(now)
+        self.server_mut(instance)?.limit.as_mut()?.take_due_report(now)
     }
 
     /// What all routers together may send to the server; `None` if it states no limit. One that is
@@ -101,7 +101,7 @@
         now: Timestamp,
     ) {
         if let Some(limit) = self.server_mut(instance).and_then(|server| server.limit.as_mut()) {
-            limit.decided(verdict, by, now);
+            limit.record_verdict(verdict, by, now);
         }
     }
 
