--- a/crates/gateway/src/notices.rs
+++ b/crates/gateway/src/notices.rs
@@ -18,8 +18,8 @@
         if facts.is_other_server {
             return;
         }
-        let ServerNotice { pause, departure } = facts.notice;
-        let pause_ms = self.note_pause(instance, pause, request);
+        let ServerNotice { backoff, departure } = facts.notice;
+        let pause_ms = self.note_pause(instance, backoff, request);
         let is_leaving = self.note_departure(instance, departure, request);
         if pause_ms > 0 || is_leaving {
             let (instance, started) = (instance.name().clone(), instance.started());
--- a/crates/gateway/tests/paths/support/dialect.rs
+++ b/crates/gateway/tests/paths/support/dialect.rs
@@ -61,7 +61,7 @@
             version: None,
             stated_limit: AdvertisedLimit::parse(stated.map(|value| value.to_str().ok())),
             notice: ServerNotice {
-                pause: RequestedBackoff::parse(pauses.map(|value| value.to_str().ok())),
+                backoff: RequestedBackoff::parse(pauses.map(|value| value.to_str().ok())),
                 departure: match head.headers.contains_key("x-leaving") {
                     true => DepartureNotice::Departing,
                     false => DepartureNotice::Nothing,
--- a/crates/limits/src/notice.rs
+++ b/crates/limits/src/notice.rs
@@ -74,7 +74,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ServerNotice {
     /// Backoff that the server requests.
-    pub pause: RequestedBackoff,
+    pub backoff: RequestedBackoff,
     /// Whether the server announces its departure.
     pub departure: DepartureNotice,
 }
--- a/crates/renewal/src/order_task.rs
+++ b/crates/renewal/src/order_task.rs
@@ -177,7 +177,7 @@
     if notice.departure == DepartureNotice::Departing {
         return Some(OrderResult::Departing);
     }
-    match notice.pause {
+    match notice.backoff {
         RequestedBackoff::For(backoff) => Some(OrderResult::RetryAfter(backoff)),
         RequestedBackoff::Nothing | RequestedBackoff::Invalid(_) => None,
     }
