--- a/crates/crash-watch/src/watch.rs
+++ b/crates/crash-watch/src/watch.rs
@@ -12,8 +12,8 @@
 use juniper_feed::{Feed, FleetView, RelayedBatch};
 use juniper_protocol::message::{CrashNews, QuarantineCall, RelayedNews, RouterNews};
 use juniper_quarantine::{
-    Clearance, Counted, CrashCounts, CrashProof, CrashReport, CutRequest, CutRequests, EndedWell,
-    Report, Retelling, ServerCrash,
+    Clearance, Counted, CrashCounts, CrashProof, CrashReport, EndedWell, InterruptedRequest,
+    InterruptedRequests, Report, Retelling, ServerCrash,
 };
 use juniper_registry::InstanceId;
 use juniper_types::{NodeId, RequestFingerprint, Timestamp};
@@ -41,7 +41,7 @@
 pub struct CrashWatch {
     feed: Feed,
     metrics: CrashMetrics,
-    cuts: Mutex<CutRequests>,
+    cuts: Mutex<InterruptedRequests>,
     ended_well: Mutex<EndedWell>,
     counts: Mutex<CrashCounts>,
     retelling: Mutex<Retelling>,
@@ -98,14 +98,14 @@
         request: RequestFingerprint,
         sent_at: Timestamp,
     ) {
-        let cut = CutRequest { request, sent_at, cut_at: self.now() };
-        let crash = lock(&self.cuts).cut(instance, address, cut);
+        let cut = InterruptedRequest { request, sent_at, interrupted_at: self.now() };
+        let crash = lock(&self.cuts).record(instance, address, cut);
         self.note_crash(crash);
     }
 
     /// Something shows that a server has ended.
     pub fn note_ended(&self, instance: &InstanceId, proof: CrashProof) {
-        let crash = lock(&self.cuts).proved(instance, proof, self.now());
+        let crash = lock(&self.cuts).record_proof(instance, proof, self.now());
         self.note_crash(crash);
     }
 
@@ -120,8 +120,8 @@
         );
         self.metrics.server_ended(proof, requests.len());
         let now = self.now();
-        for CutRequest { request, sent_at, cut_at } in requests {
-            let (age, under_way) = (now.since(cut_at), cut_at.since(sent_at));
+        for InterruptedRequest { request, sent_at, interrupted_at } in requests {
+            let (age, under_way) = (now.since(interrupted_at), interrupted_at.since(sent_at));
             let ended_well = lock(&self.ended_well).has(&request);
             let instance = instance.clone();
             let report = CrashReport { request, instance, age, under_way, ended_well };
@@ -205,7 +205,7 @@
             let known = servers.find(|known| SocketAddr::V4(known.report.address) == address);
             known.map(|known| &known.id)
         };
-        let crashes = cuts.find_new_lives(self.now(), life_at);
+        let crashes = cuts.find_new_incarnations(self.now(), life_at);
         drop(cuts);
         crashes.into_iter().for_each(|crash| self.note_crash(Some(crash)));
     }
--- a/crates/quarantine/src/interrupted_requests.rs
+++ b/crates/quarantine/src/interrupted_requests.rs
@@ -24,7 +24,7 @@
     /// The server refused a connection.
     Refused,
     /// Another incarnation has the server's address.
-    NewLife,
+    NewIncarnation,
 }
 
 impl CrashProof {
@@ -32,7 +32,7 @@
     pub fn as_str(self) -> &'static str {
         match self {
             CrashProof::Refused => "refused",
-            CrashProof::NewLife => "new_life",
+            CrashProof::NewIncarnation => "new_life",
         }
     }
 }
@@ -45,18 +45,18 @@
     /// Proof of the crash.
     pub proof: CrashProof,
     /// Interrupted requests that weren't returned with an earlier crash of this incarnation.
-    pub requests: Vec<CutRequest>,
+    pub requests: Vec<InterruptedRequest>,
 }
 
 /// Request whose connection broke before the answer was complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct CutRequest {
+pub struct InterruptedRequest {
     /// Fingerprint of the request.
     pub request: RequestFingerprint,
     /// When the request was dispatched to the server.
     pub sent_at: Timestamp,
     /// When the connection broke.
-    pub cut_at: Timestamp,
+    pub interrupted_at: Timestamp,
 }
 
 #[derive(Clone, Debug)]
@@ -64,25 +64,25 @@
     address: SocketAddr,
     last_interrupted_at: Timestamp,
     proof: Option<CrashProof>,
-    pending: BTreeMap<RequestFingerprint, CutRequest>,
+    pending: BTreeMap<RequestFingerprint, InterruptedRequest>,
 }
 
 /// Interrupted requests by server.
 #[derive(Clone, Debug, Default)]
-pub struct CutRequests {
+pub struct InterruptedRequests {
     servers: BTreeMap<InstanceId, SuspectedServer>,
 }
 
-impl CutRequests {
+impl InterruptedRequests {
     /// Records an interrupted request to a server that wasn't departing. Returns the crash if the
     /// server is already known to have crashed.
-    pub fn cut(
+    pub fn record(
         &mut self,
         instance: &InstanceId,
         address: SocketAddr,
-        interrupted: CutRequest,
+        interrupted: InterruptedRequest,
     ) -> Option<ServerCrash> {
-        let now = interrupted.cut_at;
+        let now = interrupted.interrupted_at;
         self.remove_expired(now);
         let pending: usize = self.servers.values().map(|server| server.pending.len()).sum();
         if pending >= MAX_PENDING {
@@ -97,11 +97,11 @@
         server.last_interrupted_at = now;
         server.pending.entry(interrupted.request).or_insert(interrupted);
         let proof = server.proof?;
-        self.proved(instance, proof, now)
+        self.record_proof(instance, proof, now)
     }
 
     /// Records the proof of a server's crash. Returns the crash if interrupted requests are pending.
-    pub fn proved(
+    pub fn record_proof(
         &mut self,
         instance: &InstanceId,
         proof: CrashProof,
@@ -117,7 +117,7 @@
 
     /// Finds servers whose address now belongs to another incarnation. `incarnation_at` returns the
     /// known incarnation at an address.
-    pub fn find_new_lives<'a>(
+    pub fn find_new_incarnations<'a>(
         &mut self,
         now: Timestamp,
         incarnation_at: impl Fn(SocketAddr) -> Option<&'a InstanceId>,
@@ -130,7 +130,8 @@
             .filter(|(id, server)| has_new_incarnation(id, server))
             .map(|(id, _)| id.clone())
             .collect();
-        let crashes = replaced.iter().filter_map(|id| self.proved(id, CrashProof::NewLife, now));
+        let crashes =
+            replaced.iter().filter_map(|id| self.record_proof(id, CrashProof::NewIncarnation, now));
         crashes.collect()
     }
 
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -1,6 +1,6 @@
 //! Detection and quarantine of requests that crash the servers that execute them.
 //!
-//! - [`CutRequests`] tracks interrupted requests until it is known whether their server crashed.
+//! - [`InterruptedRequests`] tracks interrupted requests until it is known whether their server crashed.
 //! - [`CrashCounts`] counts the crashes under each request from the reports of all routers. A
 //!   request is quarantined after [`CRASHES_BEFORE_QUARANTINE`] crashes and cleared when it
 //!   completes.
@@ -18,6 +18,6 @@
 
 pub use completed_requests::EndedWell;
 pub use counts::{CRASHES_BEFORE_QUARANTINE, Counted, CrashCounts, Unrecorded};
-pub use interrupted_requests::{CrashProof, CutRequest, CutRequests, ServerCrash};
+pub use interrupted_requests::{CrashProof, InterruptedRequest, InterruptedRequests, ServerCrash};
 pub use rebroadcast::Retelling;
 pub use report::{Clearance, CrashReport, Report};
--- a/crates/router/src/crashes.rs
+++ b/crates/router/src/crashes.rs
@@ -172,7 +172,7 @@
     async fn proof(&self, sent: &SentTo) -> Option<CrashProof> {
         let known = self.engines.position(sent.back_end).map(|(incarnation, _)| incarnation);
         if sent.incarnation.is_some() && known.is_some() && known != sent.incarnation {
-            return Some(CrashProof::NewLife);
+            return Some(CrashProof::NewIncarnation);
         }
         let opening = timeout(CONNECT_TIMEOUT, TcpStream::connect(sent.address)).await;
         let refused =
