--- a/crates/crash-watch/src/watch.rs
+++ b/crates/crash-watch/src/watch.rs
@@ -12,8 +12,8 @@
 use juniper_feed::{Feed, FleetView, RelayedBatch};
 use juniper_protocol::message::{CrashNews, QuarantineCall, RelayedNews, RouterNews};
 use juniper_quarantine::{
-    Clearance, Counted, CrashCounts, CrashProof, CrashReport, EndedWell, InterruptedRequest,
-    InterruptedRequests, Report, Retelling, ServerCrash,
+    Clearance, CompletedRequests, Counted, CrashCounts, CrashProof, CrashReport,
+    InterruptedRequest, InterruptedRequests, Report, Retelling, ServerCrash,
 };
 use juniper_registry::InstanceId;
 use juniper_types::{NodeId, RequestFingerprint, Timestamp};
@@ -42,7 +42,7 @@
     feed: Feed,
     metrics: CrashMetrics,
     cuts: Mutex<InterruptedRequests>,
-    ended_well: Mutex<EndedWell>,
+    ended_well: Mutex<CompletedRequests>,
     counts: Mutex<CrashCounts>,
     retelling: Mutex<Retelling>,
     outbox: Outbox,
@@ -122,7 +122,7 @@
         let now = self.now();
         for InterruptedRequest { request, sent_at, interrupted_at } in requests {
             let (age, under_way) = (now.since(interrupted_at), interrupted_at.since(sent_at));
-            let ended_well = lock(&self.ended_well).has(&request);
+            let ended_well = lock(&self.ended_well).contains(&request);
             let instance = instance.clone();
             let report = CrashReport { request, instance, age, under_way, ended_well };
             self.count(&report, Duration::ZERO, "own");
@@ -154,7 +154,7 @@
 
     /// A server has answered the request whole: the ends before were not its doing.
     pub fn note_answered(&self, id: &str, request: RequestFingerprint) {
-        lock(&self.ended_well).note(&request);
+        lock(&self.ended_well).record(&request);
         let clearance = lock(&self.counts).answered(request, self.now());
         let Some(clearance) = clearance else { return };
         log::info!(
--- a/crates/quarantine/src/completed_requests.rs
+++ b/crates/quarantine/src/completed_requests.rs
@@ -8,25 +8,25 @@
 
 /// Fixed-size, lossy set of recently completed requests.
 #[derive(Clone, Debug)]
-pub struct EndedWell {
+pub struct CompletedRequests {
     slots: Vec<u64>,
 }
 
-impl Default for EndedWell {
+impl Default for CompletedRequests {
     fn default() -> Self {
-        EndedWell { slots: vec![0; SLOTS] }
+        CompletedRequests { slots: vec![0; SLOTS] }
     }
 }
 
-impl EndedWell {
+impl CompletedRequests {
     /// Records a completed request.
-    pub fn note(&mut self, request: &RequestFingerprint) {
+    pub fn record(&mut self, request: &RequestFingerprint) {
         let (slot, tag) = slot_of(request);
         self.slots[slot] = tag;
     }
 
     /// Whether the request has completed and hasn't been overwritten since.
-    pub fn has(&self, request: &RequestFingerprint) -> bool {
+    pub fn contains(&self, request: &RequestFingerprint) -> bool {
         let (slot, tag) = slot_of(request);
         self.slots[slot] == tag
     }
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -4,7 +4,7 @@
 //! - [`CrashCounts`] counts the crashes under each request from the reports of all routers. A
 //!   request is quarantined after [`CRASHES_BEFORE_QUARANTINE`] crashes and cleared when it
 //!   completes.
-//! - [`EndedWell`] records requests that have completed, so that simultaneous crashes of many
+//! - [`CompletedRequests`] records requests that have completed, so that simultaneous crashes of many
 //!   servers, as in a power failure, don't count against frequent requests.
 //! - [`Retelling`] repeats a router's own reports, since messages between routers may be lost.
 //!
@@ -16,7 +16,7 @@
 mod rebroadcast;
 mod report;
 
-pub use completed_requests::EndedWell;
+pub use completed_requests::CompletedRequests;
 pub use counts::{CRASHES_BEFORE_QUARANTINE, Counted, CrashCounts, Unrecorded};
 pub use interrupted_requests::{CrashProof, InterruptedRequest, InterruptedRequests, ServerCrash};
 pub use rebroadcast::Retelling;
--- a/crates/quarantine/tests/counts.rs
+++ b/crates/quarantine/tests/counts.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use juniper_quarantine::{
-    Counted, CrashCounts, CrashReport, EndedWell, Report, Retelling, Unrecorded,
+    CompletedRequests, Counted, CrashCounts, CrashReport, Report, Retelling, Unrecorded,
 };
 use juniper_registry::InstanceId;
 use juniper_types::{RequestFingerprint, Timestamp};
@@ -88,11 +88,11 @@
 
 #[test]
 fn completed_requests_are_recorded_until_overwritten() {
-    let mut completed_requests = EndedWell::default();
-    assert!(!completed_requests.has(&request(0)), "a free slot matches no request");
-    (1..=9).for_each(|number| completed_requests.note(&request(number)));
-    assert!((1..=9).all(|number| completed_requests.has(&request(number))));
-    assert!(!completed_requests.has(&request(10)));
+    let mut completed_requests = CompletedRequests::default();
+    assert!(!completed_requests.contains(&request(0)), "a free slot matches no request");
+    (1..=9).for_each(|number| completed_requests.record(&request(number)));
+    assert!((1..=9).all(|number| completed_requests.contains(&request(number))));
+    assert!(!completed_requests.contains(&request(10)));
 }
 
 /// The router retries a request on the next server as soon as one has crashed under it.
