--- a/crates/crash-watch/src/watch.rs
+++ b/crates/crash-watch/src/watch.rs
@@ -13,7 +13,7 @@
 use juniper_protocol::message::{CrashNews, QuarantineCall, RelayedNews, RouterNews};
 use juniper_quarantine::{
     Clearance, CompletedRequests, Counted, CrashCounts, CrashProof, CrashReport,
-    InterruptedRequest, InterruptedRequests, Report, Retelling, ServerCrash,
+    InterruptedRequest, InterruptedRequests, Rebroadcast, Report, ServerCrash,
 };
 use juniper_registry::InstanceId;
 use juniper_types::{NodeId, RequestFingerprint, Timestamp};
@@ -44,7 +44,7 @@
     cuts: Mutex<InterruptedRequests>,
     ended_well: Mutex<CompletedRequests>,
     counts: Mutex<CrashCounts>,
-    retelling: Mutex<Retelling>,
+    retelling: Mutex<Rebroadcast>,
     outbox: Outbox,
     /// What the replicas have recorded.
     recorded: Mutex<Arc<BTreeSet<RequestFingerprint>>>,
@@ -171,7 +171,7 @@
 
     fn tell(&self, report: Report) {
         self.outbox.push(&report);
-        lock(&self.retelling).told(report, self.now());
+        lock(&self.retelling).schedule(report, self.now());
     }
 
     /// Takes over what the replicas tell: lives of servers, and quarantines that are recorded. A
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -6,7 +6,7 @@
 //!   completes.
 //! - [`CompletedRequests`] records requests that have completed, so that simultaneous crashes of many
 //!   servers, as in a power failure, don't count against frequent requests.
-//! - [`Retelling`] repeats a router's own reports, since messages between routers may be lost.
+//! - [`Rebroadcast`] repeats a router's own reports, since messages between routers may be lost.
 //!
 //! Time is passed in; nothing here performs I/O.
 
@@ -19,5 +19,5 @@
 pub use completed_requests::CompletedRequests;
 pub use counts::{CRASHES_BEFORE_QUARANTINE, Counted, CrashCounts, Unrecorded};
 pub use interrupted_requests::{CrashProof, InterruptedRequest, InterruptedRequests, ServerCrash};
-pub use rebroadcast::Retelling;
+pub use rebroadcast::Rebroadcast;
 pub use report::{Clearance, CrashReport, Report};
--- a/crates/quarantine/src/rebroadcast.rs
+++ b/crates/quarantine/src/rebroadcast.rs
@@ -26,13 +26,13 @@
 
 /// Schedule for the repeats of this router's own reports.
 #[derive(Clone, Debug, Default)]
-pub struct Retelling {
+pub struct Rebroadcast {
     pending: VecDeque<PendingReport>,
 }
 
-impl Retelling {
+impl Rebroadcast {
     /// Schedules the repeats of a report that was sent for the first time.
-    pub fn told(&mut self, report: Report, now: Timestamp) {
+    pub fn schedule(&mut self, report: Report, now: Timestamp) {
         if self.pending.len() >= MAX_PENDING {
             self.pending.pop_front();
         }
--- a/crates/quarantine/tests/counts.rs
+++ b/crates/quarantine/tests/counts.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use juniper_quarantine::{
-    CompletedRequests, Counted, CrashCounts, CrashReport, Report, Retelling, Unrecorded,
+    CompletedRequests, Counted, CrashCounts, CrashReport, Rebroadcast, Report, Unrecorded,
 };
 use juniper_registry::InstanceId;
 use juniper_types::{RequestFingerprint, Timestamp};
@@ -217,8 +217,8 @@
 
 #[test]
 fn a_report_is_repeated_three_times_with_its_current_age() {
-    let mut rebroadcast = Retelling::default();
-    rebroadcast.told(Report::Crash(report(1, 1, 50)), at(100));
+    let mut rebroadcast = Rebroadcast::default();
+    rebroadcast.schedule(Report::Crash(report(1, 1, 50)), at(100));
     let mut ages = Vec::new();
     for tenths in 0..80_u64 {
         let now = at(100).after(Duration::from_millis(tenths * 100));
