--- a/crates/crash-watch/src/outbox.rs
+++ b/crates/crash-watch/src/outbox.rs
@@ -55,8 +55,8 @@
         instance: report.instance.name().clone(),
         started: report.instance.started(),
         age_ms: milliseconds(report.age),
-        under_way_ms: milliseconds(report.under_way),
-        ended_well: report.ended_well,
+        under_way_ms: milliseconds(report.in_flight_for),
+        ended_well: report.completed_before,
     }
 }
 
@@ -66,7 +66,7 @@
         request: crash.request,
         instance: crash.id(),
         age: Duration::from_millis(crash.age_ms),
-        under_way: Duration::from_millis(crash.under_way_ms),
-        ended_well: crash.ended_well,
+        in_flight_for: Duration::from_millis(crash.under_way_ms),
+        completed_before: crash.ended_well,
     }
 }
--- a/crates/crash-watch/src/watch.rs
+++ b/crates/crash-watch/src/watch.rs
@@ -121,10 +121,10 @@
         self.metrics.server_ended(proof, requests.len());
         let now = self.now();
         for InterruptedRequest { request, sent_at, interrupted_at } in requests {
-            let (age, under_way) = (now.since(interrupted_at), interrupted_at.since(sent_at));
-            let ended_well = lock(&self.ended_well).contains(&request);
+            let (age, in_flight_for) = (now.since(interrupted_at), interrupted_at.since(sent_at));
+            let completed_before = lock(&self.ended_well).contains(&request);
             let instance = instance.clone();
-            let report = CrashReport { request, instance, age, under_way, ended_well };
+            let report = CrashReport { request, instance, age, in_flight_for, completed_before };
             self.count(&report, Duration::ZERO, "own");
             self.tell(Report::Crash(report));
         }
--- a/crates/quarantine/src/counts.rs
+++ b/crates/quarantine/src/counts.rs
@@ -151,8 +151,8 @@
             return Counted::Known;
         }
         let at = now.before(report.age);
-        let sent_at = at.before(report.under_way);
-        let (instance, completed) = (report.instance.clone(), report.ended_well);
+        let sent_at = at.before(report.in_flight_for);
+        let (instance, completed) = (report.instance.clone(), report.completed_before);
         suspect.add(Crash { instance, sent_at, at, completed, is_cleared: false });
         suspect.changed_at = now;
         let servers = suspect.servers();
--- a/crates/quarantine/src/report.rs
+++ b/crates/quarantine/src/report.rs
@@ -15,9 +15,9 @@
     /// Time since the request was interrupted.
     pub age: Duration,
     /// Time from the dispatch of the request to its interruption.
-    pub under_way: Duration,
+    pub in_flight_for: Duration,
     /// Whether the reporting router has seen the same request complete before.
-    pub ended_well: bool,
+    pub completed_before: bool,
 }
 
 /// Clearance of a request that completed, and so didn't cause the earlier crashes.
--- a/crates/quarantine/tests/counts.rs
+++ b/crates/quarantine/tests/counts.rs
@@ -24,9 +24,9 @@
 }
 
 fn report(request_id: u8, server_id: u8, age_ms: u64) -> CrashReport {
-    let (age, under_way) = (Duration::from_millis(age_ms), Duration::from_millis(500));
+    let (age, in_flight_for) = (Duration::from_millis(age_ms), Duration::from_millis(500));
     let (request, instance) = (request(request_id), server(server_id));
-    CrashReport { request, instance, age, under_way, ended_well: false }
+    CrashReport { request, instance, age, in_flight_for, completed_before: false }
 }
 
 fn crash(counts: &mut CrashCounts, request_id: u8, server_id: u8, now: Timestamp) -> Counted {
@@ -61,12 +61,14 @@
 fn simultaneous_crashes_under_a_completed_request_count_once() {
     let mut counts = CrashCounts::default();
     for server_id in 1..=9 {
-        let crash_report =
-            CrashReport { ended_well: true, ..report(1, server_id, u64::from(server_id) * 10) };
+        let crash_report = CrashReport {
+            completed_before: true,
+            ..report(1, server_id, u64::from(server_id) * 10)
+        };
         assert_eq!(counts.crashed(&crash_report, at(100), NO_DELAY), Counted::Suspected(1));
     }
     // A late report carries the age of the crash.
-    let late = CrashReport { ended_well: true, ..report(1, 10, 5_000) };
+    let late = CrashReport { completed_before: true, ..report(1, 10, 5_000) };
     assert_eq!(counts.crashed(&late, at(105), NO_DELAY), Counted::Suspected(1));
     assert_eq!(crash(&mut counts, 1, 11, at(106)), Counted::Suspected(2), "a later crash counts");
 }
@@ -100,9 +102,9 @@
 fn consecutive_crashes_count_each() {
     let mut counts = CrashCounts::default();
     for server_id in 1..=2_u8 {
-        let under_way = Duration::from_millis(4);
+        let in_flight_for = Duration::from_millis(4);
         let crash_report =
-            CrashReport { under_way, ..report(1, server_id, 100 - 10 * u64::from(server_id)) };
+            CrashReport { in_flight_for, ..report(1, server_id, 100 - 10 * u64::from(server_id)) };
         assert_eq!(
             counts.crashed(&crash_report, at(100), NO_DELAY),
             Counted::Suspected(server_id.into())
