--- a/crates/quarantine/src/counts.rs
+++ b/crates/quarantine/src/counts.rs
@@ -51,7 +51,7 @@
 
 /// Quarantine that the replicas haven't recorded yet.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Unrecorded {
+pub struct UnrecordedQuarantine {
     /// Fingerprint of the request.
     pub request: RequestFingerprint,
     /// Servers that crashed under the request.
@@ -209,13 +209,13 @@
         &mut self,
         now: Timestamp,
         is_recorded: impl Fn(&RequestFingerprint) -> bool,
-    ) -> Vec<Unrecorded> {
+    ) -> Vec<UnrecordedQuarantine> {
         let mut due = Vec::new();
         for (request, suspect) in &mut self.suspects {
             let is_due = suspect.record_at.is_some_and(|at| at <= now);
             if is_due && !is_recorded(request) {
                 suspect.record_at = Some(now.after(RECORD_RETRY_INTERVAL));
-                due.push(Unrecorded { request: *request, servers: suspect.servers() });
+                due.push(UnrecordedQuarantine { request: *request, servers: suspect.servers() });
             }
         }
         due
--- a/crates/quarantine/tests/counts.rs
+++ b/crates/quarantine/tests/counts.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use juniper_quarantine::{
-    CompletedRequests, Counted, CrashCounts, CrashReport, Rebroadcast, Report, Unrecorded,
+    CompletedRequests, Counted, CrashCounts, CrashReport, Rebroadcast, Report, UnrecordedQuarantine,
 };
 use juniper_registry::InstanceId;
 use juniper_types::{RequestFingerprint, Timestamp};
@@ -151,8 +151,10 @@
         counts.due_records(at(103), |_| false).is_empty(),
         "another router may have it recorded"
     );
-    let unrecorded =
-        Unrecorded { request: request(1), servers: vec![server(1), server(2), server(3)] };
+    let unrecorded = UnrecordedQuarantine {
+        request: request(1),
+        servers: vec![server(1), server(2), server(3)],
+    };
     assert_eq!(counts.due_records(at(104), |_| false), std::slice::from_ref(&unrecorded));
     assert!(counts.due_records(at(104), |_| false).is_empty(), "retried after an interval");
     assert_eq!(counts.due_records(at(105), |_| false), [unrecorded]);
