--- a/crates/crash-watch/src/watch.rs
+++ b/crates/crash-watch/src/watch.rs
@@ -12,7 +12,7 @@
 use juniper_feed::{Feed, FleetView, RelayedBatch};
 use juniper_protocol::message::{CrashNews, QuarantineCall, RelayedNews, RouterNews};
 use juniper_quarantine::{
-    Clearance, CompletedRequests, Counted, CrashCounts, CrashProof, CrashReport,
+    Clearance, CompletedRequests, CountOutcome, CrashCounts, CrashProof, CrashReport,
     InterruptedRequest, InterruptedRequests, Rebroadcast, Report, ServerCrash,
 };
 use juniper_registry::InstanceId;
@@ -134,12 +134,12 @@
         let CrashReport { request, instance, .. } = report;
         let counted = lock(&self.counts).crashed(report, self.now(), record_after);
         match counted {
-            Counted::Known => {}
-            Counted::Suspected(crashes) => log::info!(
+            CountOutcome::Known => {}
+            CountOutcome::Suspected(crashes) => log::info!(
                 "event=crash_counted fingerprint={request} instance={instance} from={from} \
                  crashes={crashes}"
             ),
-            Counted::Quarantined(servers) => {
+            CountOutcome::Quarantined(servers) => {
                 let names: Vec<&str> = servers.iter().map(|server| server.as_str()).collect();
                 log::warn!(
                     "event=request_quarantined fingerprint={request} instance={instance} \
--- a/crates/quarantine/src/counts.rs
+++ b/crates/quarantine/src/counts.rs
@@ -40,7 +40,7 @@
 
 /// Effect of a crash report.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Counted {
+pub enum CountOutcome {
     /// No effect: the crash was known, or the request is quarantined.
     Known,
     /// The request is suspected; this many crashes count against it.
@@ -145,10 +145,10 @@
         report: &CrashReport,
         now: Timestamp,
         record_after: Duration,
-    ) -> Counted {
+    ) -> CountOutcome {
         let suspect = self.suspect(report.request, now);
         if suspect.contains(&report.instance) || suspect.record_at.is_some() {
-            return Counted::Known;
+            return CountOutcome::Known;
         }
         let at = now.before(report.age);
         let sent_at = at.before(report.in_flight_for);
@@ -157,10 +157,10 @@
         suspect.changed_at = now;
         let servers = suspect.servers();
         if servers.len() < CRASHES_BEFORE_QUARANTINE {
-            return Counted::Suspected(servers.len());
+            return CountOutcome::Suspected(servers.len());
         }
         suspect.record_at = Some(now.after(record_after));
-        Counted::Quarantined(servers)
+        CountOutcome::Quarantined(servers)
     }
 
     /// Records that the request completed. Returns the clearance to report to the other routers if
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -17,7 +17,7 @@
 mod report;
 
 pub use completed_requests::CompletedRequests;
-pub use counts::{CRASHES_BEFORE_QUARANTINE, Counted, CrashCounts, UnrecordedQuarantine};
+pub use counts::{CRASHES_BEFORE_QUARANTINE, CountOutcome, CrashCounts, UnrecordedQuarantine};
 pub use interrupted_requests::{CrashProof, InterruptedRequest, InterruptedRequests, ServerCrash};
 pub use rebroadcast::Rebroadcast;
 pub use report::{Clearance, CrashReport, Report};
--- a/crates/quarantine/tests/counts.rs
+++ b/crates/quarantine/tests/counts.rs
@@ -3,7 +3,8 @@
 use std::time::Duration;
 
 use juniper_quarantine::{
-    CompletedRequests, Counted, CrashCounts, CrashReport, Rebroadcast, Report, UnrecordedQuarantine,
+    CompletedRequests, CountOutcome, CrashCounts, CrashReport, Rebroadcast, Report,
+    UnrecordedQuarantine,
 };
 use juniper_registry::InstanceId;
 use juniper_types::{RequestFingerprint, Timestamp};
@@ -29,21 +30,25 @@
     CrashReport { request, instance, age, in_flight_for, completed_before: false }
 }
 
-fn crash(counts: &mut CrashCounts, request_id: u8, server_id: u8, now: Timestamp) -> Counted {
+fn crash(counts: &mut CrashCounts, request_id: u8, server_id: u8, now: Timestamp) -> CountOutcome {
     counts.crashed(&report(request_id, server_id, 0), now, NO_DELAY)
 }
 
 #[test]
 fn the_third_crash_quarantines_only_its_request() {
     let mut counts = CrashCounts::default();
-    assert_eq!(crash(&mut counts, 1, 1, at(100)), Counted::Suspected(1));
-    assert_eq!(crash(&mut counts, 1, 2, at(101)), Counted::Suspected(2));
-    assert_eq!(crash(&mut counts, 2, 2, at(101)), Counted::Suspected(1), "in flight there too");
+    assert_eq!(crash(&mut counts, 1, 1, at(100)), CountOutcome::Suspected(1));
+    assert_eq!(crash(&mut counts, 1, 2, at(101)), CountOutcome::Suspected(2));
+    assert_eq!(
+        crash(&mut counts, 2, 2, at(101)),
+        CountOutcome::Suspected(1),
+        "in flight there too"
+    );
     assert!(!counts.is_quarantined(&request(1)));
     let servers = vec![server(1), server(2), server(3)];
-    assert_eq!(crash(&mut counts, 1, 3, at(102)), Counted::Quarantined(servers));
+    assert_eq!(crash(&mut counts, 1, 3, at(102)), CountOutcome::Quarantined(servers));
     assert!(counts.is_quarantined(&request(1)) && !counts.is_quarantined(&request(2)));
-    assert_eq!(crash(&mut counts, 1, 4, at(103)), Counted::Known, "a copy in flight");
+    assert_eq!(crash(&mut counts, 1, 4, at(103)), CountOutcome::Known, "a copy in flight");
 }
 
 #[test]
@@ -51,7 +56,7 @@
     let mut counts = CrashCounts::default();
     crash(&mut counts, 1, 1, at(100));
     for seconds in 101..110 {
-        assert_eq!(crash(&mut counts, 1, 1, at(seconds)), Counted::Known);
+        assert_eq!(crash(&mut counts, 1, 1, at(seconds)), CountOutcome::Known);
     }
     assert!(!counts.is_quarantined(&request(1)));
 }
@@ -65,12 +70,16 @@
             completed_before: true,
             ..report(1, server_id, u64::from(server_id) * 10)
         };
-        assert_eq!(counts.crashed(&crash_report, at(100), NO_DELAY), Counted::Suspected(1));
+        assert_eq!(counts.crashed(&crash_report, at(100), NO_DELAY), CountOutcome::Suspected(1));
     }
     // A late report carries the age of the crash.
     let late = CrashReport { completed_before: true, ..report(1, 10, 5_000) };
-    assert_eq!(counts.crashed(&late, at(105), NO_DELAY), Counted::Suspected(1));
-    assert_eq!(crash(&mut counts, 1, 11, at(106)), Counted::Suspected(2), "a later crash counts");
+    assert_eq!(counts.crashed(&late, at(105), NO_DELAY), CountOutcome::Suspected(1));
+    assert_eq!(
+        crash(&mut counts, 1, 11, at(106)),
+        CountOutcome::Suspected(2),
+        "a later crash counts"
+    );
 }
 
 /// Copies of a request that crashes its servers arrive at several routers at once.
@@ -81,11 +90,11 @@
         let crash_report = report(1, server_id, u64::from(server_id) * 10);
         assert_eq!(
             counts.crashed(&crash_report, at(100), NO_DELAY),
-            Counted::Suspected(server_id.into())
+            CountOutcome::Suspected(server_id.into())
         );
     }
     let third = counts.crashed(&report(1, 3, 30), at(100), NO_DELAY);
-    assert!(matches!(third, Counted::Quarantined(_)), "{third:?}");
+    assert!(matches!(third, CountOutcome::Quarantined(_)), "{third:?}");
 }
 
 #[test]
@@ -107,7 +116,7 @@
             CrashReport { in_flight_for, ..report(1, server_id, 100 - 10 * u64::from(server_id)) };
         assert_eq!(
             counts.crashed(&crash_report, at(100), NO_DELAY),
-            Counted::Suspected(server_id.into())
+            CountOutcome::Suspected(server_id.into())
         );
     }
 }
@@ -121,9 +130,9 @@
     let clearance = local.answered(request(1), at(102)).expect("crashes counted");
     remote.cleared(&clearance, at(102));
     for counts in [&mut local, &mut remote] {
-        assert_eq!(crash(counts, 1, 1, at(103)), Counted::Known);
-        assert_eq!(crash(counts, 1, 2, at(103)), Counted::Known);
-        assert_eq!(crash(counts, 1, 3, at(104)), Counted::Suspected(1), "later crashes count");
+        assert_eq!(crash(counts, 1, 1, at(103)), CountOutcome::Known);
+        assert_eq!(crash(counts, 1, 2, at(103)), CountOutcome::Known);
+        assert_eq!(crash(counts, 1, 3, at(104)), CountOutcome::Suspected(1), "later crashes count");
     }
     assert_eq!(local.answered(request(2), at(105)), None, "no crashes counted");
 }
@@ -168,7 +177,7 @@
         drop(crash(&mut counts, 1, server_id, at(100 + u64::from(server_id))))
     });
     counts.released(&request(1));
-    assert_eq!(crash(&mut counts, 1, 4, at(200)), Counted::Suspected(1));
+    assert_eq!(crash(&mut counts, 1, 4, at(200)), CountOutcome::Suspected(1));
     counts.forget_old(at(799));
     assert_eq!(counts.suspects(), 1);
     counts.forget_old(at(800));
@@ -188,7 +197,7 @@
         counts.crashed(&crash_report, at(102), NO_DELAY);
     }
     assert!((3_584..=4_096).contains(&counts.suspects()), "{}", counts.suspects());
-    assert!(matches!(crash(&mut counts, 1, 3, at(103)), Counted::Quarantined(_)));
+    assert!(matches!(crash(&mut counts, 1, 3, at(103)), CountOutcome::Quarantined(_)));
 }
 
 quickcheck! {
