--- a/crates/crash-watch/src/watch.rs
+++ b/crates/crash-watch/src/watch.rs
@@ -132,7 +132,7 @@
 
     fn count(&self, report: &CrashReport, record_after: Duration, from: &str) {
         let CrashReport { request, instance, .. } = report;
-        let counted = lock(&self.counts).crashed(report, self.now(), record_after);
+        let counted = lock(&self.counts).record_crash(report, self.now(), record_after);
         match counted {
             CountOutcome::Known => {}
             CountOutcome::Suspected(crashes) => log::info!(
@@ -155,7 +155,7 @@
     /// A server has answered the request whole: the ends before were not its doing.
     pub fn note_answered(&self, id: &str, request: RequestFingerprint) {
         lock(&self.ended_well).record(&request);
-        let clearance = lock(&self.counts).answered(request, self.now());
+        let clearance = lock(&self.counts).record_completion(request, self.now());
         let Some(clearance) = clearance else { return };
         log::info!(
             "event=suspect_cleared request={id} fingerprint={request} crashes={}",
@@ -186,7 +186,7 @@
         drop(recorded);
         for request in former.difference(&view.quarantined) {
             log::info!("event=quarantine_released fingerprint={request}");
-            lock(&self.counts).released(request);
+            lock(&self.counts).release(request);
         }
         for request in view.quarantined.difference(&former) {
             log::info!("event=quarantine_in_force fingerprint={request}");
@@ -219,7 +219,7 @@
         }
         for cleared in &news.cleared {
             let clearance = Clearance { request: cleared.request, instances: cleared.ids() };
-            lock(&self.counts).cleared(&clearance, self.now());
+            lock(&self.counts).apply_clearance(&clearance, self.now());
         }
     }
 
@@ -273,8 +273,8 @@
         let recorded = Arc::clone(&lock(&self.recorded));
         let due = {
             let mut counts = lock(&self.counts);
-            counts.forget_old(now);
-            self.metrics.suspects.set(counts.suspects() as i64);
+            counts.remove_expired(now);
+            self.metrics.suspects.set(counts.suspect_count() as i64);
             counts.due_records(now, |request| recorded.contains(request))
         };
         for unrecorded in due {
--- a/crates/quarantine/src/counts.rs
+++ b/crates/quarantine/src/counts.rs
@@ -129,7 +129,7 @@
     }
 
     /// Number of suspected requests.
-    pub fn suspects(&self) -> usize {
+    pub fn suspect_count(&self) -> usize {
         self.suspects.len()
     }
 
@@ -140,7 +140,7 @@
 
     /// Records a crash under a request. If this quarantines the request, the record is due after
     /// `record_after`, unless another router has had it recorded by then.
-    pub fn crashed(
+    pub fn record_crash(
         &mut self,
         report: &CrashReport,
         now: Timestamp,
@@ -165,7 +165,11 @@
 
     /// Records that the request completed. Returns the clearance to report to the other routers if
     /// crashes counted against the request.
-    pub fn answered(&mut self, request: RequestFingerprint, now: Timestamp) -> Option<Clearance> {
+    pub fn record_completion(
+        &mut self,
+        request: RequestFingerprint,
+        now: Timestamp,
+    ) -> Option<Clearance> {
         let suspect = self.suspects.get(&request)?;
         let counted_crashes = suspect.crashes.iter().filter(|crash| !crash.is_cleared);
         let instances: Vec<InstanceId> =
@@ -174,13 +178,13 @@
             return None;
         }
         let clearance = Clearance { request, instances };
-        self.cleared(&clearance, now);
+        self.apply_clearance(&clearance, now);
         Some(clearance)
     }
 
     /// Applies a clearance. Crashes that weren't reported yet are recorded as cleared, so that a
     /// later report of them doesn't count.
-    pub fn cleared(&mut self, clearance: &Clearance, now: Timestamp) {
+    pub fn apply_clearance(&mut self, clearance: &Clearance, now: Timestamp) {
         let suspect = self.suspect(clearance.request, now);
         for instance in &clearance.instances {
             if !suspect.contains(instance) {
@@ -199,7 +203,7 @@
     }
 
     /// Removes a request that the replicas have released from quarantine.
-    pub fn released(&mut self, request: &RequestFingerprint) {
+    pub fn release(&mut self, request: &RequestFingerprint) {
         self.suspects.remove(request);
     }
 
@@ -222,7 +226,7 @@
     }
 
     /// Removes suspects that haven't changed for a while.
-    pub fn forget_old(&mut self, now: Timestamp) {
+    pub fn remove_expired(&mut self, now: Timestamp) {
         self.suspects.retain(|_, suspect| now.since(suspect.changed_at) < SUSPECT_TTL);
     }
 
--- a/crates/quarantine/tests/counts.rs
+++ b/crates/quarantine/tests/counts.rs
@@ -31,7 +31,7 @@
 }
 
 fn crash(counts: &mut CrashCounts, request_id: u8, server_id: u8, now: Timestamp) -> CountOutcome {
-    counts.crashed(&report(request_id, server_id, 0), now, NO_DELAY)
+    counts.record_crash(&report(request_id, server_id, 0), now, NO_DELAY)
 }
 
 #[test]
@@ -70,11 +70,14 @@
             completed_before: true,
             ..report(1, server_id, u64::from(server_id) * 10)
         };
-        assert_eq!(counts.crashed(&crash_report, at(100), NO_DELAY), CountOutcome::Suspected(1));
+        assert_eq!(
+            counts.record_crash(&crash_report, at(100), NO_DELAY),
+            CountOutcome::Suspected(1)
+        );
     }
     // A late report carries the age of the crash.
     let late = CrashReport { completed_before: true, ..report(1, 10, 5_000) };
-    assert_eq!(counts.crashed(&late, at(105), NO_DELAY), CountOutcome::Suspected(1));
+    assert_eq!(counts.record_crash(&late, at(105), NO_DELAY), CountOutcome::Suspected(1));
     assert_eq!(
         crash(&mut counts, 1, 11, at(106)),
         CountOutcome::Suspected(2),
@@ -89,11 +92,11 @@
     for server_id in 1..=2 {
         let crash_report = report(1, server_id, u64::from(server_id) * 10);
         assert_eq!(
-            counts.crashed(&crash_report, at(100), NO_DELAY),
+            counts.record_crash(&crash_report, at(100), NO_DELAY),
             CountOutcome::Suspected(server_id.into())
         );
     }
-    let third = counts.crashed(&report(1, 3, 30), at(100), NO_DELAY);
+    let third = counts.record_crash(&report(1, 3, 30), at(100), NO_DELAY);
     assert!(matches!(third, CountOutcome::Quarantined(_)), "{third:?}");
 }
 
@@ -115,7 +118,7 @@
         let crash_report =
             CrashReport { in_flight_for, ..report(1, server_id, 100 - 10 * u64::from(server_id)) };
         assert_eq!(
-            counts.crashed(&crash_report, at(100), NO_DELAY),
+            counts.record_crash(&crash_report, at(100), NO_DELAY),
             CountOutcome::Suspected(server_id.into())
         );
     }
@@ -127,14 +130,14 @@
     let mut remote = CrashCounts::default();
     crash(&mut local, 1, 1, at(100));
     crash(&mut local, 1, 2, at(101));
-    let clearance = local.answered(request(1), at(102)).expect("crashes counted");
-    remote.cleared(&clearance, at(102));
+    let clearance = local.record_completion(request(1), at(102)).expect("crashes counted");
+    remote.apply_clearance(&clearance, at(102));
     for counts in [&mut local, &mut remote] {
         assert_eq!(crash(counts, 1, 1, at(103)), CountOutcome::Known);
         assert_eq!(crash(counts, 1, 2, at(103)), CountOutcome::Known);
         assert_eq!(crash(counts, 1, 3, at(104)), CountOutcome::Suspected(1), "later crashes count");
     }
-    assert_eq!(local.answered(request(2), at(105)), None, "no crashes counted");
+    assert_eq!(local.record_completion(request(2), at(105)), None, "no crashes counted");
 }
 
 /// A copy of the request is in flight when the third crash is counted, and completes.
@@ -145,7 +148,7 @@
         drop(crash(&mut counts, 1, server_id, at(100 + u64::from(server_id))))
     });
     assert!(counts.is_quarantined(&request(1)));
-    assert!(counts.answered(request(1), at(110)).is_some());
+    assert!(counts.record_completion(request(1), at(110)).is_some());
     assert!(!counts.is_quarantined(&request(1)));
     assert!(counts.due_records(at(120), |_| false).is_empty());
 }
@@ -155,7 +158,7 @@
     let mut counts = CrashCounts::default();
     crash(&mut counts, 1, 1, at(100));
     crash(&mut counts, 1, 2, at(101));
-    counts.crashed(&report(1, 3, 0), at(102), Duration::from_secs(2));
+    counts.record_crash(&report(1, 3, 0), at(102), Duration::from_secs(2));
     assert!(
         counts.due_records(at(103), |_| false).is_empty(),
         "another router may have it recorded"
@@ -176,11 +179,11 @@
     (1..=3).for_each(|server_id| {
         drop(crash(&mut counts, 1, server_id, at(100 + u64::from(server_id))))
     });
-    counts.released(&request(1));
+    counts.release(&request(1));
     assert_eq!(crash(&mut counts, 1, 4, at(200)), CountOutcome::Suspected(1));
-    counts.forget_old(at(799));
-    assert_eq!(counts.suspects(), 1);
-    counts.forget_old(at(800));
+    counts.remove_expired(at(799));
+    assert_eq!(counts.suspect_count(), 1);
+    counts.remove_expired(at(800));
     assert!(counts.is_empty());
 }
 
@@ -194,9 +197,9 @@
         let mut bytes = [9; 16];
         bytes[..4].copy_from_slice(&number.to_be_bytes());
         let crash_report = CrashReport { request: RequestFingerprint(bytes), ..report(0, 3, 0) };
-        counts.crashed(&crash_report, at(102), NO_DELAY);
+        counts.record_crash(&crash_report, at(102), NO_DELAY);
     }
-    assert!((3_584..=4_096).contains(&counts.suspects()), "{}", counts.suspects());
+    assert!((3_584..=4_096).contains(&counts.suspect_count()), "{}", counts.suspect_count());
     assert!(matches!(crash(&mut counts, 1, 3, at(103)), CountOutcome::Quarantined(_)));
 }
 
@@ -210,7 +213,7 @@
             for (request_id, server_id) in crashes {
                 // The servers crash a second apart.
                 let crashed_ms = 1_000 * u64::from(*server_id);
-                counts.crashed(
+                counts.record_crash(
                     &report(*request_id, *server_id, 20_000 - crashed_ms),
                     at(100),
                     NO_DELAY,
