--- a/crates/renewal/src/lib.rs
+++ b/crates/renewal/src/lib.rs
@@ -3,7 +3,7 @@
 //! The leader of the control replicas holds a lease in the replicated log and sends orders to the
 //! servers. A fencing token that increases with each lease makes servers reject the orders of
 //! former holders. [`RenewalPlan`] decides which server is ordered next and when, without I/O.
-//! [`OrderGiver`] holds the lease and sends the orders, in the format of an [`OrderDialect`].
+//! [`OrderDispatcher`] holds the lease and sends the orders, in the format of an [`OrderDialect`].
 
 mod exchange;
 mod load_trials;
@@ -13,6 +13,6 @@
 mod publish;
 
 pub use exchange::{Order, OrderAnswer, OrderDialect, RunningRequests, ServerState};
-pub use order_dispatcher::{GiverSettings, OrderGiver};
+pub use order_dispatcher::{OrderDispatcher, OrderDispatcherSettings};
 pub use plan::{PlanSettings, RenewalPlan, RenewalServer};
 pub use publish::hand_on_fleet;
--- a/crates/renewal/src/order_dispatcher.rs
+++ b/crates/renewal/src/order_dispatcher.rs
@@ -38,7 +38,7 @@
 
 /// Settings of the order dispatcher.
 #[derive(Clone, Debug)]
-pub struct GiverSettings {
+pub struct OrderDispatcherSettings {
     /// Id of this control node.
     pub node: NodeId,
     /// Name of this control node, sent to servers as the holder of the lease.
@@ -69,8 +69,8 @@
 }
 
 /// Sends orders to servers while its node is the leader.
-pub struct OrderGiver {
-    settings: GiverSettings,
+pub struct OrderDispatcher {
+    settings: OrderDispatcherSettings,
     dialect: Arc<dyn OrderDialect>,
     calls: FleetCalls,
     feed: Feed,
@@ -89,16 +89,16 @@
     next_lease_attempt: Instant,
 }
 
-impl OrderGiver {
+impl OrderDispatcher {
     /// Creates a dispatcher without a lease.
     pub fn new(
-        settings: GiverSettings,
+        settings: OrderDispatcherSettings,
         dialect: impl OrderDialect,
         calls: FleetCalls,
         feed: Feed,
     ) -> Self {
         let (outcome_sender, outcomes) = mpsc::unbounded_channel();
-        OrderGiver {
+        OrderDispatcher {
             plan: RenewalPlan::new(settings.plan),
             settings,
             dialect: Arc::new(dialect),
