--- a/crates/renewal/src/lib.rs
+++ b/crates/renewal/src/lib.rs
@@ -15,4 +15,4 @@
 pub use exchange::{Order, OrderAnswer, OrderDialect, RunningRequests, ServerState};
 pub use order_dispatcher::{OrderDispatcher, OrderDispatcherSettings};
 pub use plan::{PlanSettings, RenewalPlan, RenewalServer};
-pub use publish::hand_on_fleet;
+pub use publish::publish_fleet_view;
--- a/crates/renewal/src/publish.rs
+++ b/crates/renewal/src/publish.rs
@@ -12,7 +12,7 @@
 
 /// Publishes the view that the feed merges from all replicas to the routers that subscribe to this
 /// node's replica, until the feed ends.
-pub async fn hand_on_fleet(feed: Feed, calls: FleetCalls) {
+pub async fn publish_fleet_view(feed: Feed, calls: FleetCalls) {
     let mut views = feed.view();
     loop {
         let view = std::sync::Arc::clone(&views.borrow_and_update());
