--- a/crates/renewal/src/exchange.rs
+++ b/crates/renewal/src/exchange.rs
@@ -27,7 +27,7 @@
     /// Finish them first, without starting new requests until then.
     FinishFirst,
     /// Interrupt them while the weights are loaded, and continue them under the new weights.
-    GoOn,
+    Continue,
 }
 
 /// Order to load another version of a model's weights.
--- a/crates/renewal/src/order_dispatcher.rs
+++ b/crates/renewal/src/order_dispatcher.rs
@@ -216,7 +216,7 @@
             version,
             // Streams run for seconds. Waiting for them would take several servers out of service
             // for that long and overload the others.
-            running: RunningRequests::GoOn,
+            running: RunningRequests::Continue,
             holder: self.settings.name.clone(),
             token: held.lease.token,
             expected_orders: self.orders.get(&server.instance).copied().unwrap_or(0),
