--- a/crates/renewal/src/exchange.rs
+++ b/crates/renewal/src/exchange.rs
@@ -80,19 +80,19 @@
 /// Translation between orders and the HTTP API of the servers.
 pub trait OrderDialect: Send + Sync + 'static {
     /// Builds the request for an order.
-    fn order(&self, order: &Order) -> Request<Full<Bytes>>;
+    fn order_request(&self, order: &Order) -> Request<Full<Bytes>>;
 
     /// Interprets the status of the answer to an order.
-    fn read_answer(&self, status: StatusCode) -> OrderAnswer;
+    fn parse_answer(&self, status: StatusCode) -> OrderAnswer;
 
     /// Parses the notices in the answer to an order or a state request.
-    fn read_notice(&self, status: StatusCode, headers: &HeaderMap) -> ServerNotice;
+    fn parse_notice(&self, status: StatusCode, headers: &HeaderMap) -> ServerNotice;
 
     /// Builds the request for a server's state.
-    fn state(&self) -> Request<Full<Bytes>>;
+    fn state_request(&self) -> Request<Full<Bytes>>;
 
     /// Parses a server's state, or returns `None` if it is malformed.
-    fn read_state(&self, body: &[u8]) -> Option<ServerState>;
+    fn parse_state(&self, body: &[u8]) -> Option<ServerState>;
 }
 
 /// Failure of an exchange.
@@ -117,8 +117,8 @@
     address: SocketAddrV4,
     order: &Order,
 ) -> Result<WithNotice<OrderAnswer>, ExchangeError> {
-    let (head, _) = exchange(address, dialect.order(order)).await?;
-    Ok((dialect.read_answer(head.status), dialect.read_notice(head.status, &head.headers)))
+    let (head, _) = exchange(address, dialect.order_request(order)).await?;
+    Ok((dialect.parse_answer(head.status), dialect.parse_notice(head.status, &head.headers)))
 }
 
 /// Requests a server's state; `None` if it is malformed.
@@ -126,8 +126,8 @@
     dialect: &dyn OrderDialect,
     address: SocketAddrV4,
 ) -> Result<WithNotice<Option<ServerState>>, ExchangeError> {
-    let (head, body) = exchange(address, dialect.state()).await?;
-    Ok((dialect.read_state(&body), dialect.read_notice(head.status, &head.headers)))
+    let (head, body) = exchange(address, dialect.state_request()).await?;
+    Ok((dialect.parse_state(&body), dialect.parse_notice(head.status, &head.headers)))
 }
 
 async fn exchange(
