--- a/crates/renewal/src/plan.rs
+++ b/crates/renewal/src/plan.rs
@@ -17,9 +17,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct PlanSettings {
     /// Time after the request of a version within which all servers should have it.
-    pub within: Duration,
+    pub deadline: Duration,
     /// Time after which an order without effect is sent again.
-    pub repeat_after: Duration,
+    pub retry_after: Duration,
 }
 
 /// Maximum fraction of the servers with an order in flight. The others have to carry the whole load
@@ -102,7 +102,7 @@
         outdated.retain(|outdated| !self.is_in_flight(outdated.server, now));
         let in_flight = total - outdated.len();
         let first = outdated.first()?;
-        let remaining = self.settings.within.saturating_sub(now.since(first.overdue_since));
+        let remaining = self.settings.deadline.saturating_sub(now.since(first.overdue_since));
         self.interval = remaining / u32::try_from(outdated.len() + 1).unwrap_or(u32::MAX);
         let max_in_flight = (servers.len() as f64 * MAX_IN_FLIGHT_FRACTION).ceil() as usize;
         let has_room = in_flight < max_in_flight;
@@ -119,7 +119,7 @@
 
     /// Records an order that is sent to a server.
     pub fn ordered(&mut self, server: &RenewalServer, version: u64, now: Timestamp) {
-        let retry_at = now.after(self.settings.repeat_after);
+        let retry_at = now.after(self.settings.retry_after);
         self.load_trials.record_order(server, version, retry_at);
         self.ordered.insert(server.instance.clone(), SentOrder { version, retry_at });
         // Orders delayed by the polling interval are caught up, longer delays aren't.
--- a/crates/renewal/tests/plan.rs
+++ b/crates/renewal/tests/plan.rs
@@ -9,7 +9,7 @@
 use juniper_types::Timestamp;
 
 const SETTINGS: PlanSettings =
-    PlanSettings { within: Duration::from_secs(6), repeat_after: Duration::from_secs(4) };
+    PlanSettings { deadline: Duration::from_secs(6), retry_after: Duration::from_secs(4) };
 
 fn at(millis: u64) -> Timestamp {
     Timestamp::from_millis(millis)
