--- a/crates/renewal/src/order_dispatcher.rs
+++ b/crates/renewal/src/order_dispatcher.rs
@@ -221,7 +221,7 @@
             token: held.lease.token,
             expected_orders: self.orders.get(&server.instance).copied().unwrap_or(0),
         };
-        self.plan.ordered(server, version, self.now());
+        self.plan.record_order(server, version, self.now());
         self.in_flight.insert(order.instance.clone());
         let order_task = OrderTask {
             dialect: Arc::clone(&self.dialect),
--- a/crates/renewal/src/plan.rs
+++ b/crates/renewal/src/plan.rs
@@ -118,7 +118,7 @@
     }
 
     /// Records an order that is sent to a server.
-    pub fn ordered(&mut self, server: &RenewalServer, version: u64, now: Timestamp) {
+    pub fn record_order(&mut self, server: &RenewalServer, version: u64, now: Timestamp) {
         let retry_at = now.after(self.settings.retry_after);
         self.load_trials.record_order(server, version, retry_at);
         self.ordered.insert(server.instance.clone(), SentOrder { version, retry_at });
--- a/crates/renewal/tests/plan.rs
+++ b/crates/renewal/tests/plan.rs
@@ -55,7 +55,7 @@
         }
         while let Some((server, version)) = plan.next(&servers, &wanted, at(millis)) {
             assert_eq!(version, 2);
-            plan.ordered(&server, version, at(millis));
+            plan.record_order(&server, version, at(millis));
             loading.push((millis + load_ms, server.instance));
             max_concurrent = max_concurrent.max(loading.len());
         }
@@ -100,7 +100,7 @@
     let wanted = wanted(&[(2, 0)]);
     let mut plan = RenewalPlan::new(SETTINGS);
     let id = servers[0].instance.clone();
-    plan.ordered(&servers[0], 2, at(0));
+    plan.record_order(&servers[0], 2, at(0));
     assert_eq!(plan.next(&servers, &wanted, at(3_000)), None);
     assert!(plan.next(&servers, &wanted, at(4_500)).is_some());
     plan.postpone(&id, 2, Duration::from_millis(300), at(4_500));
@@ -153,7 +153,7 @@
             return (crashes, Some(millis));
         }
         while let Some((server, version)) = plan.next(&servers, &wanted, at(millis)) {
-            plan.ordered(&server, version, at(millis));
+            plan.record_order(&server, version, at(millis));
             loading.push((millis + 600, server.instance));
         }
     }
