--- a/crates/control/src/limits.rs
+++ b/crates/control/src/limits.rs
@@ -36,7 +36,7 @@
             limit: RateLimit { per_second: charge.per_second, burst: charge.burst },
             version: charge.version,
             units: charge.units,
-            is_certain: charge.is_certain,
+            is_unconditional: charge.is_certain,
             reserve: charge.reserve.unwrap_or(0.0),
         };
         let mut owner = self.owner.lock().unwrap_or_else(PoisonError::into_inner);
@@ -54,6 +54,6 @@
     /// Refunds the units of a charged request that no server executed.
     pub fn refund(&self, account: &str, units: f64) {
         let mut owner = self.owner.lock().unwrap_or_else(PoisonError::into_inner);
-        owner.give_back(account, units, self.now());
+        owner.refund(account, units, self.now());
     }
 }
--- a/crates/crash-watch/src/watch.rs
+++ b/crates/crash-watch/src/watch.rs
@@ -105,7 +105,7 @@
 
     /// Something shows that a server has ended.
     pub fn note_ended(&self, instance: &InstanceId, proof: CrashProof) {
-        let crash = lock(&self.cuts).proved(instance, proof, self.now());
+        let crash = lock(&self.cuts).record_proof(instance, proof, self.now());
         self.note_crash(crash);
     }
 
@@ -124,7 +124,7 @@
             let (age, under_way) = (now.since(cut_at), cut_at.since(sent_at));
             let ended_well = lock(&self.ended_well).has(&request);
             let instance = instance.clone();
-            let report = CrashReport { request, instance, age, under_way, ended_well };
+            let report = CrashReport { request, instance, age, in_flight_for, completed_before };
             self.count(&report, Duration::ZERO, "own");
             self.tell(Report::Crash(report));
         }
@@ -132,14 +132,14 @@
 
     fn count(&self, report: &CrashReport, record_after: Duration, from: &str) {
         let CrashReport { request, instance, .. } = report;
-        let counted = lock(&self.counts).crashed(report, self.now(), record_after);
+        let counted = lock(&self.counts).record_crash(report, self.now(), record_after);
         match counted {
-            Counted::Known => {}
-            Counted::Suspected(crashes) => log::info!(
+            CountOutcome::Known => {}
+            CountOutcome::Suspected(crashes) => log::info!(
                 "event=crash_counted fingerprint={request} instance={instance} from={from} \
                  crashes={crashes}"
             ),
-            Counted::Quarantined(servers) => {
+            CountOutcome::Quarantined(servers) => {
                 let names: Vec<&str> = servers.iter().map(|server| server.as_str()).collect();
                 log::warn!(
                     "event=request_quarantined fingerprint={request} instance={instance} \
@@ -154,8 +154,8 @@
 
     /// A server has answered the request whole: the ends before were not its doing.
     pub fn note_answered(&self, id: &str, request: RequestFingerprint) {
-        lock(&self.ended_well).note(&request);
-        let clearance = lock(&self.counts).answered(request, self.now());
+        lock(&self.ended_well).record(&request);
+        let clearance = lock(&self.counts).record_completion(request, self.now());
         let Some(clearance) = clearance else { return };
         log::info!(
             "event=suspect_cleared request={id} fingerprint={request} crashes={}",
@@ -171,7 +171,7 @@
 
     fn tell(&self, report: Report) {
         self.outbox.push(&report);
-        lock(&self.retelling).told(report, self.now());
+        lock(&self.retelling).schedule(report, self.now());
     }
 
     /// Takes over what the replicas tell: lives of servers, and quarantines that are recorded. A
@@ -186,7 +186,7 @@
         drop(recorded);
         for request in former.difference(&view.quarantined) {
             log::info!("event=quarantine_released fingerprint={request}");
-            lock(&self.counts).released(request);
+            lock(&self.counts).release(request);
         }
         for request in view.quarantined.difference(&former) {
             log::info!("event=quarantine_in_force fingerprint={request}");
@@ -205,7 +205,7 @@
             let known = servers.find(|known| SocketAddr::V4(known.report.address) == address);
             known.map(|known| &known.id)
         };
-        let crashes = cuts.find_new_lives(self.now(), life_at);
+        let crashes = cuts.find_new_incarnations(self.now(), life_at);
         drop(cuts);
         crashes.into_iter().for_each(|crash| self.note_crash(Some(crash)));
     }
@@ -219,7 +219,7 @@
         }
         for cleared in &news.cleared {
             let clearance = Clearance { request: cleared.request, instances: cleared.ids() };
-            lock(&self.counts).cleared(&clearance, self.now());
+            lock(&self.counts).apply_clearance(&clearance, self.now());
         }
     }
 
@@ -273,8 +273,8 @@
         let recorded = Arc::clone(&lock(&self.recorded));
         let due = {
             let mut counts = lock(&self.counts);
-            counts.forget_old(now);
-            self.metrics.suspects.set(counts.suspects() as i64);
+            counts.remove_expired(now);
+            self.metrics.suspects.set(counts.suspect_count() as i64);
             counts.due_records(now, |request| recorded.contains(request))
         };
         for unrecorded in due {
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -79,7 +79,7 @@
         limit: RateLimit { per_second: charge.per_second, burst: charge.burst },
         version: charge.version,
         units: charge.units,
-        is_certain: charge.is_certain,
+        is_unconditional: charge.is_certain,
         reserve: charge.reserve.unwrap_or(0.0),
     }
 }
@@ -89,7 +89,7 @@
     match answer.retry_after_ms {
         None => Verdict::Admitted { fleet_per_second },
         Some(pause_ms) => {
-            Verdict::Refused { pause: Duration::from_millis(pause_ms), fleet_per_second }
+            Verdict::Refused { retry_after: Duration::from_millis(pause_ms), fleet_per_second }
         }
     }
 }
@@ -121,7 +121,7 @@
             by.as_str(),
             charge.units,
             limit.per_second,
-            pause.as_millis()
+            retry_after.as_millis()
         );
         self.metrics.count_over_limit(&tenant.name, by);
         Err(OwnAnswer::OverLimit(pause))
--- a/crates/limits/src/advertised_limit.rs
+++ b/crates/limits/src/advertised_limit.rs
@@ -16,7 +16,7 @@
     ///
     /// # Errors
     /// Fails if the rate is outside the accepted range.
-    pub fn of(per_second: f64) -> Result<Self, RateError> {
+    pub fn new(per_second: f64) -> Result<Self, RateError> {
         match (MIN_PER_SECOND..=MAX_PER_SECOND).contains(&per_second) {
             true => Ok(RequestRate(per_second)),
             false => Err(RateError::OutOfRange),
@@ -34,13 +34,13 @@
 pub enum RateError {
     /// Not a decimal number.
     #[error("not a decimal number")]
-    NoNumber,
+    NotANumber,
     /// Negative, zero, infinite or outside the accepted range.
     #[error("out of range")]
     OutOfRange,
     /// Several different rates in one answer.
     #[error("conflicting values")]
-    Several,
+    Conflicting,
 }
 
 /// Limit that one answer of a server advertises.
@@ -52,20 +52,20 @@
     /// Highest rate that the server accepts from all routers together.
     Rate(RequestRate),
     /// Invalid limit, ignored: a known limit neither changes nor ends.
-    Unreadable(RateError),
+    Invalid(RateError),
 }
 
 impl AdvertisedLimit {
     /// Parses the values of an answer's header. `None` is a value that isn't text.
-    pub fn read<'a>(values: impl IntoIterator<Item = Option<&'a str>>) -> Self {
+    pub fn parse<'a>(values: impl IntoIterator<Item = Option<&'a str>>) -> Self {
         let mut advertised = AdvertisedLimit::Nothing;
         for value in values {
-            let next = match value.map_or(Err(RateError::NoNumber), parse_rate) {
+            let next = match value.map_or(Err(RateError::NotANumber), parse_rate) {
                 Ok(rate) => AdvertisedLimit::Rate(rate),
-                Err(error) => return AdvertisedLimit::Unreadable(error),
+                Err(error) => return AdvertisedLimit::Invalid(error),
             };
             if advertised != AdvertisedLimit::Nothing && advertised != next {
-                return AdvertisedLimit::Unreadable(RateError::Several);
+                return AdvertisedLimit::Invalid(RateError::Conflicting);
             }
             advertised = next;
         }
@@ -74,6 +74,6 @@
 }
 
 fn parse_rate(text: &str) -> Result<RequestRate, RateError> {
-    let per_second = text.trim().parse().map_err(|_| RateError::NoNumber)?;
-    RequestRate::of(per_second)
+    let per_second = text.trim().parse().map_err(|_| RateError::NotANumber)?;
+    RequestRate::new(per_second)
 }
--- a/crates/limits/src/local.rs
+++ b/crates/limits/src/local.rs
@@ -105,7 +105,12 @@
 
 impl LocalLimits {
     /// Records the owner's verdict on a request.
-    pub fn heard(&mut self, request: &ChargeRequest<'_>, verdict: &Verdict, now: Timestamp) {
+    pub fn record_verdict(
+        &mut self,
+        request: &ChargeRequest<'_>,
+        verdict: &Verdict,
+        now: Timestamp,
+    ) {
         let account = self.account(request.account, now);
         account.local = None;
         account.owner_answered_at = Some(now);
@@ -122,7 +127,7 @@
 
     /// Whether an owner has recently answered for this account. Without the fleet-wide rate the
     /// router's share is unknown, and local decisions refuse most requests within the limit.
-    pub fn knows(&self, account: &str, now: Timestamp) -> bool {
+    pub fn has_recent_verdict(&self, account: &str, now: Timestamp) -> bool {
         let answered_at = self.accounts.get(account).and_then(|account| account.owner_answered_at);
         answered_at.is_some_and(|at| now.since(at) < FLEET_RATE_TTL)
     }
@@ -140,13 +145,15 @@
         let fleet_per_second = account.fleet_per_second;
         let local = account.local_bucket(request.limit, routers, now);
         let limit = local_limit(request.limit, local.share);
-        if request.is_certain {
-            local.bucket.take_anyway(request.units, limit, now);
+        if request.is_unconditional {
+            local.bucket.take_unconditional(request.units, limit, now);
             return Verdict::Admitted { fleet_per_second };
         }
-        match local.bucket.take_by_chance(request.units, limit, now, draw) {
+        match local.bucket.take_probabilistic(request.units, limit, now, draw) {
             Ok(()) => Verdict::Admitted { fleet_per_second },
-            Err(pause) => Verdict::Refused { pause: pause.max(MIN_RETRY_AFTER), fleet_per_second },
+            Err(pause) => {
+                Verdict::Refused { retry_after: pause.max(MIN_RETRY_AFTER), fleet_per_second }
+            }
         }
     }
 
--- a/crates/limits/src/notice.rs
+++ b/crates/limits/src/notice.rs
@@ -10,13 +10,13 @@
 pub enum BackoffError {
     /// Not a decimal number of seconds. Dates aren't supported.
     #[error("not a decimal number")]
-    NoNumber,
+    NotANumber,
     /// Negative, zero, infinite or above the longest accepted backoff.
     #[error("out of range")]
     OutOfRange,
     /// Several different backoffs in one answer.
     #[error("conflicting values")]
-    Several,
+    Conflicting,
 }
 
 /// Backoff that an answer requests.
@@ -28,20 +28,20 @@
     /// Send nothing to the server for this long.
     For(Duration),
     /// Invalid request, ignored: a backoff neither starts nor ends.
-    Unreadable(BackoffError),
+    Invalid(BackoffError),
 }
 
 impl RequestedBackoff {
     /// Parses the values of an answer's header, in seconds. `None` is a value that isn't text.
-    pub fn read<'a>(values: impl IntoIterator<Item = Option<&'a str>>) -> Self {
+    pub fn parse<'a>(values: impl IntoIterator<Item = Option<&'a str>>) -> Self {
         let mut requested = RequestedBackoff::Nothing;
         for value in values {
-            let next = match value.map_or(Err(BackoffError::NoNumber), parse_backoff) {
+            let next = match value.map_or(Err(BackoffError::NotANumber), parse_backoff) {
                 Ok(backoff) => RequestedBackoff::For(backoff),
-                Err(error) => return RequestedBackoff::Unreadable(error),
+                Err(error) => return RequestedBackoff::Invalid(error),
             };
             if requested != RequestedBackoff::Nothing && requested != next {
-                return RequestedBackoff::Unreadable(BackoffError::Several);
+                return RequestedBackoff::Invalid(BackoffError::Conflicting);
             }
             requested = next;
         }
@@ -50,7 +50,7 @@
 }
 
 fn parse_backoff(text: &str) -> Result<Duration, BackoffError> {
-    let seconds: f64 = text.trim().parse().map_err(|_| BackoffError::NoNumber)?;
+    let seconds: f64 = text.trim().parse().map_err(|_| BackoffError::NotANumber)?;
     let backoff = Duration::try_from_secs_f64(seconds).map_err(|_| BackoffError::OutOfRange)?;
     match backoff.is_zero() || backoff > MAX_BACKOFF {
         true => Err(BackoffError::OutOfRange),
@@ -65,16 +65,16 @@
     #[default]
     Nothing,
     /// The server is departing.
-    Leaving,
+    Departing,
     /// Invalid announcement, ignored.
-    Unreadable,
+    Invalid,
 }
 
 /// Notices in one answer of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ServerNotice {
     /// Backoff that the server requests.
-    pub pause: RequestedBackoff,
+    pub backoff: RequestedBackoff,
     /// Whether the server announces its departure.
     pub departure: DepartureNotice,
 }
--- a/crates/limits/src/server_limit.rs
+++ b/crates/limits/src/server_limit.rs
@@ -51,7 +51,7 @@
     /// Last advertised rate.
     pub rate: RequestRate,
     /// Whether the limit has ended: the server doesn't advertise it any more.
-    pub is_over: bool,
+    pub has_ended: bool,
 }
 
 /// Limit that currently applies to the requests of all routers together.
@@ -95,13 +95,13 @@
 impl ServerLimit {
     /// Creates the state from this router's first observation. `unix_ms` is the wall-clock time; it
     /// orders concurrent first reports of several routers.
-    pub fn heard_first(rate: RequestRate, now: Timestamp, unix_ms: u64) -> Self {
-        let known = PeerLimit { sequence: unix_ms, rate, is_over: false };
+    pub fn from_observation(rate: RequestRate, now: Timestamp, unix_ms: u64) -> Self {
+        let known = PeerLimit { sequence: unix_ms, rate, has_ended: false };
         ServerLimit { last_observed_at: Some(now), ..Self::new(known, now) }
     }
 
     /// Creates the state from a peer's report.
-    pub fn told_first(reported: PeerLimit, now: Timestamp) -> Self {
+    pub fn from_report(reported: PeerLimit, now: Timestamp) -> Self {
         ServerLimit {
             last_reported_at: Some(now),
             has_unreported_change: false,
@@ -131,8 +131,8 @@
     }
 
     /// Records that an answer to this router advertised `rate`. Returns whether the rate changed.
-    pub fn heard(&mut self, rate: RequestRate, now: Timestamp, unix_ms: u64) -> bool {
-        let is_same = !self.known.is_over && is_same_rate(rate, self.known.rate);
+    pub fn observe_rate(&mut self, rate: RequestRate, now: Timestamp, unix_ms: u64) -> bool {
+        let is_same = !self.known.has_ended && is_same_rate(rate, self.known.rate);
         (self.last_advertised_at, self.last_observed_at) = (now, Some(now));
         if !is_same {
             self.set_limit(rate, false, now, unix_ms);
@@ -143,22 +143,22 @@
     /// Records that an answer to a request sent at `sent_at` advertised no limit. Returns whether
     /// this ends the limit: an answer to a request sent before the limit was last advertised may
     /// be older than the limit.
-    pub fn heard_none(&mut self, sent_at: Timestamp, now: Timestamp, unix_ms: u64) -> bool {
-        let is_over = sent_at > self.last_advertised_at && !self.known.is_over;
-        if is_over {
+    pub fn observe_no_limit(&mut self, sent_at: Timestamp, now: Timestamp, unix_ms: u64) -> bool {
+        let has_ended = sent_at > self.last_advertised_at && !self.known.has_ended;
+        if has_ended {
             self.set_limit(self.known.rate, true, now, unix_ms);
         }
-        is_over
+        has_ended
     }
 
     /// Applies a peer's report. Returns whether it was newer than the known state.
-    pub fn told(&mut self, reported: PeerLimit, now: Timestamp, unix_ms: u64) -> bool {
+    pub fn apply_report(&mut self, reported: PeerLimit, now: Timestamp, unix_ms: u64) -> bool {
         if reported.sequence < self.known.sequence {
             return false;
         }
         let observed_recently =
             self.last_observed_at.is_some_and(|at| now.since(at) < OBSERVATION_PRECEDENCE);
-        if reported.is_over && observed_recently && !self.known.is_over {
+        if reported.has_ended && observed_recently && !self.known.has_ended {
             // This router has just observed the limit: report to the others that it still applies.
             self.known.sequence = reported.sequence;
             self.set_limit(self.known.rate, false, now, unix_ms);
@@ -169,7 +169,7 @@
             self.blocked_until = self.blocked_until.min(self.scaled_blocked_until(reported, now));
             (self.known, self.adopted_at, self.has_unreported_change) = (reported, now, false);
         }
-        if !reported.is_over {
+        if !reported.has_ended {
             self.last_advertised_at = now;
         }
         self.last_reported_at = Some(now);
@@ -177,7 +177,7 @@
     }
 
     /// Returns the state if it is due to be reported to the other routers, and marks it as reported.
-    pub fn news(&mut self, now: Timestamp) -> Option<PeerLimit> {
+    pub fn take_due_report(&mut self, now: Timestamp) -> Option<PeerLimit> {
         let age = self.last_reported_at.map(|at| now.since(at));
         let advertised_now = self.last_advertised_at == now;
         let is_due = match self.has_unreported_change {
@@ -204,13 +204,13 @@
     }
 
     /// Records the verdict on a request to the server.
-    pub fn decided(&mut self, verdict: &Verdict, by: Decider, now: Timestamp) {
+    pub fn record_verdict(&mut self, verdict: &Verdict, by: Decider, now: Timestamp) {
         let fleet_per_second = match *verdict {
             Verdict::Admitted { fleet_per_second } => fleet_per_second,
-            Verdict::Refused { pause, fleet_per_second } => {
+            Verdict::Refused { retry_after, fleet_per_second } => {
                 let wait = match by {
-                    Decider::Owner => pause,
-                    Decider::Router => pause.min(MAX_LOCAL_WAIT),
+                    Decider::Owner => retry_after,
+                    Decider::Router => retry_after.min(MAX_LOCAL_WAIT),
                 };
                 self.blocked_until = now.after(wait);
                 fleet_per_second
@@ -224,14 +224,14 @@
     }
 
     /// Time until a request to the server may be admitted again, or `None` if it may be now.
-    pub fn pause(&self, now: Timestamp) -> Option<Duration> {
+    pub fn remaining_wait(&self, now: Timestamp) -> Option<Duration> {
         let wait = self.blocked_until.since(now);
         let is_blocked = !wait.is_zero() && self.doublings(now) < MAX_DOUBLINGS;
         is_blocked.then_some(wait)
     }
 
     /// Recently used share of the limit, over all routers, from 0 to 1.
-    pub fn used_part(&self, now: Timestamp) -> f64 {
+    pub fn used_share(&self, now: Timestamp) -> f64 {
         match self.doublings(now) {
             0 => self.utilization.at(now).clamp(0.0, 1.0),
             _ => 0.0,
@@ -240,17 +240,17 @@
 
     /// Number of times that an ended limit has doubled.
     fn doublings(&self, now: Timestamp) -> u64 {
-        if !self.known.is_over {
+        if !self.known.has_ended {
             return 0;
         }
         let elapsed = now.since(self.adopted_at).as_millis();
         u64::try_from(elapsed / DOUBLING_INTERVAL.as_millis()).unwrap_or(u64::MAX)
     }
 
-    fn set_limit(&mut self, rate: RequestRate, is_over: bool, now: Timestamp, unix_ms: u64) {
+    fn set_limit(&mut self, rate: RequestRate, has_ended: bool, now: Timestamp, unix_ms: u64) {
         // Exceeds every version that the account may have received for the doublings.
         let sequence = unix_ms.max(self.known.sequence + MAX_DOUBLINGS + 1);
-        let known = PeerLimit { sequence, rate, is_over };
+        let known = PeerLimit { sequence, rate, has_ended };
         self.blocked_until = self.blocked_until.min(self.scaled_blocked_until(known, now));
         (self.known, self.adopted_at, self.has_unreported_change) = (known, now, true);
     }
@@ -259,7 +259,7 @@
     fn scaled_blocked_until(&self, next: PeerLimit, now: Timestamp) -> Timestamp {
         let wait = self.blocked_until.since(now);
         let factor = self.known.rate.per_second() / next.rate.per_second();
-        let factor = if next.is_over { factor / 2.0 } else { factor };
+        let factor = if next.has_ended { factor / 2.0 } else { factor };
         now.after(wait.mul_f64(factor.min(1.0)))
     }
 }
--- a/crates/limits/tests/buckets.rs
+++ b/crates/limits/tests/buckets.rs
@@ -3,7 +3,8 @@
 use std::time::Duration;
 
 use juniper_limits::{
-    ChargeRequest, FleetShare, LimitOwner, LocalLimits, RateLimit, TokenBucket, Verdict, owners,
+    ChargeRequest, FleetShare, LimitOwner, LocalLimits, RateLimit, TokenBucket, Verdict,
+    rank_owners,
 };
 use juniper_types::{NodeId, Timestamp};
 use quickcheck::QuickCheck;
@@ -20,7 +21,7 @@
         limit: LIMIT,
         version: 1,
         units,
-        is_certain: false,
+        is_unconditional: false,
         reserve: 0.0,
     }
 }
@@ -91,9 +92,9 @@
 fn refunds_are_credited_and_unconditional_charges_are_counted() {
     let mut owner = LimitOwner::default();
     while charge(&mut owner, 50.0, at(0)) {}
-    owner.give_back("one", 100.0, at(0));
+    owner.refund("one", 100.0, at(0));
     assert!(charge(&mut owner, 1.0, at(0)));
-    let second_attempt = ChargeRequest { is_certain: true, ..request(10_000.0) };
+    let second_attempt = ChargeRequest { is_unconditional: true, ..request(10_000.0) };
     assert!(owner.charge(&second_attempt, at(0), 0.0).is_admitted());
     assert!(!charge(&mut owner, 1.0, at(9_000)));
 }
@@ -105,7 +106,7 @@
     let mut delays = Vec::new();
     for draw in [0.0, 0.25, 0.5, 0.75] {
         match owner.charge(&request(2_000.0), at(0), draw) {
-            Verdict::Refused { pause, .. } => delays.push(pause),
+            Verdict::Refused { retry_after, .. } => delays.push(retry_after),
             Verdict::Admitted { .. } => panic!("the bucket is empty"),
         }
     }
@@ -120,10 +121,10 @@
     let none = RateLimit { per_second: 0.0, burst: 0.0 };
     let refused = owner.charge(&ChargeRequest { limit: none, ..request(1.0) }, at(0), 0.0);
     assert!(!refused.is_admitted());
-    assert_eq!(owner.accounts(), 1);
+    assert_eq!(owner.account_count(), 1);
     let later = ChargeRequest { account: "two", ..request(1.0) };
     owner.charge(&later, at(80_000), 0.0);
-    assert_eq!(owner.accounts(), 1);
+    assert_eq!(owner.account_count(), 1);
 }
 
 #[test]
@@ -135,7 +136,7 @@
         let mut bucket = TokenBucket::at_level(1.0, LIMIT, at(0));
         let draw = f64::from(index) / f64::from(buckets);
         let limit = RateLimit { per_second: 0.0, ..LIMIT };
-        if bucket.take_by_chance(100.0, limit, at(0), draw).is_ok() {
+        if bucket.take_probabilistic(100.0, limit, at(0), draw).is_ok() {
             admitted += 100.0;
         }
     }
@@ -148,7 +149,7 @@
     // The owner admits 400 units per second over all routers, a quarter of them on this one.
     for step in 0..400 {
         let verdict = Verdict::Admitted { fleet_per_second: 400.0 };
-        local.heard(&request(10.0), &verdict, at(step * 100));
+        local.record_verdict(&request(10.0), &verdict, at(step * 100));
     }
     let start = 40_000;
     let mut admitted = 0.0;
@@ -166,7 +167,7 @@
 fn only_accounts_of_a_failed_replica_change_owner() {
     let replicas: Vec<NodeId> = (1..=6).map(NodeId).collect();
     let names: Vec<String> = (0..600).map(|number| format!("tenant-{number}")).collect();
-    let first = |replicas: &[NodeId], name: &str| owners(replicas.iter().copied(), name)[0];
+    let first = |replicas: &[NodeId], name: &str| rank_owners(replicas.iter().copied(), name)[0];
     let remaining: Vec<NodeId> = replicas[1..].to_vec();
     let mut owned = [0; 6];
     for name in &names {
@@ -177,7 +178,7 @@
         }
     }
     assert!(owned.iter().all(|count| (60..=140).contains(count)), "{owned:?}");
-    assert!(owners([], "one").is_empty());
+    assert!(rank_owners([], "one").is_empty());
 }
 
 #[test]
--- a/crates/limits/tests/server_limits/strategies.rs
+++ b/crates/limits/tests/server_limits/strategies.rs
@@ -2,7 +2,7 @@
 
 use juniper_limits::{
     Allowance, ChargeRequest, Decider, FleetShare, LimitOwner, LocalLimits, PeerLimit, RateLimit,
-    RequestRate, ServerLimit, TokenBucket, owners,
+    RequestRate, ServerLimit, TokenBucket, rank_owners,
 };
 use juniper_types::NodeId;
 
@@ -39,7 +39,8 @@
     fn owner(fleet: &Fleet, router: usize, now: u64) -> Option<usize> {
         let connected_replicas =
             (0..fleet.replicas).filter(|replica| fleet.seems_connected(router, *replica, now));
-        let ordered = owners(connected_replicas.map(|replica| NodeId(replica as u64)), "server");
+        let ordered =
+            rank_owners(connected_replicas.map(|replica| NodeId(replica as u64)), "server");
         let first = ordered.first()?.0 as usize;
         let reaches = fleet.is_up(first, now) && !fleet.is_partitioned(router, now);
         reaches.then_some(first)
@@ -58,17 +59,23 @@
         let Some(Allowance { limit: rate, version }) = limit.allowance(time(now)) else {
             return true;
         };
-        if limit.pause(time(now)).is_some() {
+        if limit.remaining_wait(time(now)).is_some() {
             return false;
         }
         let (account, units) = ("server", 1.0);
-        let charge =
-            ChargeRequest { account, limit: rate, version, units, is_certain: false, reserve: 0.0 };
+        let charge = ChargeRequest {
+            account,
+            limit: rate,
+            version,
+            units,
+            is_unconditional: false,
+            reserve: 0.0,
+        };
         let (verdict, by) = match Self::owner(fleet, router, now) {
             Some(owner) => {
                 self.charges += 1;
                 let verdict = self.owners[owner].charge(&charge, time(now), draw);
-                local.heard(&charge, &verdict, time(now));
+                local.record_verdict(&charge, &verdict, time(now));
                 (verdict, Decider::Owner)
             }
             None => {
@@ -76,7 +83,7 @@
                 (local.decide(&charge, routers, time(now), draw), Decider::Router)
             }
         };
-        limit.decided(&verdict, by, time(now));
+        limit.record_verdict(&verdict, by, time(now));
         verdict.is_admitted()
     }
 
@@ -90,25 +97,25 @@
         let limit = &mut self.routers[router].limit;
         match (advertised, limit.as_mut()) {
             (Some(rate), Some(limit)) => {
-                limit.heard(rate, time(now), unix_ms(now));
+                limit.observe_rate(rate, time(now), unix_ms(now));
             }
             (Some(rate), None) => {
-                *limit = Some(ServerLimit::heard_first(rate, time(now), unix_ms(now)));
+                *limit = Some(ServerLimit::from_observation(rate, time(now), unix_ms(now)));
             }
             (None, Some(limit)) => {
-                limit.heard_none(time(sent_at), time(now), unix_ms(now));
+                limit.observe_no_limit(time(sent_at), time(now), unix_ms(now));
             }
             (None, None) => {}
         }
-        limit.as_mut()?.news(time(now))
+        limit.as_mut()?.take_due_report(time(now))
     }
 
     fn apply_report(&mut self, router: usize, reported: PeerLimit, now: u64) {
         match &mut self.routers[router].limit {
             Some(limit) => {
-                limit.told(reported, time(now), unix_ms(now));
+                limit.apply_report(reported, time(now), unix_ms(now));
             }
-            limit => *limit = Some(ServerLimit::told_first(reported, time(now))),
+            limit => *limit = Some(ServerLimit::from_report(reported, time(now))),
         }
     }
 
@@ -149,7 +156,7 @@
     fn admits(&mut self, _fleet: &Fleet, router: usize, now: u64, draw: f64) -> bool {
         let local_limit = self.local_limit();
         let Some(bucket) = &mut self.buckets[router] else { return true };
-        bucket.take_by_chance(1.0, local_limit, time(now), draw).is_ok()
+        bucket.take_probabilistic(1.0, local_limit, time(now), draw).is_ok()
     }
 
     fn observe_answer(
@@ -165,7 +172,7 @@
             self.buckets[router] = Some(TokenBucket::at_level(0.0, local_limit, time(now)));
         }
         let rate = advertised.filter(|_| is_first)?;
-        Some(PeerLimit { sequence: 0, rate, is_over: false })
+        Some(PeerLimit { sequence: 0, rate, has_ended: false })
     }
 
     fn apply_report(&mut self, router: usize, _reported: PeerLimit, now: u64) {
--- a/crates/limits/tests/strategies/owned.rs
+++ b/crates/limits/tests/strategies/owned.rs
@@ -1,6 +1,6 @@
 //! Production strategy: each request is charged to the replica that owns the account.
 
-use juniper_limits::{ChargeRequest, LimitOwner, LocalLimits, owners};
+use juniper_limits::{ChargeRequest, LimitOwner, LocalLimits, rank_owners};
 use juniper_types::{NodeId, Timestamp};
 
 use crate::world::{Arrival, KEY_CACHE_TTL_MS, Strategy, World};
@@ -27,7 +27,7 @@
         let (router, now) = (arrival.router, arrival.at);
         let connected =
             (0..world.replicas).filter(|replica| world.seems_connected(router, *replica, now));
-        let ordered = owners(connected.map(|replica| NodeId(replica as u64)), "tenant");
+        let ordered = rank_owners(connected.map(|replica| NodeId(replica as u64)), "tenant");
         for node in ordered.into_iter().take(2) {
             let replica = node.0 as usize;
             if !world.reaches(router, replica, now) {
@@ -48,7 +48,7 @@
             limit: world.limit,
             version: 1,
             units: arrival.units,
-            is_certain: false,
+            is_unconditional: false,
             reserve: 0.0,
         };
         for (replica, owner) in self.owners.iter_mut().enumerate() {
@@ -67,7 +67,7 @@
         match Self::owner(world, arrival) {
             Some(owner) => {
                 let verdict = self.owners[owner].charge(&request, now, arrival.draw);
-                local.heard(&request, &verdict, now);
+                local.record_verdict(&request, &verdict, now);
                 verdict.is_admitted()
             }
             None => local.decide(&request, world.routers as u32, now, arrival.draw).is_admitted(),
--- a/crates/placement/src/server_limits.rs
+++ b/crates/placement/src/server_limits.rs
@@ -34,9 +34,9 @@
     ) -> Option<LimitChange> {
         let server = self.server_mut(instance)?;
         let is_new = match &mut server.limit {
-            Some(limit) => limit.heard(rate, at.now, at.unix_ms),
+            Some(limit) => limit.observe_rate(rate, at.now, at.unix_ms),
             limit => {
-                *limit = Some(ServerLimit::heard_first(rate, at.now, at.unix_ms));
+                *limit = Some(ServerLimit::from_observation(rate, at.now, at.unix_ms));
                 true
             }
         };
@@ -52,7 +52,7 @@
         at: ObservedAt,
     ) -> Option<LimitChange> {
         let limit = self.server_mut(instance)?.limit.as_mut()?;
-        limit.heard_none(sent_at, at.now, at.unix_ms).then_some(LimitChange::Over)
+        limit.observe_no_limit(sent_at, at.now, at.unix_ms).then_some(LimitChange::Over)
     }
 
     /// Records another router's report of the server's limit. Returns the change, if any.
@@ -64,14 +64,15 @@
     ) -> Option<LimitChange> {
         let server = self.server_mut(instance)?;
         let is_new = match &mut server.limit {
-            Some(limit) => limit.told(told, at.now, at.unix_ms),
-            None if told.is_over => false,
+            Some(limit) => limit.apply_report(told, at.now, at.unix_ms),
+            None if told.has_ended => false,
             limit => {
-                *limit = Some(ServerLimit::told_first(told, at.now));
+                *limit = Some(ServerLimit::from_report(told, at.now));
                 true
             }
         };
-        let change = if told.is_over { LimitChange::Over } else { LimitChange::Stated(told.rate) };
+        let change =
+            if told.has_ended { LimitChange::Over } else { LimitChange::Stated(told.rate) };
         is_new.then_some(change)
     }
 
@@ -100,7 +101,7 @@
         now: Timestamp,
     ) {
         if let Some(limit) = self.server_mut(instance).and_then(|server| server.limit.as_mut()) {
-            limit.decided(verdict, by, now);
+            limit.record_verdict(verdict, by, now);
         }
     }
 
--- a/crates/quarantine/src/completed_requests.rs
+++ b/crates/quarantine/src/completed_requests.rs
@@ -20,13 +20,13 @@
 
 impl CompletedRequests {
     /// Records a completed request.
-    pub fn note(&mut self, request: &RequestFingerprint) {
+    pub fn record(&mut self, request: &RequestFingerprint) {
         let (slot, tag) = slot_of(request);
         self.slots[slot] = tag;
     }
 
     /// Whether the request has completed and hasn't been overwritten since.
-    pub fn has(&self, request: &RequestFingerprint) -> bool {
+    pub fn contains(&self, request: &RequestFingerprint) -> bool {
         let (slot, tag) = slot_of(request);
         self.slots[slot] == tag
     }
--- a/crates/quarantine/src/rebroadcast.rs
+++ b/crates/quarantine/src/rebroadcast.rs
@@ -32,7 +32,7 @@
 
 impl Rebroadcast {
     /// Schedules the repeats of a report that was sent for the first time.
-    pub fn told(&mut self, report: Report, now: Timestamp) {
+    pub fn schedule(&mut self, report: Report, now: Timestamp) {
         if self.pending.len() >= MAX_PENDING {
             self.pending.pop_front();
         }
--- a/crates/quarantine/tests/counts.rs
+++ b/crates/quarantine/tests/counts.rs
@@ -3,7 +3,8 @@
 use std::time::Duration;
 
 use juniper_quarantine::{
-    CompletedRequests, Counted, CrashCounts, CrashReport, Rebroadcast, Report, UnrecordedQuarantine,
+    CompletedRequests, CountOutcome, CrashCounts, CrashReport, Rebroadcast, Report,
+    UnrecordedQuarantine,
 };
 use juniper_registry::InstanceId;
 use juniper_types::{RequestFingerprint, Timestamp};
@@ -24,26 +25,30 @@
 }
 
 fn report(request_id: u8, server_id: u8, age_ms: u64) -> CrashReport {
-    let (age, under_way) = (Duration::from_millis(age_ms), Duration::from_millis(500));
+    let (age, in_flight_for) = (Duration::from_millis(age_ms), Duration::from_millis(500));
     let (request, instance) = (request(request_id), server(server_id));
-    CrashReport { request, instance, age, under_way, ended_well: false }
+    CrashReport { request, instance, age, in_flight_for, completed_before: false }
 }
 
-fn crash(counts: &mut CrashCounts, request_id: u8, server_id: u8, now: Timestamp) -> Counted {
-    counts.crashed(&report(request_id, server_id, 0), now, NO_DELAY)
+fn crash(counts: &mut CrashCounts, request_id: u8, server_id: u8, now: Timestamp) -> CountOutcome {
+    counts.record_crash(&report(request_id, server_id, 0), now, NO_DELAY)
 }
 
 #[test]
 fn the_third_crash_quarantines_only_its_request() {
     let mut counts = CrashCounts::default();
-    assert_eq!(crash(&mut counts, 1, 1, at(100)), Counted::Suspected(1));
-    assert_eq!(crash(&mut counts, 1, 2, at(101)), Counted::Suspected(2));
-    assert_eq!(crash(&mut counts, 2, 2, at(101)), Counted::Suspected(1), "in flight there too");
+    assert_eq!(crash(&mut counts, 1, 1, at(100)), CountOutcome::Suspected(1));
+    assert_eq!(crash(&mut counts, 1, 2, at(101)), CountOutcome::Suspected(2));
+    assert_eq!(
+        crash(&mut counts, 2, 2, at(101)),
+        CountOutcome::Suspected(1),
+        "in flight there too"
+    );
     assert!(!counts.is_quarantined(&request(1)));
     let servers = vec![server(1), server(2), server(3)];
-    assert_eq!(crash(&mut counts, 1, 3, at(102)), Counted::Quarantined(servers));
+    assert_eq!(crash(&mut counts, 1, 3, at(102)), CountOutcome::Quarantined(servers));
     assert!(counts.is_quarantined(&request(1)) && !counts.is_quarantined(&request(2)));
-    assert_eq!(crash(&mut counts, 1, 4, at(103)), Counted::Known, "a copy in flight");
+    assert_eq!(crash(&mut counts, 1, 4, at(103)), CountOutcome::Known, "a copy in flight");
 }
 
 #[test]
@@ -51,7 +56,7 @@
     let mut counts = CrashCounts::default();
     crash(&mut counts, 1, 1, at(100));
     for seconds in 101..110 {
-        assert_eq!(crash(&mut counts, 1, 1, at(seconds)), Counted::Known);
+        assert_eq!(crash(&mut counts, 1, 1, at(seconds)), CountOutcome::Known);
     }
     assert!(!counts.is_quarantined(&request(1)));
 }
@@ -61,14 +66,23 @@
 fn simultaneous_crashes_under_a_completed_request_count_once() {
     let mut counts = CrashCounts::default();
     for server_id in 1..=9 {
-        let crash_report =
-            CrashReport { ended_well: true, ..report(1, server_id, u64::from(server_id) * 10) };
-        assert_eq!(counts.crashed(&crash_report, at(100), NO_DELAY), Counted::Suspected(1));
+        let crash_report = CrashReport {
+            completed_before: true,
+            ..report(1, server_id, u64::from(server_id) * 10)
+        };
+        assert_eq!(
+            counts.record_crash(&crash_report, at(100), NO_DELAY),
+            CountOutcome::Suspected(1)
+        );
     }
     // A late report carries the age of the crash.
-    let late = CrashReport { ended_well: true, ..report(1, 10, 5_000) };
-    assert_eq!(counts.crashed(&late, at(105), NO_DELAY), Counted::Suspected(1));
-    assert_eq!(crash(&mut counts, 1, 11, at(106)), Counted::Suspected(2), "a later crash counts");
+    let late = CrashReport { completed_before: true, ..report(1, 10, 5_000) };
+    assert_eq!(counts.record_crash(&late, at(105), NO_DELAY), CountOutcome::Suspected(1));
+    assert_eq!(
+        crash(&mut counts, 1, 11, at(106)),
+        CountOutcome::Suspected(2),
+        "a later crash counts"
+    );
 }
 
 /// Copies of a request that crashes its servers arrive at several routers at once.
@@ -78,21 +92,21 @@
     for server_id in 1..=2 {
         let crash_report = report(1, server_id, u64::from(server_id) * 10);
         assert_eq!(
-            counts.crashed(&crash_report, at(100), NO_DELAY),
-            Counted::Suspected(server_id.into())
+            counts.record_crash(&crash_report, at(100), NO_DELAY),
+            CountOutcome::Suspected(server_id.into())
         );
     }
-    let third = counts.crashed(&report(1, 3, 30), at(100), NO_DELAY);
-    assert!(matches!(third, Counted::Quarantined(_)), "{third:?}");
+    let third = counts.record_crash(&report(1, 3, 30), at(100), NO_DELAY);
+    assert!(matches!(third, CountOutcome::Quarantined(_)), "{third:?}");
 }
 
 #[test]
 fn completed_requests_are_recorded_until_overwritten() {
     let mut completed_requests = CompletedRequests::default();
-    assert!(!completed_requests.has(&request(0)), "a free slot matches no request");
-    (1..=9).for_each(|number| completed_requests.note(&request(number)));
-    assert!((1..=9).all(|number| completed_requests.has(&request(number))));
-    assert!(!completed_requests.has(&request(10)));
+    assert!(!completed_requests.contains(&request(0)), "a free slot matches no request");
+    (1..=9).for_each(|number| completed_requests.record(&request(number)));
+    assert!((1..=9).all(|number| completed_requests.contains(&request(number))));
+    assert!(!completed_requests.contains(&request(10)));
 }
 
 /// The router retries a request on the next server as soon as one has crashed under it.
@@ -100,12 +114,12 @@
 fn consecutive_crashes_count_each() {
     let mut counts = CrashCounts::default();
     for server_id in 1..=2_u8 {
-        let under_way = Duration::from_millis(4);
+        let in_flight_for = Duration::from_millis(4);
         let crash_report =
-            CrashReport { under_way, ..report(1, server_id, 100 - 10 * u64::from(server_id)) };
+            CrashReport { in_flight_for, ..report(1, server_id, 100 - 10 * u64::from(server_id)) };
         assert_eq!(
-            counts.crashed(&crash_report, at(100), NO_DELAY),
-            Counted::Suspected(server_id.into())
+            counts.record_crash(&crash_report, at(100), NO_DELAY),
+            CountOutcome::Suspected(server_id.into())
         );
     }
 }
@@ -116,14 +130,14 @@
     let mut remote = CrashCounts::default();
     crash(&mut local, 1, 1, at(100));
     crash(&mut local, 1, 2, at(101));
-    let clearance = local.answered(request(1), at(102)).expect("crashes counted");
-    remote.cleared(&clearance, at(102));
+    let clearance = local.record_completion(request(1), at(102)).expect("crashes counted");
+    remote.apply_clearance(&clearance, at(102));
     for counts in [&mut local, &mut remote] {
-        assert_eq!(crash(counts, 1, 1, at(103)), Counted::Known);
-        assert_eq!(crash(counts, 1, 2, at(103)), Counted::Known);
-        assert_eq!(crash(counts, 1, 3, at(104)), Counted::Suspected(1), "later crashes count");
+        assert_eq!(crash(counts, 1, 1, at(103)), CountOutcome::Known);
+        assert_eq!(crash(counts, 1, 2, at(103)), CountOutcome::Known);
+        assert_eq!(crash(counts, 1, 3, at(104)), CountOutcome::Suspected(1), "later crashes count");
     }
-    assert_eq!(local.answered(request(2), at(105)), None, "no crashes counted");
+    assert_eq!(local.record_completion(request(2), at(105)), None, "no crashes counted");
 }
 
 /// A copy of the request is in flight when the third crash is counted, and completes.
@@ -134,7 +148,7 @@
         drop(crash(&mut counts, 1, server_id, at(100 + u64::from(server_id))))
     });
     assert!(counts.is_quarantined(&request(1)));
-    assert!(counts.answered(request(1), at(110)).is_some());
+    assert!(counts.record_completion(request(1), at(110)).is_some());
     assert!(!counts.is_quarantined(&request(1)));
     assert!(counts.due_records(at(120), |_| false).is_empty());
 }
@@ -144,7 +158,7 @@
     let mut counts = CrashCounts::default();
     crash(&mut counts, 1, 1, at(100));
     crash(&mut counts, 1, 2, at(101));
-    counts.crashed(&report(1, 3, 0), at(102), Duration::from_secs(2));
+    counts.record_crash(&report(1, 3, 0), at(102), Duration::from_secs(2));
     assert!(
         counts.due_records(at(103), |_| false).is_empty(),
         "another router may have it recorded"
@@ -165,11 +179,11 @@
     (1..=3).for_each(|server_id| {
         drop(crash(&mut counts, 1, server_id, at(100 + u64::from(server_id))))
     });
-    counts.released(&request(1));
-    assert_eq!(crash(&mut counts, 1, 4, at(200)), Counted::Suspected(1));
-    counts.forget_old(at(799));
-    assert_eq!(counts.suspects(), 1);
-    counts.forget_old(at(800));
+    counts.release(&request(1));
+    assert_eq!(crash(&mut counts, 1, 4, at(200)), CountOutcome::Suspected(1));
+    counts.remove_expired(at(799));
+    assert_eq!(counts.suspect_count(), 1);
+    counts.remove_expired(at(800));
     assert!(counts.is_empty());
 }
 
@@ -183,10 +197,10 @@
         let mut bytes = [9; 16];
         bytes[..4].copy_from_slice(&number.to_be_bytes());
         let crash_report = CrashReport { request: RequestFingerprint(bytes), ..report(0, 3, 0) };
-        counts.crashed(&crash_report, at(102), NO_DELAY);
+        counts.record_crash(&crash_report, at(102), NO_DELAY);
     }
-    assert!((3_584..=4_096).contains(&counts.suspects()), "{}", counts.suspects());
-    assert!(matches!(crash(&mut counts, 1, 3, at(103)), Counted::Quarantined(_)));
+    assert!((3_584..=4_096).contains(&counts.suspect_count()), "{}", counts.suspect_count());
+    assert!(matches!(crash(&mut counts, 1, 3, at(103)), CountOutcome::Quarantined(_)));
 }
 
 quickcheck! {
@@ -199,7 +213,7 @@
             for (request_id, server_id) in crashes {
                 // The servers crash a second apart.
                 let crashed_ms = 1_000 * u64::from(*server_id);
-                counts.crashed(
+                counts.record_crash(
                     &report(*request_id, *server_id, 20_000 - crashed_ms),
                     at(100),
                     NO_DELAY,
@@ -220,7 +234,7 @@
 #[test]
 fn a_report_is_repeated_three_times_with_its_current_age() {
     let mut rebroadcast = Rebroadcast::default();
-    rebroadcast.told(Report::Crash(report(1, 1, 50)), at(100));
+    rebroadcast.schedule(Report::Crash(report(1, 1, 50)), at(100));
     let mut ages = Vec::new();
     for tenths in 0..80_u64 {
         let now = at(100).after(Duration::from_millis(tenths * 100));
