--- a/crates/placement/tests/rests.rs
+++ b/crates/placement/tests/backoffs.rs
@@ -1,4 +1,4 @@
-//! Servers that rest or leave, as one router knows them.
+//! Backoffs and departures of servers.
 
 mod support;
 
@@ -26,17 +26,17 @@
 }
 
 #[test]
-fn the_earliest_end_of_all_rests_is_told() {
+fn earliest_end_of_all_backoffs_is_returned() {
     let mut placement = placement(3);
     for (number, seconds) in [(1, 9), (2, 3), (3, 5)] {
         assert!(placement.asked_to_pause(&id(number), SECOND * seconds, at(0)));
     }
     assert_eq!(try_choose(&placement, 1_000), Err(NoChoice::Resting(SECOND * 2)));
-    assert_eq!(try_choose(&placement, 3_000).expect("it is back").instance, id(2));
+    assert_eq!(try_choose(&placement, 3_000).expect("the backoff has ended").instance, id(2));
 }
 
 #[test]
-fn a_rest_and_a_departure_outlast_a_view_without_the_server() {
+fn backoff_and_departure_survive_a_view_without_the_server() {
     let mut placement = placement(2);
     placement.asked_to_pause(&id(1), SECOND * 3, at(0));
     placement.heard_leaving(&id(2), at(0));
@@ -47,11 +47,11 @@
         placement.passed_over(SERVICE, at(1_000)),
         [(id(1), PassedOver::Resting), (id(2), PassedOver::Leaving)]
     );
-    assert_eq!(try_choose(&placement, 3_000).expect("it is back").instance, id(1));
+    assert_eq!(try_choose(&placement, 3_000).expect("the backoff has ended").instance, id(1));
 }
 
 #[test]
-fn a_later_incarnation_has_asked_for_nothing() {
+fn notices_do_not_apply_to_a_later_incarnation() {
     let started = |unix_ms| {
         let mut started = instance(1, 1);
         Arc::make_mut(&mut started.report).started = StartTime::from_unix_ms(unix_ms);
@@ -64,18 +64,18 @@
     placement.heard_leaving(&former.id, at(0));
     assert_eq!(try_choose(&placement, 10), Err(NoChoice::NoServer));
     placement.set_instances(&view([later.clone()]));
-    assert_eq!(try_choose(&placement, 20).expect("it takes requests").instance, later.id);
+    assert_eq!(try_choose(&placement, 20).expect("a new incarnation").instance, later.id);
     placement.set_instances(&view([former]));
-    assert_eq!(try_choose(&placement, 30), Err(NoChoice::NoServer), "it is final");
+    assert_eq!(try_choose(&placement, 30), Err(NoChoice::NoServer), "a departure is final");
 }
 
 #[test]
-fn what_others_tell_is_believed_for_ten_seconds_at_most() {
+fn peer_backoffs_count_for_ten_seconds_at_most() {
     let mut placement = placement(2);
     for router in [5, 6] {
         placement.told_of_pause(&id(1), NodeId(router), SECOND * 3_600, at(0));
     }
-    // Prompts of many homes.
+    // Different shared segments, so that both servers are homes.
     let chosen = |millis, shared| {
         let prompt = prompt(shared, 2);
         let choice = placement.choose(&request(&prompt, &[]), at(millis), millis);
--- a/crates/placement/tests/budget.rs
+++ b/crates/placement/tests/budgets.rs
@@ -1,4 +1,4 @@
-//! The retry budget holds for all routers together, whatever their share.
+//! Bounds of the retry budget and the report budget, which hold for all routers together.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_quiet_service_has_its_part_of_the_free_repeats() {
+fn quiet_service_gets_its_share_of_the_free_retries() {
     let mut budget = RetryBudget::new(SETTINGS);
     let taken = (0..100).filter(|_| budget.take("app", 9, at(0))).count();
     assert_eq!(taken, 4);
@@ -23,19 +23,19 @@
 }
 
 #[test]
-fn services_have_budgets_of_their_own() {
+fn services_have_separate_budgets() {
     let mut budget = RetryBudget::new(SETTINGS);
     while budget.take("one", 1, at(0)) {}
     assert!(budget.take("other", 1, at(0)));
 }
 
 quickcheck! {
-    /// In any window all routers together stay within the bound, even if one of
-    /// them has all of the traffic.
-    fn routers_together_stay_within_the_bound(routers: u8, load: Vec<(u8, u8)>) -> bool {
+    /// In any window all routers together stay within the bound, even if one of them gets all
+    /// requests.
+    fn all_routers_together_stay_within_the_bound(routers: u8, load: Vec<(u8, u8)>) -> bool {
         let routers = usize::from(routers % 9) + 1;
         let mut budgets = vec![RetryBudget::new(SETTINGS); routers];
-        let (mut requests, mut repeats) = (Vec::new(), Vec::new());
+        let (mut requests, mut retries) = (Vec::new(), Vec::new());
         for (step, (router, wanted)) in load.iter().enumerate() {
             let now = step as u64 * 137;
             let budget = &mut budgets[usize::from(*router) % routers];
@@ -43,24 +43,24 @@
             requests.push(now);
             for _ in 0..*wanted {
                 if budget.take("app", routers as u32, at(now)) {
-                    repeats.push(now);
+                    retries.push(now);
                 }
             }
         }
-        repeats.iter().all(|end| {
+        retries.iter().all(|end| {
             let within = |time: &&u64| **time <= *end && **time + 10_000 > *end;
             let in_window = requests.iter().filter(within).count() as f64;
-            let repeated = repeats.iter().filter(within).count() as f64;
-            repeated <= SETTINGS.ratio * in_window + SETTINGS.free
+            let retried = retries.iter().filter(within).count() as f64;
+            retried <= SETTINGS.ratio * in_window + SETTINGS.free
         })
     }
 }
 
-/// Sightings that each of so many routers tells in ten seconds if it has enough of them.
-fn told(routers: u32) -> usize {
+/// Reports that each of `routers` routers may send within ten seconds.
+fn reports_in_ten_seconds(routers: u32) -> usize {
     let mut budget = SightingBudget::default();
-    let looks = (0..10_000).step_by(25);
-    looks
+    let polls = (0..10_000).step_by(25);
+    polls
         .map(|millis| {
             let allowed = budget.allowed(routers, at(millis));
             budget.spend(allowed);
@@ -69,11 +69,11 @@
         .sum()
 }
 
-/// Without a bound a router would get 3,600 sightings a second at the size designed for.
+/// Guards against a report rate that grows with the number of routers.
 #[test]
-fn what_a_router_is_told_is_bounded_however_many_routers_there_are() {
+fn received_reports_are_bounded_for_any_number_of_routers() {
     for routers in [1, 7, 78, 340] {
-        let received = told(routers) * routers as usize;
+        let received = reports_in_ten_seconds(routers) * routers as usize;
         assert!((18_000..=22_500).contains(&received), "{routers} routers: {received} in 10 s");
     }
 }
--- a/crates/placement/tests/cost_of_a_choice.rs
+++ b/crates/placement/tests/choice_scaling.rs
@@ -1,4 +1,4 @@
-//! What a choice costs as the servers grow in number.
+//! Time of a choice as the number of servers grows.
 
 mod support;
 
@@ -6,25 +6,24 @@
 
 use support::{at, choose, placement, prompt, request};
 
-/// Rounds of which the quickest counts: whatever else the machine does only adds time.
+/// Number of rounds; the fastest one counts, to exclude noise from other processes.
 const ROUNDS: usize = 40;
 
-fn time_of_a_choice(servers: u16) -> Duration {
+fn choice_time(servers: u16) -> Duration {
     let mut placement = placement(servers);
     choose(&mut placement, &prompt(1, 1), 0);
     let prompt = prompt(1, 2);
     let round = || {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         placement.choose(&request(&prompt, &[]), at(10), 7).expect("a server");
-        begun.elapsed()
+        started_at.elapsed()
     };
     (0..ROUNDS).map(|_| round()).min().expect("rounds")
 }
 
-/// Sixteen times the servers took 129 times as long while a source was looked for anew for
-/// each of them.
+/// Guards against a search for transfer sources in quadratic time.
 #[test]
-fn a_choice_costs_no_more_than_in_proportion_to_the_servers() {
-    let (few, many) = (time_of_a_choice(64), time_of_a_choice(1_024));
+fn choice_time_grows_at_most_linearly_with_servers() {
+    let (few, many) = (choice_time(64), choice_time(1_024));
     assert!(many < few * 50, "64 servers {few:?}, 1,024 servers {many:?}");
 }
--- a/crates/placement/tests/notices/main.rs
+++ b/crates/placement/tests/notices/main.rs
@@ -1,7 +1,7 @@
-//! Many routers and servers that ask them for pauses or say that they leave, in simulated time: what
-//! reached each server is checked against what it had asked for.
+//! Simulation of many routers and of servers that request backoffs or announce departures. Checks
+//! the requests that reach each server against its notices.
 
-mod witness;
+mod checker;
 mod world;
 
 use std::time::Duration;
@@ -10,40 +10,40 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::witness::{Second, Witness};
-use crate::world::{Fault, Heeding, Play, World};
+use crate::checker::{Checker, SecondStats};
+use crate::world::{Fault, NoticeMode, Scenario, World};
 
-/// Seeds of every run; `NOTICE_SEEDS` asks for others.
-const USUAL_SEEDS: u64 = 60;
+/// Number of seeds per run; `NOTICE_SEEDS` overrides it.
+const DEFAULT_SEEDS: u64 = 60;
 
-/// A request of a life that was over came to a server after the restart.
+/// Seed in which a request of an ended incarnation reaches a server after the router's restart.
 const LATE_ARRIVAL_SEED: u64 = 994;
 
-/// Seeds of each play whose figures are compared.
+/// Number of seeds of each scenario in comparisons.
 const COMPARED_SEEDS: u64 = 2;
 
 fn at(millis: u64) -> Timestamp {
     Timestamp::from_millis(millis)
 }
 
-/// A play of twelve seconds with everything at once, drawn from a seed.
-fn drawn(seed: u64) -> Play {
+/// A random scenario of twelve seconds that combines all kinds of events.
+fn random_scenario(seed: u64) -> Scenario {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let (routers, servers) = (random.random_range(1..10), random.random_range(2..10));
-    let moment = |random: &mut ChaCha8Rng| at(random.random_range(500..10_000));
+    let random_time = |random: &mut ChaCha8Rng| at(random.random_range(500..10_000));
     let shedding = (0..random.random_range(0..servers * 2)).map(|_| {
-        let from = moment(&mut random);
+        let from = random_time(&mut random);
         let until = from.after(Duration::from_millis(random.random_range(200..6_000)));
-        let pause = match random.random_range(0..6) {
+        let backoff = match random.random_range(0..6) {
             0 => Duration::ZERO,
             1 => Duration::from_secs(3_600),
             _ => Duration::from_millis(random.random_range(100..4_000)),
         };
-        (random.random_range(0..servers), from, until, pause)
+        (random.random_range(0..servers), from, until, backoff)
     });
     let shedding = shedding.collect();
-    let leaving = (0..random.random_range(0..servers))
-        .map(|_| (random.random_range(0..servers), moment(&mut random)))
+    let departures = (0..random.random_range(0..servers))
+        .map(|_| (random.random_range(0..servers), random_time(&mut random)))
         .collect();
     let faults = (0..random.random_range(0..8))
         .map(|_| {
@@ -53,72 +53,72 @@
                 1 => Fault::Suspension(time),
                 _ => Fault::LostView(time),
             };
-            (moment(&mut random), random.random_range(0..routers), fault)
+            (random_time(&mut random), random.random_range(0..routers), fault)
         })
         .collect();
     let slots = random.random_range(2..8);
     let work_us = 90_000 / (servers * slots) as u64;
-    let gap_us = work_us * random.random_range(5..30) / 10;
+    let interval_us = work_us * random.random_range(5..30) / 10;
     let length = Duration::from_secs(12);
-    Play {
+    Scenario {
         routers,
         servers,
         slots,
-        gap_us,
+        interval_us,
         length,
         shedding,
-        leaving,
+        departures,
         faults,
-        heeding: Heeding::Told,
+        notice_mode: NoticeMode::Shared,
     }
 }
 
 #[test]
-fn nothing_reaches_a_server_that_it_asked_not_to_get() {
+fn servers_get_no_requests_they_asked_not_to_get() {
     let seeds = std::env::var("NOTICE_SEEDS").ok().and_then(|text| text.parse().ok());
-    let mut turned_away = 0;
-    for seed in (0..seeds.unwrap_or(USUAL_SEEDS)).chain([LATE_ARRIVAL_SEED]) {
-        let witness = World::new(drawn(seed), seed).run();
-        turned_away += witness.turned_away();
-        assert_eq!(witness.breach(), None, "seed {seed}");
+    let mut rejected = 0;
+    for seed in (0..seeds.unwrap_or(DEFAULT_SEEDS)).chain([LATE_ARRIVAL_SEED]) {
+        let checker = World::new(random_scenario(seed), seed).run();
+        rejected += checker.rejected();
+        assert_eq!(checker.violation(), None, "seed {seed}");
     }
-    println!("{turned_away} requests turned away with a pause");
-    assert!(turned_away > 0);
+    println!("{rejected} requests rejected with a backoff");
+    assert!(rejected > 0);
 }
 
 #[test]
-fn the_check_sees_routers_that_take_no_notice() {
-    let caught = (0..USUAL_SEEDS).filter(|seed| {
-        let play = Play { heeding: Heeding::Nothing, ..drawn(*seed) };
-        World::new(play, *seed).run().breach().is_some()
+fn checker_detects_routers_that_ignore_notices() {
+    let detected = (0..DEFAULT_SEEDS).filter(|seed| {
+        let scenario = Scenario { notice_mode: NoticeMode::Ignore, ..random_scenario(*seed) };
+        World::new(scenario, *seed).run().violation().is_some()
     });
-    let caught = caught.count() as u64;
-    println!("{caught} of {USUAL_SEEDS} seeds");
-    assert!(caught > USUAL_SEEDS / 2, "{caught} of {USUAL_SEEDS}");
+    let detected = detected.count() as u64;
+    println!("{detected} of {DEFAULT_SEEDS} seeds");
+    assert!(detected > DEFAULT_SEEDS / 2, "{detected} of {DEFAULT_SEEDS}");
 }
 
-/// Four of twelve servers turn requests away from 2 to 7 s and ask for 3 s of rest.
-fn a_third_sheds(routers: usize, heeding: Heeding) -> Play {
+/// Four of twelve servers shed load from 2 to 7 s and request a backoff of 3 s.
+fn third_of_servers_sheds(routers: usize, notice_mode: NoticeMode) -> Scenario {
     let shedding = (0..4).map(|server| (server, at(2_000), at(7_000), Duration::from_secs(3)));
-    Play {
+    Scenario {
         routers,
         servers: 12,
         slots: 4,
-        // 0.45 of what all servers can do.
-        gap_us: 4_166,
+        // 45 % of the capacity of all servers.
+        interval_us: 4_166,
         length: Duration::from_secs(12),
         shedding: shedding.collect(),
-        leaving: Vec::new(),
+        departures: Vec::new(),
         faults: Vec::new(),
-        heeding,
+        notice_mode,
     }
 }
 
 /// Sums over the seconds from `from` to before `until`.
-fn total(witnesses: &[Witness], from: usize, until: usize) -> Second {
-    let mut total = Second::default();
-    for witness in witnesses {
-        for second in witness.seconds.iter().take(until).skip(from) {
+fn sum_seconds(checkers: &[Checker], from: usize, until: usize) -> SecondStats {
+    let mut total = SecondStats::default();
+    for checker in checkers {
+        for second in checker.seconds.iter().take(until).skip(from) {
             total.sent += second.sent;
             total.in_time += second.in_time;
             total.late += second.late;
@@ -133,31 +133,33 @@
 }
 
 #[test]
-fn while_a_third_of_a_service_sheds_the_others_serve() {
+fn healthy_servers_take_over_while_a_third_sheds_load() {
     for routers in [7, 24, 48] {
-        let play = |heeding| -> Vec<Witness> {
+        let run = |notice_mode| -> Vec<Checker> {
             let seeds = 0..COMPARED_SEEDS;
-            seeds.map(|seed| World::new(a_third_sheds(routers, heeding), seed).run()).collect()
+            seeds
+                .map(|seed| World::new(third_of_servers_sheds(routers, notice_mode), seed).run())
+                .collect()
         };
-        let heedings = [Heeding::Nothing, Heeding::Own, Heeding::Told];
-        let [before, own, told] = heedings.map(|heeding| {
-            let witnesses = play(heeding);
-            let (during, ended) = (total(&witnesses, 2, 7), total(&witnesses, 9, 12));
-            let turned_away = witnesses.iter().map(Witness::turned_away).sum::<usize>();
+        let modes = [NoticeMode::Ignore, NoticeMode::OwnOnly, NoticeMode::Shared];
+        let [ignore, own_only, shared] = modes.map(|notice_mode| {
+            let checkers = run(notice_mode);
+            let (during, ended) = (sum_seconds(&checkers, 2, 7), sum_seconds(&checkers, 9, 12));
+            let rejected = checkers.iter().map(Checker::rejected).sum::<usize>();
             println!(
-                "{heeding:?} {routers} routers: in time {:.4}, refused {:.4} while they shed; in time {:.4}, \
-                 refused {:.4} from 2 s after it; turned away {} a play",
+                "{notice_mode:?} {routers} routers: in time {:.4}, refused {:.4} while they shed; in time {:.4}, \
+                 refused {:.4} from 2 s after it; {} rejections a run",
                 share(during.in_time, during.sent),
                 share(during.refused, during.sent),
                 share(ended.in_time, ended.sent),
                 share(ended.refused, ended.sent),
-                turned_away / witnesses.len()
+                rejected / checkers.len()
             );
             during
         });
 
-        assert!(share(told.refused, told.sent) < share(before.refused, before.sent) / 2.0);
-        assert!(share(told.in_time, told.sent) > share(before.in_time, before.sent));
-        assert!(told.refused <= own.refused, "what others tell spares refusals");
+        assert!(share(shared.refused, shared.sent) < share(ignore.refused, ignore.sent) / 2.0);
+        assert!(share(shared.in_time, shared.sent) > share(ignore.in_time, ignore.sent));
+        assert!(shared.refused <= own_only.refused, "peer reports avoid refusals");
     }
 }
--- a/crates/placement/tests/notices/world.rs
+++ b/crates/placement/tests/notices/world.rs
@@ -1,4 +1,4 @@
-//! Routers and servers in simulated time: every message takes its time, and servers see what comes.
+//! Simulation of routers and servers with message delays, in virtual time.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -17,102 +17,102 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::witness::{Arrival, Disturbance, Witness};
+use crate::checker::{Arrival, Checker, Disturbance};
 
 const SERVICE: &str = "app";
 
-/// Servers that a request is sent to at most, and servers that may be missed before sending.
-const MAX_SENT: u32 = 4;
+/// Maximum number of servers that a caller's request is sent to.
+const MAX_ATTEMPTS: u32 = 4;
 
-/// Time that a caller wants its answer in.
+/// Time within which callers want an answer.
 const OBJECTIVE: Duration = Duration::from_millis(300);
 
-/// Time for which a server works on a request.
-const WORK: Duration = Duration::from_millis(90);
+/// Time for which a server processes a request.
+const SERVICE_TIME: Duration = Duration::from_millis(90);
 
-/// Requests that a server takes, running and waiting, for each of its slots.
-const TAKEN_PER_SLOT: usize = 2;
+/// Maximum number of running and queued requests on a server, per slot.
+const MAX_REQUESTS_PER_SLOT: usize = 2;
 
-/// What is played.
+/// A scenario to simulate.
 #[derive(Clone, Debug)]
-pub struct Play {
+pub struct Scenario {
     pub routers: usize,
     pub servers: usize,
     pub slots: usize,
-    /// Mean time between two requests, in microseconds.
-    pub gap_us: u64,
+    /// Mean interval between requests, in microseconds.
+    pub interval_us: u64,
     pub length: Duration,
-    /// Servers that turn requests away, from when until when, and the pause that they ask for.
+    /// Servers that shed load: server, start, end and requested backoff.
     pub shedding: Vec<(usize, Timestamp, Timestamp, Duration)>,
-    /// Servers that say that they leave, and from when on.
-    pub leaving: Vec<(usize, Timestamp)>,
-    /// Routers that are disturbed, when, how.
+    /// Departures: server and time of the announcement.
+    pub departures: Vec<(usize, Timestamp)>,
+    /// Faults: time, router and kind.
     pub faults: Vec<(Timestamp, usize, Fault)>,
-    /// What routers make of what servers ask for.
-    pub heeding: Heeding,
+    /// How routers handle backoffs and departures.
+    pub notice_mode: NoticeMode,
 }
 
-/// What routers make of what servers ask for.
+/// How routers handle backoffs and departures.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heeding {
-    /// They take no notice.
-    Nothing,
-    /// Each takes notice of what it was asked itself.
-    Own,
-    /// They tell each other, too.
-    Told,
+pub enum NoticeMode {
+    /// Routers ignore them.
+    Ignore,
+    /// Each router respects those that it receives itself.
+    OwnOnly,
+    /// Routers also report them to each other.
+    Shared,
 }
 
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
-    /// It starts again and knows nothing.
+    /// The router restarts and loses its state.
     Restart,
-    /// It doesn't run for a while, and its clock stands still.
+    /// The router doesn't run for a while, and its clock stands still.
     Suspension(Duration),
-    /// It sees no servers for a while.
+    /// The router has an empty instance list for a while.
     LostView(Duration),
 }
 
 #[derive(Clone, Debug)]
-struct Call {
+struct CallerRequest {
     sent: Timestamp,
-    tries: u32,
+    attempts: u32,
     excluded: Vec<InstanceId>,
-    /// Names the sending that is under way to the other routers.
-    told: Option<ToldRequest>,
+    /// Identity of the current dispatch in reports to other routers.
+    reported: Option<ToldRequest>,
 }
 
 #[derive(Debug)]
 enum Event {
-    Caller,
+    NextCaller,
     Fault(usize, Fault),
-    View(usize),
-    /// The router has a connection and may send.
-    Connected(usize, Box<Choice>, Box<Ticket>, u64, Call),
-    Arrives(usize, usize, Box<Ticket>, u64, Call),
-    Answered(usize, usize, Box<Ticket>, u64, Call, Answer),
+    ViewRestored(usize),
+    /// The router has connected to the server and may send the request.
+    Connected(usize, Box<Choice>, Box<Ticket>, u64, CallerRequest),
+    Arrived(usize, usize, Box<Ticket>, u64, CallerRequest),
+    Answered(usize, usize, Box<Ticket>, u64, CallerRequest, Answer),
     Done(usize),
-    Told(usize, ToldRequest, ChainSighting),
-    ToldEnd(usize, ToldRequest),
-    ToldPause(usize, usize, InstanceId, Duration),
-    ToldLeaving(usize, InstanceId),
+    PeerDispatch(usize, ToldRequest, ChainSighting),
+    PeerCompletion(usize, ToldRequest),
+    PeerBackoff(usize, usize, InstanceId, Duration),
+    PeerDeparture(usize, InstanceId),
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Answer {
     is_served: bool,
-    pause: Option<Duration>,
-    is_leaving: bool,
+    backoff: Option<Duration>,
+    is_departing: bool,
 }
 
 struct Router {
     placement: Placement,
     budget: RetryBudget,
-    /// Time for which it was suspended, and until when it is.
-    suspended: Duration,
-    runs_again: Timestamp,
-    life: u64,
-    told: u16,
+    /// Total time for which the router was suspended.
+    suspended_time: Duration,
+    resumes_at: Timestamp,
+    incarnation: u64,
+    last_number: u16,
 }
 
 struct Scheduled(Timestamp, u64, Event);
@@ -135,15 +135,15 @@
 }
 
 pub struct World {
-    play: Play,
+    scenario: Scenario,
     random: ChaCha8Rng,
     now: Timestamp,
     events: BinaryHeap<Reverse<Scheduled>>,
     scheduled: u64,
     routers: Vec<Router>,
-    working: Vec<usize>,
+    in_flight: Vec<usize>,
     instances: InstanceMap,
-    pub witness: Witness,
+    pub checker: Checker,
 }
 
 fn instance(number: usize, slots: usize) -> Instance {
@@ -161,33 +161,34 @@
     })
 }
 
-fn new_router(instances: &InstanceMap, life: u64) -> Router {
+fn new_router(instances: &InstanceMap, incarnation: u64) -> Router {
     let mut placement = Placement::new("north");
     placement.set_instances(instances);
     let settings = RetrySettings { ratio: 0.2, free: 20.0, window: Duration::from_secs(10) };
     let budget = RetryBudget::new(settings);
-    let (suspended, runs_again) = (Duration::ZERO, Timestamp::ZERO);
-    Router { placement, budget, suspended, runs_again, life, told: 0 }
+    let (suspended_time, resumes_at) = (Duration::ZERO, Timestamp::ZERO);
+    Router { placement, budget, suspended_time, resumes_at, incarnation, last_number: 0 }
 }
 
 impl World {
-    pub fn new(play: Play, seed: u64) -> Self {
-        let instances: InstanceMap =
-            (0..play.servers).map(|number| Arc::new(instance(number, play.slots))).collect();
-        let routers = (0..play.routers).map(|_| new_router(&instances, 0)).collect();
+    pub fn new(scenario: Scenario, seed: u64) -> Self {
+        let instances: InstanceMap = (0..scenario.servers)
+            .map(|number| Arc::new(instance(number, scenario.slots)))
+            .collect();
+        let routers = (0..scenario.routers).map(|_| new_router(&instances, 0)).collect();
         let mut world = World {
             random: ChaCha8Rng::seed_from_u64(seed),
             now: Timestamp::ZERO,
             events: BinaryHeap::new(),
             scheduled: 0,
             routers,
-            working: vec![0; play.servers],
+            in_flight: vec![0; scenario.servers],
             instances,
-            witness: Witness::default(),
-            play,
+            checker: Checker::default(),
+            scenario,
         };
-        world.schedule(Duration::ZERO, Event::Caller);
-        for (at, router, fault) in world.play.faults.clone() {
+        world.schedule(Duration::ZERO, Event::NextCaller);
+        for (at, router, fault) in world.scenario.faults.clone() {
             world.schedule(at.since(Timestamp::ZERO), Event::Fault(router, fault));
         }
         world
@@ -198,8 +199,8 @@
         self.events.push(Reverse(Scheduled(self.now.after(after), self.scheduled, event)));
     }
 
-    /// The way of a message: short, and now and then long.
-    fn way(&mut self) -> Duration {
+    /// Delay of a message: mostly short, sometimes long.
+    fn message_delay(&mut self) -> Duration {
         let ms = match self.random.random_range(0..40) {
             0 => self.random.random_range(10..100),
             _ => self.random.random_range(1..6),
@@ -207,93 +208,101 @@
         Duration::from_millis(ms)
     }
 
-    pub fn run(mut self) -> Witness {
-        let end = Timestamp::ZERO.after(self.play.length);
+    pub fn run(mut self) -> Checker {
+        let end = Timestamp::ZERO.after(self.scenario.length);
         while let Some(Reverse(Scheduled(at, _, event))) = self.events.pop() {
             self.now = at;
-            if at < end || !matches!(event, Event::Caller) {
+            if at < end || !matches!(event, Event::NextCaller) {
                 self.step(event);
             }
         }
-        self.witness
+        self.checker
     }
 
-    /// The router's own time: it stands still while the router is suspended.
-    fn time_of(&self, router: usize) -> Timestamp {
-        self.now.before(self.routers[router].suspended)
+    /// The router's own clock, which stands still while the router is suspended.
+    fn router_time(&self, router: usize) -> Timestamp {
+        self.now.before(self.routers[router].suspended_time)
     }
 
-    /// What a suspended router was to do waits until it runs again.
-    fn is_held_up(&mut self, router: usize) -> Option<Duration> {
-        let runs_again = self.routers[router].runs_again;
-        (self.now < runs_again).then(|| runs_again.since(self.now))
+    /// Remaining suspension of the router; its events are delayed until then.
+    fn suspension_left(&mut self, router: usize) -> Option<Duration> {
+        let resumes_at = self.routers[router].resumes_at;
+        (self.now < resumes_at).then(|| resumes_at.since(self.now))
     }
 
     fn step(&mut self, event: Event) {
         let router = match &event {
             Event::Connected(router, ..)
             | Event::Answered(router, ..)
-            | Event::Told(router, ..)
-            | Event::ToldEnd(router, ..)
-            | Event::ToldPause(router, ..)
-            | Event::ToldLeaving(router, ..)
-            | Event::View(router) => Some(*router),
+            | Event::PeerDispatch(router, ..)
+            | Event::PeerCompletion(router, ..)
+            | Event::PeerBackoff(router, ..)
+            | Event::PeerDeparture(router, ..)
+            | Event::ViewRestored(router) => Some(*router),
             _ => None,
         };
-        if let Some(wait) = router.and_then(|router| self.is_held_up(router)) {
+        if let Some(wait) = router.and_then(|router| self.suspension_left(router)) {
             return self.schedule(wait, event);
         }
         match event {
-            Event::Caller => self.caller(),
-            Event::Fault(router, fault) => self.fault(router, fault),
-            Event::View(router) => self.routers[router].placement.set_instances(&self.instances),
-            Event::Connected(router, choice, ticket, life, call) => {
-                self.connected(router, &choice, ticket, life, call);
+            Event::NextCaller => self.handle_caller(),
+            Event::Fault(router, fault) => self.inject_fault(router, fault),
+            Event::ViewRestored(router) => {
+                self.routers[router].placement.set_instances(&self.instances)
             }
-            Event::Arrives(router, server, ticket, life, call) => {
-                self.arrives(router, server, ticket, life, call);
+            Event::Connected(router, choice, ticket, incarnation, call) => {
+                self.handle_connection(router, &choice, ticket, incarnation, call);
             }
-            Event::Answered(router, server, ticket, life, call, answer) => {
-                self.answered(router, server, *ticket, life, call, answer);
+            Event::Arrived(router, server, ticket, incarnation, call) => {
+                self.handle_arrival(router, server, ticket, incarnation, call);
             }
-            Event::Done(server) => self.working[server] -= 1,
-            Event::Told(router, request, sighting) => {
-                let now = self.time_of(router);
+            Event::Answered(router, server, ticket, incarnation, call, answer) => {
+                self.handle_answer(router, server, *ticket, incarnation, call, answer);
+            }
+            Event::Done(server) => self.in_flight[server] -= 1,
+            Event::PeerDispatch(router, request, sighting) => {
+                let now = self.router_time(router);
                 self.routers[router].placement.heard_sent(request, &sighting, now);
             }
-            Event::ToldPause(router, from, id, pause) => {
-                let now = self.time_of(router);
+            Event::PeerBackoff(router, from, id, backoff) => {
+                let now = self.router_time(router);
                 let from = NodeId(from as u64 + 1);
-                self.routers[router].placement.told_of_pause(&id, from, pause, now);
+                self.routers[router].placement.told_of_pause(&id, from, backoff, now);
             }
-            Event::ToldLeaving(router, id) => {
-                let now = self.time_of(router);
+            Event::PeerDeparture(router, id) => {
+                let now = self.router_time(router);
                 self.routers[router].placement.heard_leaving(&id, now);
             }
-            Event::ToldEnd(router, request) => self.routers[router].placement.heard_end(request),
+            Event::PeerCompletion(router, request) => {
+                self.routers[router].placement.heard_end(request)
+            }
         }
     }
 
-    fn caller(&mut self) {
-        let gap = Duration::from_micros(self.random.random_range(0..2 * self.play.gap_us));
-        self.schedule(gap, Event::Caller);
+    fn handle_caller(&mut self) {
+        let gap = Duration::from_micros(self.random.random_range(0..2 * self.scenario.interval_us));
+        self.schedule(gap, Event::NextCaller);
         let router = self.random.random_range(0..self.routers.len());
-        if self.is_held_up(router).is_some() {
+        if self.suspension_left(router).is_some() {
             return;
         }
-        let now = self.time_of(router);
+        let now = self.router_time(router);
         self.routers[router].budget.record_request(SERVICE, now);
-        self.witness.sent(self.now);
-        self.search(router, Call { sent: self.now, tries: 0, excluded: Vec::new(), told: None });
+        self.checker.record_sent(self.now);
+        self.dispatch(
+            router,
+            CallerRequest { sent: self.now, attempts: 0, excluded: Vec::new(), reported: None },
+        );
     }
 
-    fn search(&mut self, router: usize, mut call: Call) {
-        let (now, count) = (self.time_of(router), self.routers.len() as u32);
+    fn dispatch(&mut self, router: usize, mut call: CallerRequest) {
+        let (now, count) = (self.router_time(router), self.routers.len() as u32);
         let random = self.random.random();
-        let Router { placement, budget, life, .. } = &mut self.routers[router];
-        let life = *life;
-        if call.tries >= MAX_SENT || (call.tries > 0 && !budget.take(SERVICE, count, now)) {
-            return self.witness.refused(call.sent);
+        let Router { placement, budget, incarnation, .. } = &mut self.routers[router];
+        let incarnation = *incarnation;
+        if call.attempts >= MAX_ATTEMPTS || (call.attempts > 0 && !budget.take(SERVICE, count, now))
+        {
+            return self.checker.record_refused(call.sent);
         }
         let request = ServerRequest {
             service: SERVICE,
@@ -309,170 +318,175 @@
             max_pause: None,
         };
         let Ok(choice) = placement.choose(&request, now, random) else {
-            return self.witness.refused(call.sent);
+            return self.checker.record_refused(call.sent);
         };
         let ticket = Box::new(placement.begin(&choice, false, now));
-        call.told = Some(self.tell_sent(router, &choice.sighting()));
+        call.reported = Some(self.report_dispatch(router, &choice.sighting()));
         let wait = match self.random.random_range(0..30) {
             0 => Duration::from_millis(self.random.random_range(0..300)),
             _ => Duration::ZERO,
         };
-        self.schedule(wait, Event::Connected(router, Box::new(choice), ticket, life, call));
+        self.schedule(wait, Event::Connected(router, Box::new(choice), ticket, incarnation, call));
     }
 
-    /// Tells the other routers of a request that is sent.
-    fn tell_sent(&mut self, router: usize, sighting: &ChainSighting) -> ToldRequest {
-        let told = &mut self.routers[router].told;
-        *told = told.wrapping_add(1);
-        let request = ToldRequest { router: NodeId(router as u64 + 1), number: *told };
-        self.tell(router, |other| Event::Told(other, request, sighting.clone()));
+    /// Reports a dispatch to the other routers.
+    fn report_dispatch(&mut self, router: usize, sighting: &ChainSighting) -> ToldRequest {
+        let last_number = &mut self.routers[router].last_number;
+        *last_number = last_number.wrapping_add(1);
+        let request = ToldRequest { router: NodeId(router as u64 + 1), number: *last_number };
+        self.broadcast(router, |other| Event::PeerDispatch(other, request, sighting.clone()));
         request
     }
 
-    fn tell_end(&mut self, router: usize, call: &mut Call) {
-        if let Some(request) = call.told.take() {
-            self.tell(router, |other| Event::ToldEnd(other, request));
+    fn report_completion(&mut self, router: usize, call: &mut CallerRequest) {
+        if let Some(request) = call.reported.take() {
+            self.broadcast(router, |other| Event::PeerCompletion(other, request));
         }
     }
 
-    fn tell(&mut self, router: usize, event: impl Fn(usize) -> Event) {
+    fn broadcast(&mut self, router: usize, event: impl Fn(usize) -> Event) {
         for other in (0..self.routers.len()).filter(|other| *other != router) {
-            let way = Duration::from_millis(25) + self.way();
-            self.schedule(way, event(other));
+            let delay = Duration::from_millis(25) + self.message_delay();
+            self.schedule(delay, event(other));
         }
     }
 
-    fn connected(
+    fn handle_connection(
         &mut self,
         router: usize,
         choice: &Choice,
         ticket: Box<Ticket>,
-        life: u64,
-        mut call: Call,
+        incarnation: u64,
+        mut call: CallerRequest,
     ) {
-        if life != self.routers[router].life {
+        if incarnation != self.routers[router].incarnation {
             return;
         }
-        let now = self.time_of(router);
+        let now = self.router_time(router);
         let placement = &mut self.routers[router].placement;
         let id = &choice.instance;
         if placement.rest_left(id, now).is_some() {
             placement.end(*ticket, Outcome::Cancelled, now);
-            self.tell_end(router, &mut call);
-            return self.search(router, call);
+            self.report_completion(router, &mut call);
+            return self.dispatch(router, call);
         }
         let server: usize = id.as_str()[2..].parse().expect("a number");
-        let way = self.way();
-        self.schedule(way, Event::Arrives(router, server, ticket, life, call));
+        let delay = self.message_delay();
+        self.schedule(delay, Event::Arrived(router, server, ticket, incarnation, call));
     }
 
-    fn arrives(
+    fn handle_arrival(
         &mut self,
         router: usize,
         server: usize,
         ticket: Box<Ticket>,
-        life: u64,
-        call: Call,
+        incarnation: u64,
+        call: CallerRequest,
     ) {
         let now = self.now;
         let shed =
-            self.play.shedding.iter().find(|(number, from, until, _)| {
+            self.scenario.shedding.iter().find(|(number, from, until, _)| {
                 *number == server && (*from..*until).contains(&now)
             });
-        let pause = shed.map(|(_, _, _, pause)| *pause);
-        let is_leaving = self.play.leaving.iter().any(|(it, from)| *it == server && *from <= now);
-        let is_full = self.working[server] >= self.play.slots * TAKEN_PER_SLOT;
-        let is_served = pause.is_none() && !is_full;
-        self.witness.arrived(Arrival { at: now, router, server, sent: call.sent });
-        // A request of a life that is over may come late; the answer reaches nobody.
-        let is_heard = life == self.routers[router].life;
-        if let Some(pause) = pause.filter(|pause| !pause.is_zero() && is_heard) {
-            self.witness.asked(router, server, now, pause);
+        let backoff = shed.map(|(_, _, _, backoff)| *backoff);
+        let is_departing =
+            self.scenario.departures.iter().any(|(number, from)| *number == server && *from <= now);
+        let is_full = self.in_flight[server] >= self.scenario.slots * MAX_REQUESTS_PER_SLOT;
+        let is_served = backoff.is_none() && !is_full;
+        self.checker.record_arrival(Arrival { at: now, router, server, sent: call.sent });
+        // A request of an ended incarnation may arrive late; its answer reaches no router.
+        let is_received = incarnation == self.routers[router].incarnation;
+        if let Some(backoff) = backoff.filter(|backoff| !backoff.is_zero() && is_received) {
+            self.checker.record_backoff(router, server, now, backoff);
         }
-        let mut way = self.way();
+        let mut delay = self.message_delay();
         if is_served {
-            let rounds = 1 + self.working[server] / self.play.slots;
-            let work = WORK * rounds as u32;
-            self.working[server] += 1;
-            self.schedule(work, Event::Done(server));
-            way += work;
+            let batches = 1 + self.in_flight[server] / self.scenario.slots;
+            let service_time = SERVICE_TIME * batches as u32;
+            self.in_flight[server] += 1;
+            self.schedule(service_time, Event::Done(server));
+            delay += service_time;
         }
-        let answer = Answer { is_served, pause: pause.filter(|it| !it.is_zero()), is_leaving };
-        self.schedule(way, Event::Answered(router, server, ticket, life, call, answer));
+        let answer = Answer {
+            is_served,
+            backoff: backoff.filter(|backoff| !backoff.is_zero()),
+            is_departing,
+        };
+        self.schedule(delay, Event::Answered(router, server, ticket, incarnation, call, answer));
     }
 
-    fn answered(
+    fn handle_answer(
         &mut self,
         router: usize,
         server: usize,
         mut ticket: Ticket,
-        life: u64,
-        mut call: Call,
+        incarnation: u64,
+        mut call: CallerRequest,
         answer: Answer,
     ) {
-        if life != self.routers[router].life {
+        if incarnation != self.routers[router].incarnation {
             return;
         }
-        let now = self.time_of(router);
+        let now = self.router_time(router);
         let id = InstanceId::new(format!("i-{server}"));
-        self.heed(router, &id, answer, now);
-        if answer.is_leaving {
-            self.witness.told_leaving(router, server, self.now);
+        self.apply_notices(router, &id, answer, now);
+        if answer.is_departing {
+            self.checker.record_departure(router, server, self.now);
         }
         let placement = &mut self.routers[router].placement;
         if answer.is_served {
             placement.first_output(&mut ticket, now);
             placement.end(ticket, Outcome::Answered, now);
-            self.tell_end(router, &mut call);
+            self.report_completion(router, &mut call);
             let in_time = self.now.since(call.sent) <= OBJECTIVE;
-            return self.witness.served(call.sent, in_time);
+            return self.checker.record_served(call.sent, in_time);
         }
         placement.end(ticket, Outcome::Full, now);
-        self.tell_end(router, &mut call);
-        call.tries += 1;
+        self.report_completion(router, &mut call);
+        call.attempts += 1;
         call.excluded.push(id);
-        self.search(router, call);
+        self.dispatch(router, call);
     }
 
-    fn heed(&mut self, router: usize, id: &InstanceId, answer: Answer, now: Timestamp) {
-        if self.play.heeding == Heeding::Nothing {
+    fn apply_notices(&mut self, router: usize, id: &InstanceId, answer: Answer, now: Timestamp) {
+        if self.scenario.notice_mode == NoticeMode::Ignore {
             return;
         }
-        let tells = self.play.heeding == Heeding::Told;
+        let shares = self.scenario.notice_mode == NoticeMode::Shared;
         let placement = &mut self.routers[router].placement;
-        let is_new = answer.is_leaving && placement.heard_leaving(id, now);
-        let longer = answer.pause.filter(|pause| placement.asked_to_pause(id, *pause, now));
-        if is_new && tells {
-            self.tell(router, |other| Event::ToldLeaving(other, id.clone()));
+        let is_new = answer.is_departing && placement.heard_leaving(id, now);
+        let longer = answer.backoff.filter(|backoff| placement.asked_to_pause(id, *backoff, now));
+        if is_new && shares {
+            self.broadcast(router, |other| Event::PeerDeparture(other, id.clone()));
         }
-        if let Some(pause) = longer.filter(|_| tells) {
-            self.tell(router, |other| Event::ToldPause(other, router, id.clone(), pause));
+        if let Some(backoff) = longer.filter(|_| shares) {
+            self.broadcast(router, |other| Event::PeerBackoff(other, router, id.clone(), backoff));
         }
     }
 
-    fn fault(&mut self, router: usize, fault: Fault) {
-        let for_time = match fault {
+    fn inject_fault(&mut self, router: usize, fault: Fault) {
+        let duration = match fault {
             Fault::Restart => {
-                let life = self.routers[router].life + 1;
-                self.routers[router] = new_router(&self.instances, life);
+                let incarnation = self.routers[router].incarnation + 1;
+                self.routers[router] = new_router(&self.instances, incarnation);
                 Duration::ZERO
             }
             Fault::Suspension(time) => {
                 let until = self.now.after(time);
                 let suspended = &mut self.routers[router];
-                if self.now < suspended.runs_again {
+                if self.now < suspended.resumes_at {
                     return;
                 }
-                suspended.runs_again = until;
-                suspended.suspended += time;
+                suspended.resumes_at = until;
+                suspended.suspended_time += time;
                 time
             }
             Fault::LostView(time) => {
                 self.routers[router].placement.set_instances(&InstanceMap::default());
-                return self.schedule(time, Event::View(router));
+                return self.schedule(time, Event::ViewRestored(router));
             }
         };
-        let until = self.now.after(for_time);
-        self.witness.disturbed(Disturbance { router, from: self.now, until });
+        let until = self.now.after(duration);
+        self.checker.record_disturbance(Disturbance { router, from: self.now, until });
     }
 }
--- a/crates/placement/tests/placement.rs
+++ b/crates/placement/tests/placement.rs
@@ -1,4 +1,4 @@
-//! The choice of a server: homes, what is kept, health, lanes and versions.
+//! Choice of a server by home, cache contents, health, lane and weights version.
 
 mod support;
 
@@ -15,7 +15,7 @@
 use support::{SERVICE, at, choose, placement, prompt, request, send};
 
 #[test]
-fn routers_agree_on_the_home_of_parts_that_nobody_has() {
+fn routers_agree_on_the_home_of_uncached_segments() {
     for shared in 0..40 {
         let (mut one, mut other) = (placement(12), placement(12));
         let first = choose(&mut one, &prompt(shared, 1), 0);
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn homes_spread_over_the_servers() {
+fn homes_are_spread_over_the_servers() {
     let mut placement = placement(8);
     let homes: BTreeSet<InstanceId> =
         (0..100).map(|shared| choose(&mut placement, &prompt(shared, 1), 0).instance).collect();
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_prompt_goes_to_the_server_that_has_its_parts() {
+fn prompt_goes_to_the_server_with_its_segments_cached() {
     let mut placement = placement(6);
     let first = send(&mut placement, &prompt(1, 1), 0);
     let second = choose(&mut placement, &prompt(1, 2), 1_000);
@@ -43,60 +43,58 @@
 }
 
 #[test]
-fn what_another_router_tells_counts_like_an_own_sending() {
+fn dispatch_report_counts_like_an_own_dispatch() {
     let (mut one, mut other) = (placement(6), placement(6));
     let busy = choose(&mut one, &prompt(1, 1), 0).instance;
     let excluded = [busy];
     let elsewhere = one.choose(&request(&prompt(1, 1), &excluded), at(0), 0).expect("a server");
     other.sighted(&elsewhere.sighting(), at(10));
-    // By then the server has read them; before that its queue counts too.
-    let told = choose(&mut other, &prompt(1, 2), 1_000);
-    assert_eq!((told.instance, told.reason), (elsewhere.instance, Reason::Holder));
+    // By then the prefill is complete; before, the queue counts too.
+    let chosen = choose(&mut other, &prompt(1, 2), 1_000);
+    assert_eq!((chosen.instance, chosen.reason), (elsewhere.instance, Reason::Holder));
 }
 
-/// Tells a placement of one server that prompts of 7,000 tokens with these shared parts were
-/// sent to it, one after the other.
-fn tell(placement: &mut Placement, shared: impl IntoIterator<Item = u64>) {
+/// Reports dispatches of prompts of 7,000 tokens with these shared segments to the only server.
+fn report_prompts(placement: &mut Placement, shared: impl IntoIterator<Item = u64>) {
     for shared in shared {
         let sent = choose(placement, &prompt(shared, 1), 0).sighting();
         placement.sighted(&sent, at(0));
     }
 }
 
-fn kept(placement: &mut Placement, shared: u64) -> u32 {
+fn cached_tokens(placement: &mut Placement, shared: u64) -> u32 {
     choose(placement, &prompt(shared, 1), 0).kept_tokens
 }
 
-/// A server that was sent more than its memory holds has let the oldest parts go.
 #[test]
-fn parts_that_were_unused_for_longest_give_way_when_memory_is_full() {
+fn least_recently_used_segments_are_evicted_when_the_cache_is_full() {
     let mut placement = placement(1);
-    tell(&mut placement, 0..20);
-    assert_eq!(kept(&mut placement, 0), 6_000, "140,000 tokens fit into nine tenths of 160,000");
-    tell(&mut placement, 20..22);
-    let kept = [0, 1, 2, 21].map(|shared| kept(&mut placement, shared));
-    assert_eq!(kept, [0, 0, 6_000, 6_000], "10,000 tokens too many");
+    report_prompts(&mut placement, 0..20);
+    assert_eq!(cached_tokens(&mut placement, 0), 6_000, "140,000 tokens fit into 0.9 * 160,000");
+    report_prompts(&mut placement, 20..22);
+    let cached = [0, 1, 2, 21].map(|shared| cached_tokens(&mut placement, shared));
+    assert_eq!(cached, [0, 0, 6_000, 6_000], "10,000 tokens above capacity");
 }
 
 #[test]
-fn a_part_that_is_used_again_stays_and_is_counted_once() {
+fn reused_segment_stays_cached_and_is_counted_once() {
     let mut placement = placement(1);
     for new in 1..60 {
-        tell(&mut placement, [0, new]);
+        report_prompts(&mut placement, [0, new]);
     }
-    assert_eq!(kept(&mut placement, 0), 6_000);
-    let still_kept = (1..60).filter(|shared| kept(&mut placement, *shared) > 0).count();
-    // A pair adds 8,000 tokens: one shared part and two own ones.
-    assert_eq!(still_kept, 17);
+    assert_eq!(cached_tokens(&mut placement, 0), 6_000);
+    let still_cached = (1..60).filter(|shared| cached_tokens(&mut placement, *shared) > 0).count();
+    // Each pair adds 8,000 tokens: one shared segment and two unshared ones.
+    assert_eq!(still_cached, 17);
 }
 
-/// Each of many routers sends little, and none of them sees the queue by itself.
+/// Each of many routers sends little and sees only a small part of the queue.
 #[test]
-fn what_other_routers_have_sent_counts_as_load_until_it_should_be_read() {
+fn reported_prefill_counts_as_load_until_it_is_complete() {
     let mut placement = placement(6);
     let home = choose(&mut placement, &prompt(1, 1), 0);
     for _ in 0..20 {
-        // They bring nothing into its memory, so that only the reading counts.
+        // No cache insertions, so that only the prefill counts.
         let sent = ChainSighting { keys: Vec::new(), own_tokens: 0, tokens: 0, ..home.sighting() };
         placement.sighted(&sent, at(0));
     }
@@ -104,10 +102,10 @@
     assert_eq!(choose(&mut placement, &prompt(1, 1), 10_000).instance, home.instance);
 }
 
-/// Streams pause while a server reads a long prompt. Where a pause makes them late,
-/// the prompt goes where no streams run, though its home is elsewhere.
+/// Streams stall during a long prefill. If the gap would be too long, the prompt goes to a server
+/// with few streams instead of its home.
 #[test]
-fn a_long_read_goes_where_few_streams_run() {
+fn long_prefill_goes_to_a_server_with_few_streams() {
     let mut placement = placement(4);
     let part = |id, tokens| PromptPart { id, tokens };
     let parts = vec![part(1, 6_000), part(2, 20_000)];
@@ -118,16 +116,16 @@
             ChainSighting { keys: vec![own], tokens: 100, read_tokens: 100, ..home.sighting() };
         placement.sighted(&stream, at(0));
     }
-    let patient = request(&long, &[]);
+    let relaxed = request(&long, &[]);
     let chosen = |request| placement.choose(request, at(10), 10).expect("a server").instance;
-    assert_eq!(chosen(&patient), home.instance);
+    assert_eq!(chosen(&relaxed), home.instance);
     let max_pause = Some(Duration::from_millis(500));
-    let pressed = ServerRequest { max_pause, ..patient };
-    assert_ne!(chosen(&pressed), home.instance);
+    let strict = ServerRequest { max_pause, ..relaxed };
+    assert_ne!(chosen(&strict), home.instance);
 }
 
 #[test]
-fn parts_are_fetched_from_who_has_them_when_that_server_is_busy() {
+fn segments_are_fetched_from_a_busy_holder() {
     let mut placement = placement(3);
     let holder = send(&mut placement, &prompt(1, 1), 0);
     for own in 0..12 {
@@ -136,15 +134,14 @@
             placement.begin(&busy, true, at(300));
         }
     }
-    let spilled = choose(&mut placement, &prompt(1, 99), 300);
-    assert_ne!(spilled.instance, holder.instance);
-    assert_eq!((spilled.reason, spilled.source), (Reason::Fetch, Some(holder.address)));
+    let diverted = choose(&mut placement, &prompt(1, 99), 300);
+    assert_ne!(diverted.instance, holder.instance);
+    assert_eq!((diverted.reason, diverted.source), (Reason::Fetch, Some(holder.address)));
 }
 
-/// A hundred short calls a second that read their parts again cost as much as a few
-/// long prompts that do; a move of a few parts takes less than a millisecond.
+/// Recomputing the segments of many short prompts costs as much as those of a few long ones.
 #[test]
-fn short_parts_are_fetched_and_told_of_too() {
+fn short_segments_are_fetched_and_reported_too() {
     let mut placement = placement(2);
     let part = |id, tokens| PromptPart { id, tokens };
     let parts = vec![part(1, 120), part(2, 80), part(3, 600)];
@@ -159,7 +156,7 @@
 }
 
 #[test]
-fn parts_made_under_other_weights_are_neither_kept_nor_fetched() {
+fn segments_of_other_weights_are_neither_cached_nor_fetched() {
     let mut placement = placement(4);
     let first = send(&mut placement, &prompt(1, 1), 0);
     placement.saw_version(&first.instance, 2);
@@ -168,7 +165,7 @@
 }
 
 #[test]
-fn weights_below_the_least_version_are_not_used() {
+fn weights_below_the_minimum_version_are_not_used() {
     let mut placement = placement(3);
     let prompt = prompt(1, 1);
     let strict = ServerRequest { min_version: 2, ..request(&prompt, &[]) };
@@ -179,7 +176,7 @@
 }
 
 #[test]
-fn a_server_under_renewal_gets_nothing_new_while_another_works() {
+fn renewing_server_gets_no_requests_while_another_is_available() {
     let mut placement = placement(2);
     let first = choose(&mut placement, &prompt(1, 1), 0).instance;
     placement.set_renewing(&BTreeSet::from([first.clone()]));
@@ -189,7 +186,7 @@
 }
 
 #[test]
-fn a_server_that_can_not_be_reached_rests_and_is_tried_again() {
+fn unreachable_server_is_only_used_as_last_resort() {
     let mut placement = placement(2);
     let first = choose(&mut placement, &prompt(1, 1), 0);
     let ticket = placement.begin(&first, true, at(0));
@@ -202,7 +199,7 @@
 }
 
 #[test]
-fn a_server_that_can_not_be_reached_gets_no_request_until_a_probe_reaches_it() {
+fn unreachable_server_gets_no_requests_until_a_probe_succeeds() {
     let mut placement = placement(2);
     let home = choose(&mut placement, &prompt(1, 1), 0);
     let ticket = placement.begin(&home, true, at(0));
@@ -213,7 +210,7 @@
     let due = vec![(home.instance.clone(), home.address)];
     assert_eq!(placement.take_due_probes(at(200)), []);
     assert_eq!(placement.take_due_probes(at(250)), due);
-    assert_eq!(placement.take_due_probes(at(700)), [], "the pause has doubled");
+    assert_eq!(placement.take_due_probes(at(700)), [], "the interval has doubled");
     assert_eq!(placement.take_due_probes(at(750)), due);
     placement.reached(&home.instance);
     assert_eq!(placement.take_due_probes(at(60_000)), []);
@@ -221,7 +218,7 @@
 }
 
 #[test]
-fn an_address_that_belongs_to_another_life_is_not_used() {
+fn address_of_another_incarnation_is_not_used() {
     let mut placement = placement(1);
     let choice = choose(&mut placement, &prompt(1, 1), 0);
     let ticket = placement.begin(&choice, true, at(0));
@@ -231,7 +228,7 @@
 }
 
 #[test]
-fn a_server_that_turned_a_version_away_rests_until_it_reports_another() {
+fn server_that_rejected_a_version_is_avoided_until_it_reports_another() {
     let mut placement = placement(4);
     let choice = choose(&mut placement, &prompt(1, 1), 0);
     let ticket = placement.begin(&choice, true, at(0));
@@ -239,7 +236,7 @@
     let meanwhile = choose(&mut placement, &prompt(1, 1), 900);
     assert_ne!(meanwhile.instance, choice.instance);
     placement.saw_version(&choice.instance, choice.version + 1);
-    // Its parts are void under other weights, so only whether it is used at all is seen.
+    // Other weights invalidate the segments, so only whether the server is used is checked.
     let used = (0..40).any(|shared| {
         choose(&mut placement, &prompt(shared + 10, 1), 900).instance == choice.instance
     });
@@ -247,7 +244,7 @@
 }
 
 #[test]
-fn a_server_that_fails_more_than_the_others_is_avoided() {
+fn server_with_a_high_failure_rate_is_avoided() {
     let mut placement = placement(3);
     let nothing = Prompt::default();
     let plain = ServerRequest { prompt: None, ..request(&nothing, &[]) };
@@ -266,9 +263,9 @@
     assert_eq!(chosen.count(), 0);
 }
 
-/// Streams pause while a long prompt is read beside them.
+/// Long prefills stall the streams of short prompts.
 #[test]
-fn short_and_long_prompts_keep_to_servers_of_their_own() {
+fn short_and_long_prompts_use_separate_servers() {
     let mut placement = placement(10);
     let short = |number: u64| Prompt {
         parts: vec![
@@ -278,24 +275,26 @@
         tokens: 500,
         ..prompt(0, 0)
     };
-    let (mut longs, mut shorts) = (BTreeSet::new(), BTreeSet::new());
+    let (mut long_servers, mut short_servers) = (BTreeSet::new(), BTreeSet::new());
     for step in 0..400 {
         let millis = step * 25;
         let long = send(&mut placement, &prompt(step % 37, step), millis);
-        let brief = send(&mut placement, &short(step), millis + 5);
+        let short_choice = send(&mut placement, &short(step), millis + 5);
         if step > 100 {
-            longs.insert(long.instance);
-            shorts.insert(brief.instance);
+            long_servers.insert(long.instance);
+            short_servers.insert(short_choice.instance);
         }
     }
-    // The measured shares move the border by a server at most.
-    assert!(longs.intersection(&shorts).count() <= 1, "{longs:?} {shorts:?}");
-    assert!(!shorts.is_empty() && longs.len() > shorts.len());
+    // The measured shares shift the border between lanes by at most one server.
+    assert!(
+        long_servers.intersection(&short_servers).count() <= 1,
+        "{long_servers:?} {short_servers:?}"
+    );
+    assert!(!short_servers.is_empty() && long_servers.len() > short_servers.len());
 }
 
-/// Memory that turns over fast gets no more new parts than it must.
 #[test]
-fn new_parts_go_where_memory_turns_over_slowest() {
+fn new_segments_go_to_the_cache_with_the_slowest_turnover() {
     let mut placement = placement(2);
     let home = choose(&mut placement, &prompt(1, 1), 0);
     for step in 0..60 {
@@ -308,7 +307,7 @@
 }
 
 #[test]
-fn nothing_is_known_of_a_service_without_servers() {
+fn no_server_is_chosen_without_servers_or_with_all_excluded() {
     let placement = Placement::new("north");
     let prompt = prompt(1, 1);
     assert_eq!(placement.choose(&request(&prompt, &[]), at(0), 0), Err(NoChoice::NoServer));
@@ -319,7 +318,7 @@
 }
 
 #[test]
-fn chains_are_spread_over_all_stores_and_each_has_one_of_its_own() {
+fn chains_are_spread_over_all_stores_and_each_uses_one_store() {
     let mut placement = placement(6);
     let stores: Vec<SocketAddrV4> =
         (1..=3).map(|number| SocketAddrV4::new(Ipv4Addr::new(172, 20, 0, number), 8_000)).collect();
@@ -330,50 +329,49 @@
         let first = choose(&mut placement, &prompt(shared, 1), 0).store.expect("a store");
         let again = choose(&mut placement, &prompt(shared, 2), 500).store;
         assert_eq!(again, Some(first), "the store of a chain doesn't depend on the request");
-        let place = stores.iter().position(|store| *store == first).expect("a known store");
-        chains[place] += 1;
+        let index = stores.iter().position(|store| *store == first).expect("a known store");
+        chains[index] += 1;
     }
     assert!(chains.iter().all(|chains| *chains >= 15), "{chains:?} of 90 chains");
 }
 
-/// A server saves all that it reads, also the part that no other prompt has. It would fill the
-/// store and its link.
+/// A server saves all that it computes, so unshared tokens would fill the store and its link.
 #[test]
-fn a_store_gets_only_prompts_with_shared_parts_to_read() {
+fn store_gets_only_prompts_with_uncached_shared_segments() {
     let mut placement = placement(1);
     let store = SocketAddrV4::new(Ipv4Addr::new(172, 20, 0, 1), 8_000);
     let profile = ServiceProfile { move_ms: 0.005, cache_tokens: 160_000, stores: vec![store] };
     placement.set_profiles(HashMap::from([(SERVICE.to_owned(), profile)]));
     assert_eq!(send(&mut placement, &prompt(1, 1), 0).store, Some(store));
-    let kept = choose(&mut placement, &prompt(1, 2), 1_000);
-    assert_eq!((kept.reason, kept.store), (Reason::Holder, None));
-    assert_eq!(kept.source, Some(store), "the server may have let them go");
+    let cached = choose(&mut placement, &prompt(1, 2), 1_000);
+    assert_eq!((cached.reason, cached.store), (Reason::Holder, None));
+    assert_eq!(cached.source, Some(store), "the server may have evicted them");
     let mut little_shared = prompt(2, 2);
     little_shared.parts[0].tokens = 3_000;
     assert_eq!(choose(&mut placement, &little_shared, 1_000).store, None);
 }
 
-/// The time to the first output of a prompt that waited behind others tells how long the queue was,
-/// not how fast servers read.
+/// The time to first output of a queued prompt measures the queue, not the prefill speed.
 #[test]
-fn a_queue_does_not_make_servers_look_slow() {
+fn queueing_does_not_lower_the_measured_speed() {
     let mut placement = placement(1);
     send(&mut placement, &prompt(0, 1), 0);
     let before = choose(&mut placement, &prompt(1, 1), 9_000).cost_ms;
     for round in 1..6 {
-        let begun = round * 10_000;
-        let choices: Vec<_> =
-            (1..=10).map(|own| choose(&mut placement, &prompt(100 + round, own), begun)).collect();
+        let started_at = round * 10_000;
+        let choices: Vec<_> = (1..=10)
+            .map(|own| choose(&mut placement, &prompt(100 + round, own), started_at))
+            .collect();
         let tickets: Vec<_> =
-            choices.iter().map(|choice| placement.begin(choice, true, at(begun))).collect();
-        for (place, mut ticket) in tickets.into_iter().enumerate() {
-            // Each is read in 175 ms, one after the other.
-            let read_at = begun + (place as u64 + 1) * 175;
-            placement.first_output(&mut ticket, at(read_at));
-            placement.end(ticket, Outcome::Answered, at(read_at));
+            choices.iter().map(|choice| placement.begin(choice, true, at(started_at))).collect();
+        for (index, mut ticket) in tickets.into_iter().enumerate() {
+            // Each prefill takes 175 ms, one after another.
+            let done_at = started_at + (index as u64 + 1) * 175;
+            placement.first_output(&mut ticket, at(done_at));
+            placement.end(ticket, Outcome::Answered, at(done_at));
         }
     }
-    // Delays of this server are forgotten by then.
+    // By then the measured delays of this server have decayed.
     let after = choose(&mut placement, &prompt(900, 1), 90_000).cost_ms;
     assert!(after < before * 1.1, "{before} {after}");
 }
--- a/crates/placement/tests/calls.rs
+++ b/crates/placement/tests/requests_without_prompt.rs
@@ -1,4 +1,4 @@
-//! Servers without prompts: their load is known from what all routers send them.
+//! Placement of requests without a prompt, by the reported load of all routers.
 
 mod support;
 
@@ -11,7 +11,7 @@
 
 use support::{SERVICE, at, instance};
 
-fn call() -> ServerRequest<'static> {
+fn request() -> ServerRequest<'static> {
     ServerRequest {
         service: SERVICE,
         prompt: None,
@@ -27,8 +27,8 @@
     }
 }
 
-/// A router in the zone of the first of two servers with six slots each.
-fn near_and_far() -> Placement {
+/// A placement in the zone of the first of two servers with six slots each.
+fn near_and_far_server() -> Placement {
     let server = |number: u16, zone: &str| {
         let mut server: Instance = instance(number, 1);
         let report = Arc::make_mut(&mut server.report);
@@ -41,47 +41,48 @@
 }
 
 fn choose(placement: &Placement, millis: u64) -> Choice {
-    placement.choose(&call(), at(millis), millis).expect("a server")
+    placement.choose(&request(), at(millis), millis).expect("a server")
 }
 
-/// The others have so many calls under way on the near server, and many more behind them.
-fn others_send(placement: &mut Placement, under_way: usize) -> Choice {
+/// Reports 100 completed requests and `in_flight` unfinished ones of other routers on the near
+/// server.
+fn report_peer_requests(placement: &mut Placement, in_flight: usize) -> Choice {
     let near = choose(placement, 0);
     let request = |number| ToldRequest { router: NodeId(5), number };
     for number in 0..100 {
         placement.heard_sent(request(number), &near.sighting(), at(u64::from(number)));
         placement.heard_end(request(number));
     }
-    (0..under_way).for_each(|_| placement.sighted(&near.sighting(), at(1_000)));
+    (0..in_flight).for_each(|_| placement.sighted(&near.sighting(), at(1_000)));
     near
 }
 
 #[test]
-fn a_server_that_the_others_crowd_is_left_for_one_in_another_zone() {
-    let mut placement = near_and_far();
-    let near = others_send(&mut placement, 6);
+fn congested_server_is_avoided_for_one_in_another_zone() {
+    let mut placement = near_and_far_server();
+    let near = report_peer_requests(&mut placement, 6);
     assert_ne!(choose(&placement, 1_050).instance, near.instance);
 }
 
 #[test]
-fn a_server_on_which_calls_have_ended_is_kept_to() {
-    let mut placement = near_and_far();
-    let near = others_send(&mut placement, 1);
+fn completed_requests_do_not_count_as_load() {
+    let mut placement = near_and_far_server();
+    let near = report_peer_requests(&mut placement, 1);
     assert_eq!(choose(&placement, 1_050).instance, near.instance);
 }
 
-/// Its router was killed, or its word was lost.
+/// The router of the request crashed, or its report was lost.
 #[test]
-fn a_call_whose_end_nobody_tells_of_is_forgotten() {
-    let mut placement = near_and_far();
-    let near = others_send(&mut placement, 6);
+fn request_without_reported_end_expires() {
+    let mut placement = near_and_far_server();
+    let near = report_peer_requests(&mut placement, 6);
     assert_ne!(choose(&placement, 10_900).instance, near.instance);
     assert_eq!(choose(&placement, 11_000).instance, near.instance);
 }
 
 #[test]
-fn an_own_call_counts_until_it_ends() {
-    let mut placement = near_and_far();
+fn own_request_counts_until_it_ends() {
+    let mut placement = near_and_far_server();
     let near = choose(&placement, 0);
     let tickets: Vec<_> = (0..6).map(|_| placement.begin(&near, false, at(0))).collect();
     assert_ne!(choose(&placement, 50).instance, near.instance);
@@ -89,12 +90,12 @@
     assert_eq!(choose(&placement, 70).instance, near.instance);
 }
 
-/// A router that has just started hears of ends of requests whose beginnings it hasn't heard of. If
-/// they counted for others, a crowded server would look free for as long as it stays crowded.
+/// A restarted router receives the ends of requests whose dispatch reports it has missed. If they
+/// counted for other requests, a congested server would look idle.
 #[test]
-fn the_end_of_a_request_that_was_never_heard_of_changes_nothing() {
-    let mut placement = near_and_far();
-    let near = others_send(&mut placement, 6);
+fn end_of_an_unknown_request_changes_nothing() {
+    let mut placement = near_and_far_server();
+    let near = report_peer_requests(&mut placement, 6);
     (1_000..1_050).for_each(|number| {
         placement.heard_end(ToldRequest { router: NodeId(5), number });
     });
--- a/crates/placement/tests/support/mod.rs
+++ b/crates/placement/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! Servers, prompts and requests for the tests of placement.
+//! Servers, prompts and requests for the placement tests.
 
-// Each test program uses some of them.
+// Each test program uses only some of the helpers.
 #![allow(dead_code)]
 
 use std::collections::HashMap;
@@ -82,7 +82,7 @@
     placement.choose(&request(prompt, &[]), at(millis), millis).expect("a server")
 }
 
-/// Sends a prompt and lets it end.
+/// Sends a prompt and ends the request.
 pub fn send(placement: &mut Placement, prompt: &Prompt, millis: u64) -> Choice {
     let choice = choose(placement, prompt, millis);
     let ticket = placement.begin(&choice, true, at(millis));
--- a/crates/placement/tests/sources.rs
+++ b/crates/placement/tests/transfer_sources.rs
@@ -1,4 +1,4 @@
-//! Where parts of a prompt are fetched from.
+//! Choice of the server from which segments are fetched.
 
 mod support;
 
@@ -11,11 +11,12 @@
 
 use support::{at, choose, instance, placement, prompt, request};
 
-/// Servers, of which the even ones are in the south.
+/// Number of servers; those with even numbers are in zone `south`.
 const SERVERS: u16 = 12;
 
-/// All servers but the last hold the parts of one prompt and are busy reading.
-fn all_but_the_last_hold() -> (Placement, InstanceId) {
+/// All servers but the last have the segments of one prompt in their caches and long prefill
+/// queues.
+fn placement_with_all_but_last_holding() -> (Placement, InstanceId) {
     let mut placement = placement(SERVERS);
     let in_zone = |number: u16| {
         let mut instance: Instance = instance(number, 1);
@@ -29,17 +30,18 @@
     let (last, holders) = instances.split_last().expect("servers");
     for holder in holders {
         let instance = holder.id.clone();
-        let holds = ChainSighting { instance, ..sent.clone() };
-        placement.sighted(&holds, at(0));
-        let busy = ChainSighting { read_tokens: 40_000, keys: Vec::new(), own_tokens: 0, ..holds };
+        let dispatch = ChainSighting { instance, ..sent.clone() };
+        placement.sighted(&dispatch, at(0));
+        let busy =
+            ChainSighting { read_tokens: 40_000, keys: Vec::new(), own_tokens: 0, ..dispatch };
         placement.sighted(&busy, at(9_990));
     }
     (placement, last.id.clone())
 }
 
-/// How often each source is named in so many choices.
-fn sources(choices: u64) -> BTreeMap<SocketAddrV4, u64> {
-    let (placement, last) = all_but_the_last_hold();
+/// Counts how often each source is chosen in `choices` choices.
+fn count_sources(choices: u64) -> BTreeMap<SocketAddrV4, u64> {
+    let (placement, last) = placement_with_all_but_last_holding();
     let prompt = prompt(1, 2);
     let mut sources = BTreeMap::new();
     for random in 0..choices {
@@ -51,38 +53,37 @@
     sources
 }
 
-/// A server's moves run one after another: hundreds of routers that name the same one make
-/// their prompts wait in line.
+/// A server's transfers run one after another: if all routers chose the same source, prompts would
+/// queue for it.
 #[test]
-fn what_many_servers_have_is_fetched_from_any_of_those_in_the_readers_zone() {
-    let sources = sources(500);
+fn fetches_are_spread_over_the_holders_in_the_readers_zone() {
+    let sources = count_sources(500);
     let near: Vec<SocketAddrV4> =
         (1..SERVERS).filter(|number| number.is_multiple_of(2)).map(support::address).collect();
     assert_eq!(sources.keys().copied().collect::<Vec<_>>(), near);
-    assert!(sources.values().all(|times| *times > 50), "{sources:?}");
+    assert!(sources.values().all(|count| *count > 50), "{sources:?}");
 }
 
-/// A part is named as soon as a prompt with it is sent, but it can be fetched only once its server
-/// has read it: a reader that asks before gets nothing and reads it again.
+/// Segments are reported at dispatch, but can be fetched only after their prefill.
 #[test]
-fn what_waits_in_a_queue_is_not_fetched_before_it_is_read() {
+fn queued_segments_are_not_fetched_before_their_prefill() {
     let mut placement = placement(SERVERS);
     let first = choose(&mut placement, &prompt(1, 1), 0);
-    // 100,000 tokens are read in 2.5 s; the prompt comes after them.
+    // The prefill of 100,000 tokens takes 2.5 s; the prompt is queued behind it.
     let queue =
         ChainSighting { read_tokens: 100_000, keys: Vec::new(), own_tokens: 0, ..first.sighting() };
     placement.sighted(&queue, at(0));
     placement.sighted(&first.sighting(), at(0));
-    let waiting = choose(&mut placement, &prompt(1, 2), 1_000);
-    assert!(waiting.source.is_none(), "{waiting:?}");
-    let read = choose(&mut placement, &prompt(1, 2), 10_000);
-    assert_eq!((read.instance, read.reason), (first.instance, Reason::Holder));
+    let queued = choose(&mut placement, &prompt(1, 2), 1_000);
+    assert!(queued.source.is_none(), "{queued:?}");
+    let computed = choose(&mut placement, &prompt(1, 2), 10_000);
+    assert_eq!((computed.instance, computed.reason), (first.instance, Reason::Holder));
 }
 
-/// Memory that turns over within seconds: a copy pushes out parts that will be asked for again, so a
-/// short queue at the holder is better. A long one isn't.
+/// With a cache that turns over within seconds, a fetched copy evicts segments that will be
+/// requested again: waiting in a short queue at the holder is cheaper, in a long one it isn't.
 #[test]
-fn a_copy_that_pushes_out_what_is_used_has_to_save_more_than_a_short_queue() {
+fn fetch_that_evicts_used_segments_must_save_more_than_a_short_queue() {
     let chosen_with_queue_of = |tokens: u32| {
         let mut placement = placement(2);
         let holder = choose(&mut placement, &prompt(1, 1), 0);
@@ -108,7 +109,7 @@
         placement.sighted(&queue, at(5_000));
         choose(&mut placement, &prompt(1, 2), 5_000).reason
     };
-    // 250 ms at the holder, and a second.
+    // 250 ms of queue at the holder, and 1 s.
     assert_eq!(chosen_with_queue_of(10_000), Reason::Holder);
     assert_eq!(chosen_with_queue_of(40_000), Reason::Fetch);
 }
