--- a/crates/placement/src/request.rs
+++ b/crates/placement/src/request.rs
@@ -7,7 +7,7 @@
 /// A prefix segment of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Hash of the content.
+    /// Identifier of the content.
     pub id: u64,
     /// Length in tokens.
     pub tokens: u32,
