--- a/crates/gateway/src/news.rs
+++ b/crates/gateway/src/news.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex};
 
 use juniper_feed::RelayedBatch;
-use juniper_placement::{ChainSighting, Choice, Placement, Reporter, SightingBudget, ToldRequest};
+use juniper_placement::{Choice, DispatchRecord, Placement, Reporter, SightingBudget, ToldRequest};
 use juniper_protocol::message::{
     Reachability, RelayedNews, RouterNews, ServerLimitNews, ServerNoticeNews, Sighting,
 };
@@ -55,7 +55,7 @@
         }
         // Zero stands for no number.
         let number = self.last_number.fetch_add(1, Ordering::Relaxed).wrapping_add(1).max(1);
-        news.sightings.push(message(choice.sighting(), number));
+        news.sightings.push(message(choice.dispatch_record(), number));
         self.wake.notify_one();
         Some(number)
     }
@@ -192,8 +192,8 @@
     }
 }
 
-fn message(sighting: ChainSighting, number: u16) -> Sighting {
-    let ChainSighting { instance, version, keys, part_tokens, own_tokens, tokens, read_tokens } =
+fn message(sighting: DispatchRecord, number: u16) -> Sighting {
+    let DispatchRecord { instance, version, keys, part_tokens, own_tokens, tokens, read_tokens } =
         sighting;
     Sighting {
         instance: instance.name().clone(),
@@ -207,8 +207,8 @@
     }
 }
 
-fn read(sighting: &Sighting) -> ChainSighting {
-    ChainSighting {
+fn read(sighting: &Sighting) -> DispatchRecord {
+    DispatchRecord {
         instance: InstanceId::started_at(sighting.instance.clone(), StartTime::UNKNOWN),
         version: sighting.version,
         keys: sighting.chains.clone(),
--- a/crates/placement/src/choice.rs
+++ b/crates/placement/src/choice.rs
@@ -8,7 +8,7 @@
 use juniper_types::Timestamp;
 
 use crate::admission::Overload;
-use crate::dispatch_record::{ChainSighting, ToldRequest};
+use crate::dispatch_record::{DispatchRecord, ToldRequest};
 use crate::homes::ChainKeys;
 
 /// Why a server was chosen.
@@ -82,8 +82,8 @@
     }
 
     /// Description of the dispatch for other routers.
-    pub fn sighting(&self) -> ChainSighting {
-        ChainSighting {
+    pub fn dispatch_record(&self) -> DispatchRecord {
+        DispatchRecord {
             instance: self.instance.clone(),
             version: self.version,
             keys: self.keys.clone(),
--- a/crates/placement/src/dispatch_record.rs
+++ b/crates/placement/src/dispatch_record.rs
@@ -14,7 +14,7 @@
 
 /// A request dispatched to a server, with the segments of its prompt if there is one.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ChainSighting {
+pub struct DispatchRecord {
     /// Incarnation of the server.
     pub instance: InstanceId,
     /// Version of the server's weights.
--- a/crates/placement/src/placement.rs
+++ b/crates/placement/src/placement.rs
@@ -11,7 +11,7 @@
 use crate::backoffs::Backoffs;
 use crate::cached_segments::DispatchedPrompt;
 use crate::choice::{Choice, ServiceProfile, Ticket};
-use crate::dispatch_record::{ChainSighting, ToldRequest};
+use crate::dispatch_record::{DispatchRecord, ToldRequest};
 use crate::fleet_load::is_expired;
 use crate::health::Outcome;
 use crate::lanes::Lanes;
@@ -149,7 +149,7 @@
         let tokens_ahead = self.tokens_ahead(&choice.instance, now);
         self.last_request_number = self.last_request_number.wrapping_add(1);
         let request = ToldRequest { router: LOCAL_ROUTER, number: self.last_request_number };
-        self.apply_dispatch(Some(request), &choice.sighting(), now);
+        self.apply_dispatch(Some(request), &choice.dispatch_record(), now);
         if has_prompt && let Some(server) = self.server(&choice.instance) {
             let service = server.instance.report.service.clone();
             let tokens = choice.kept_tokens + choice.missed_tokens;
@@ -179,42 +179,42 @@
 
     /// Records a dispatch report without a request number: the end of the request won't be
     /// reported.
-    pub fn sighted(&mut self, sighting: &ChainSighting, now: Timestamp) {
-        self.apply_dispatch(None, sighting, now);
+    pub fn sighted(&mut self, dispatch: &DispatchRecord, now: Timestamp) {
+        self.apply_dispatch(None, dispatch, now);
     }
 
     /// Records another router's dispatch report; the end of the request will be reported too.
-    pub fn heard_sent(&mut self, request: ToldRequest, sighting: &ChainSighting, now: Timestamp) {
+    pub fn heard_sent(&mut self, request: ToldRequest, dispatch: &DispatchRecord, now: Timestamp) {
         if self.reported_requests.len() >= self.cleanup_threshold {
             self.reported_requests.retain(|_, (_, started_at)| !is_expired(*started_at, now));
             self.cleanup_threshold = (self.reported_requests.len() * 2).max(MIN_CLEANUP_THRESHOLD);
         }
-        self.reported_requests.insert(request, (sighting.instance.clone(), now));
-        self.apply_dispatch(Some(request), sighting, now);
+        self.reported_requests.insert(request, (dispatch.instance.clone(), now));
+        self.apply_dispatch(Some(request), dispatch, now);
     }
 
     fn apply_dispatch(
         &mut self,
         request: Option<ToldRequest>,
-        sighting: &ChainSighting,
+        dispatch: &DispatchRecord,
         now: Timestamp,
     ) {
-        let Some(server) = incarnation_mut(&mut self.servers, &sighting.instance) else { return };
-        server.turnover.record(sighting.tokens, now);
+        let Some(server) = incarnation_mut(&mut self.servers, &dispatch.instance) else { return };
+        server.turnover.record(dispatch.tokens, now);
         let service = &server.instance.report.service;
         let speed = self.speeds.get(service).copied().unwrap_or_default();
-        server.fleet_load.add_request(request, sighting.read_tokens, speed, now);
-        if sighting.keys.is_empty() && sighting.own_tokens == 0 {
+        server.fleet_load.add_request(request, dispatch.read_tokens, speed, now);
+        if dispatch.keys.is_empty() && dispatch.own_tokens == 0 {
             return;
         }
         let capacity = self.profiles.get(service).map_or(0, |profile| profile.cache_tokens);
         let prompt = DispatchedPrompt {
-            keys: &sighting.keys,
-            tokens: &sighting.part_tokens,
-            own_tokens: sighting.own_tokens,
+            keys: &dispatch.keys,
+            tokens: &dispatch.part_tokens,
+            own_tokens: dispatch.own_tokens,
             computed_at: now.after(speed.time_for(server.fleet_load.queued_tokens(speed, now))),
         };
-        server.cached.record(sighting.version, prompt, capacity);
+        server.cached.record(dispatch.version, prompt, capacity);
     }
 
     /// Records the end of a request that another router has reported.
--- a/crates/placement/tests/notices/world.rs
+++ b/crates/placement/tests/notices/world.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use juniper_placement::{
-    ChainSighting, Choice, Outcome, Placement, RetryBudget, RetrySettings, ServerRequest, Ticket,
+    Choice, DispatchRecord, Outcome, Placement, RetryBudget, RetrySettings, ServerRequest, Ticket,
     ToldRequest,
 };
 use juniper_registry::{
@@ -92,7 +92,7 @@
     Arrived(usize, usize, Box<Ticket>, u64, CallerRequest),
     Answered(usize, usize, Box<Ticket>, u64, CallerRequest, Answer),
     Done(usize),
-    PeerDispatch(usize, ToldRequest, ChainSighting),
+    PeerDispatch(usize, ToldRequest, DispatchRecord),
     PeerCompletion(usize, ToldRequest),
     PeerBackoff(usize, usize, InstanceId, Duration),
     PeerDeparture(usize, InstanceId),
@@ -260,9 +260,9 @@
                 self.handle_answer(router, server, *ticket, incarnation, call, answer);
             }
             Event::Done(server) => self.in_flight[server] -= 1,
-            Event::PeerDispatch(router, request, sighting) => {
+            Event::PeerDispatch(router, request, dispatch) => {
                 let now = self.router_time(router);
-                self.routers[router].placement.heard_sent(request, &sighting, now);
+                self.routers[router].placement.heard_sent(request, &dispatch, now);
             }
             Event::PeerBackoff(router, from, id, backoff) => {
                 let now = self.router_time(router);
@@ -321,7 +321,7 @@
             return self.checker.record_refused(call.sent);
         };
         let ticket = Box::new(placement.begin(&choice, false, now));
-        call.reported = Some(self.report_dispatch(router, &choice.sighting()));
+        call.reported = Some(self.report_dispatch(router, &choice.dispatch_record()));
         let wait = match self.random.random_range(0..30) {
             0 => Duration::from_millis(self.random.random_range(0..300)),
             _ => Duration::ZERO,
@@ -330,11 +330,11 @@
     }
 
     /// Reports a dispatch to the other routers.
-    fn report_dispatch(&mut self, router: usize, sighting: &ChainSighting) -> ToldRequest {
+    fn report_dispatch(&mut self, router: usize, dispatch: &DispatchRecord) -> ToldRequest {
         let last_number = &mut self.routers[router].last_number;
         *last_number = last_number.wrapping_add(1);
         let request = ToldRequest { router: NodeId(router as u64 + 1), number: *last_number };
-        self.broadcast(router, |other| Event::PeerDispatch(other, request, sighting.clone()));
+        self.broadcast(router, |other| Event::PeerDispatch(other, request, dispatch.clone()));
         request
     }
 
--- a/crates/placement/tests/overload.rs
+++ b/crates/placement/tests/overload.rs
@@ -49,9 +49,9 @@
     let (mut here, mut elsewhere) = (placement(1), placement(1));
     let sent: Vec<(Choice, Ticket)> = (0..8).map(|number| send(&mut here, number, 0)).collect();
     for (choice, _) in &sent {
-        let sighting = choice.sighting();
-        assert_eq!(sighting.read_tokens == 0, choice.is_late);
-        elsewhere.sighted(&sighting, at(0));
+        let dispatch = choice.dispatch_record();
+        assert_eq!(dispatch.read_tokens == 0, choice.is_late);
+        elsewhere.sighted(&dispatch, at(0));
     }
     // Four prompts are done after 700 ms; the other four wait until the queue is empty.
     prefill(&mut here, sent, 4);
--- a/crates/placement/tests/placement.rs
+++ b/crates/placement/tests/placement.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use juniper_placement::{
-    ChainSighting, NoChoice, Outcome, Placement, Prompt, PromptPart, Reason, ServerRequest,
+    DispatchRecord, NoChoice, Outcome, Placement, Prompt, PromptPart, Reason, ServerRequest,
     ServiceProfile,
 };
 use juniper_registry::InstanceId;
@@ -48,7 +48,7 @@
     let busy = choose(&mut one, &prompt(1, 1), 0).instance;
     let excluded = [busy];
     let elsewhere = one.choose(&request(&prompt(1, 1), &excluded), at(0), 0).expect("a server");
-    other.sighted(&elsewhere.sighting(), at(10));
+    other.sighted(&elsewhere.dispatch_record(), at(10));
     // By then the prefill is complete; before, the queue counts too.
     let chosen = choose(&mut other, &prompt(1, 2), 1_000);
     assert_eq!((chosen.instance, chosen.reason), (elsewhere.instance, Reason::Holder));
@@ -57,7 +57,7 @@
 /// Reports dispatches of prompts of 7,000 tokens with these shared segments to the only server.
 fn report_prompts(placement: &mut Placement, shared: impl IntoIterator<Item = u64>) {
     for shared in shared {
-        let sent = choose(placement, &prompt(shared, 1), 0).sighting();
+        let sent = choose(placement, &prompt(shared, 1), 0).dispatch_record();
         placement.sighted(&sent, at(0));
     }
 }
@@ -95,7 +95,8 @@
     let home = choose(&mut placement, &prompt(1, 1), 0);
     for _ in 0..20 {
         // No cache insertions, so that only the prefill counts.
-        let sent = ChainSighting { keys: Vec::new(), own_tokens: 0, tokens: 0, ..home.sighting() };
+        let sent =
+            DispatchRecord { keys: Vec::new(), own_tokens: 0, tokens: 0, ..home.dispatch_record() };
         placement.sighted(&sent, at(0));
     }
     assert_ne!(choose(&mut placement, &prompt(1, 1), 50).instance, home.instance);
@@ -112,8 +113,12 @@
     let long = Prompt { parts, tokens: 26_000, ..prompt(1, 1) };
     let home = choose(&mut placement, &long, 0);
     for own in 0..10 {
-        let stream =
-            ChainSighting { keys: vec![own], tokens: 100, read_tokens: 100, ..home.sighting() };
+        let stream = DispatchRecord {
+            keys: vec![own],
+            tokens: 100,
+            read_tokens: 100,
+            ..home.dispatch_record()
+        };
         placement.sighted(&stream, at(0));
     }
     let relaxed = request(&long, &[]);
@@ -298,10 +303,10 @@
     let mut placement = placement(2);
     let home = choose(&mut placement, &prompt(1, 1), 0);
     for step in 0..60 {
-        let mut sighting = home.sighting();
-        sighting.keys = vec![step];
-        sighting.tokens = 30_000;
-        placement.sighted(&sighting, at(step * 50));
+        let mut dispatch = home.dispatch_record();
+        dispatch.keys = vec![step];
+        dispatch.tokens = 30_000;
+        placement.sighted(&dispatch, at(step * 50));
     }
     assert_ne!(choose(&mut placement, &prompt(1, 1), 3_000).instance, home.instance);
 }
--- a/crates/placement/tests/requests_without_prompt.rs
+++ b/crates/placement/tests/requests_without_prompt.rs
@@ -50,10 +50,10 @@
     let near = choose(placement, 0);
     let request = |number| ToldRequest { router: NodeId(5), number };
     for number in 0..100 {
-        placement.heard_sent(request(number), &near.sighting(), at(u64::from(number)));
+        placement.heard_sent(request(number), &near.dispatch_record(), at(u64::from(number)));
         placement.heard_end(request(number));
     }
-    (0..in_flight).for_each(|_| placement.sighted(&near.sighting(), at(1_000)));
+    (0..in_flight).for_each(|_| placement.sighted(&near.dispatch_record(), at(1_000)));
     near
 }
 
--- a/crates/placement/tests/transfer_sources.rs
+++ b/crates/placement/tests/transfer_sources.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
-use juniper_placement::{ChainSighting, Placement, Reason};
+use juniper_placement::{DispatchRecord, Placement, Reason};
 use juniper_registry::{Instance, InstanceId};
 
 use support::{at, choose, instance, placement, prompt, request};
@@ -26,14 +26,14 @@
     };
     let instances: Vec<Arc<Instance>> = (1..=SERVERS).map(in_zone).collect();
     placement.set_instances(&instances.iter().cloned().collect());
-    let sent = choose(&mut placement, &prompt(1, 1), 0).sighting();
+    let sent = choose(&mut placement, &prompt(1, 1), 0).dispatch_record();
     let (last, holders) = instances.split_last().expect("servers");
     for holder in holders {
         let instance = holder.id.clone();
-        let dispatch = ChainSighting { instance, ..sent.clone() };
+        let dispatch = DispatchRecord { instance, ..sent.clone() };
         placement.sighted(&dispatch, at(0));
         let busy =
-            ChainSighting { read_tokens: 40_000, keys: Vec::new(), own_tokens: 0, ..dispatch };
+            DispatchRecord { read_tokens: 40_000, keys: Vec::new(), own_tokens: 0, ..dispatch };
         placement.sighted(&busy, at(9_990));
     }
     (placement, last.id.clone())
@@ -70,10 +70,14 @@
     let mut placement = placement(SERVERS);
     let first = choose(&mut placement, &prompt(1, 1), 0);
     // The prefill of 100,000 tokens takes 2.5 s; the prompt is queued behind it.
-    let queue =
-        ChainSighting { read_tokens: 100_000, keys: Vec::new(), own_tokens: 0, ..first.sighting() };
+    let queue = DispatchRecord {
+        read_tokens: 100_000,
+        keys: Vec::new(),
+        own_tokens: 0,
+        ..first.dispatch_record()
+    };
     placement.sighted(&queue, at(0));
-    placement.sighted(&first.sighting(), at(0));
+    placement.sighted(&first.dispatch_record(), at(0));
     let queued = choose(&mut placement, &prompt(1, 2), 1_000);
     assert!(queued.source.is_none(), "{queued:?}");
     let computed = choose(&mut placement, &prompt(1, 2), 10_000);
@@ -87,24 +91,24 @@
     let chosen_with_queue_of = |tokens: u32| {
         let mut placement = placement(2);
         let holder = choose(&mut placement, &prompt(1, 1), 0);
-        placement.sighted(&holder.sighting(), at(0));
+        placement.sighted(&holder.dispatch_record(), at(0));
         for number in 1..=2 {
-            let busy = ChainSighting {
+            let busy = DispatchRecord {
                 instance: instance(number, 1).id,
                 tokens: 400_000,
                 read_tokens: 0,
                 keys: Vec::new(),
                 own_tokens: 0,
-                ..holder.sighting()
+                ..holder.dispatch_record()
             };
             placement.sighted(&busy, at(5_000));
         }
-        let queue = ChainSighting {
+        let queue = DispatchRecord {
             read_tokens: tokens,
             tokens: 0,
             keys: Vec::new(),
             own_tokens: 0,
-            ..holder.sighting()
+            ..holder.dispatch_record()
         };
         placement.sighted(&queue, at(5_000));
         choose(&mut placement, &prompt(1, 2), 5_000).reason
