--- a/crates/gateway/src/news.rs
+++ b/crates/gateway/src/news.rs
@@ -5,7 +5,9 @@
 use std::sync::{Arc, Mutex};
 
 use juniper_feed::RelayedBatch;
-use juniper_placement::{Choice, DispatchRecord, Placement, Reporter, SightingBudget, ToldRequest};
+use juniper_placement::{
+    Choice, DispatchRecord, Placement, ReportedRequest, Reporter, SightingBudget,
+};
 use juniper_protocol::message::{
     Reachability, RelayedNews, RouterNews, ServerLimitNews, ServerNoticeNews, Sighting,
 };
@@ -153,7 +155,7 @@
     let now = gateway.now();
     let mut placement = gateway.placement();
     for RelayedNews { from, zone, news } in batch.iter() {
-        let request = |number: u16| ToldRequest { router: *from, number };
+        let request = |number: u16| ReportedRequest { router: *from, number };
         for notice in news.notices.iter().flatten() {
             learn_notice(&mut placement, notice, *from, now);
         }
--- a/crates/placement/src/choice.rs
+++ b/crates/placement/src/choice.rs
@@ -8,7 +8,7 @@
 use juniper_types::Timestamp;
 
 use crate::admission::Overload;
-use crate::dispatch_record::{DispatchRecord, ToldRequest};
+use crate::dispatch_record::{DispatchRecord, ReportedRequest};
 use crate::homes::ChainKeys;
 
 /// Why a server was chosen.
@@ -155,7 +155,7 @@
     pub(crate) started_at: Timestamp,
     pub(crate) had_output: bool,
     /// Number of the request among those of this router.
-    pub(crate) request: ToldRequest,
+    pub(crate) request: ReportedRequest,
     /// Prefill tokens queued at the server when the request was dispatched.
     pub(crate) tokens_ahead: f64,
 }
--- a/crates/placement/src/dispatch_record.rs
+++ b/crates/placement/src/dispatch_record.rs
@@ -5,7 +5,7 @@
 
 /// Identity of a request that a router has reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct ToldRequest {
+pub struct ReportedRequest {
     /// The router that dispatched the request.
     pub router: NodeId,
     /// Number of the request, unique among the router's in-flight requests.
--- a/crates/placement/src/fleet_load.rs
+++ b/crates/placement/src/fleet_load.rs
@@ -5,7 +5,7 @@
 
 use juniper_types::Timestamp;
 
-use crate::dispatch_record::ToldRequest;
+use crate::dispatch_record::ReportedRequest;
 use crate::load::PrefillSpeed;
 
 /// Age at which a request without a reported end is no longer counted: its router crashed or the
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, Debug)]
 struct InFlight {
     /// Identity of the request; `None` if its end won't be reported.
-    request: Option<ToldRequest>,
+    request: Option<ReportedRequest>,
     started_at: Timestamp,
 }
 
@@ -34,7 +34,7 @@
     /// Adds a request with `tokens` of prefill.
     pub(crate) fn add_request(
         &mut self,
-        request: Option<ToldRequest>,
+        request: Option<ReportedRequest>,
         tokens: u32,
         speed: PrefillSpeed,
         now: Timestamp,
@@ -49,7 +49,7 @@
 
     /// Removes a completed request. Does nothing if its dispatch report was lost: another request
     /// must not be removed instead.
-    pub(crate) fn remove_request(&mut self, request: ToldRequest) {
+    pub(crate) fn remove_request(&mut self, request: ReportedRequest) {
         let index = self.in_flight.iter().position(|known| known.request == Some(request));
         if let Some(index) = index {
             self.in_flight.remove(index);
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -32,7 +32,7 @@
 
 pub use admission::{Overload, Prospect};
 pub use choice::{Choice, NoChoice, Reason, ServiceProfile, Ticket};
-pub use dispatch_record::{DispatchRecord, ToldRequest};
+pub use dispatch_record::{DispatchRecord, ReportedRequest};
 pub use health::Outcome;
 pub use homes::ChainKeys;
 pub use notices::PassedOver;
--- a/crates/placement/src/placement.rs
+++ b/crates/placement/src/placement.rs
@@ -11,7 +11,7 @@
 use crate::backoffs::Backoffs;
 use crate::cached_segments::DispatchedPrompt;
 use crate::choice::{Choice, ServiceProfile, Ticket};
-use crate::dispatch_record::{DispatchRecord, ToldRequest};
+use crate::dispatch_record::{DispatchRecord, ReportedRequest};
 use crate::fleet_load::is_expired;
 use crate::health::Outcome;
 use crate::lanes::Lanes;
@@ -47,7 +47,7 @@
     pub(crate) profiles: HashMap<String, ServiceProfile>,
     pub(crate) lanes: HashMap<String, Lanes>,
     /// Requests reported by other routers, with their server and the time of the report.
-    reported_requests: HashMap<ToldRequest, (InstanceId, Timestamp)>,
+    reported_requests: HashMap<ReportedRequest, (InstanceId, Timestamp)>,
     /// Number of reported requests at which expired ones are removed.
     cleanup_threshold: usize,
     /// Number of this router's most recent request.
@@ -148,7 +148,7 @@
     pub fn begin(&mut self, choice: &Choice, has_prompt: bool, now: Timestamp) -> Ticket {
         let tokens_ahead = self.tokens_ahead(&choice.instance, now);
         self.last_request_number = self.last_request_number.wrapping_add(1);
-        let request = ToldRequest { router: LOCAL_ROUTER, number: self.last_request_number };
+        let request = ReportedRequest { router: LOCAL_ROUTER, number: self.last_request_number };
         self.apply_dispatch(Some(request), &choice.dispatch_record(), now);
         if has_prompt && let Some(server) = self.server(&choice.instance) {
             let service = server.instance.report.service.clone();
@@ -184,7 +184,12 @@
     }
 
     /// Records another router's dispatch report; the end of the request will be reported too.
-    pub fn heard_sent(&mut self, request: ToldRequest, dispatch: &DispatchRecord, now: Timestamp) {
+    pub fn heard_sent(
+        &mut self,
+        request: ReportedRequest,
+        dispatch: &DispatchRecord,
+        now: Timestamp,
+    ) {
         if self.reported_requests.len() >= self.cleanup_threshold {
             self.reported_requests.retain(|_, (_, started_at)| !is_expired(*started_at, now));
             self.cleanup_threshold = (self.reported_requests.len() * 2).max(MIN_CLEANUP_THRESHOLD);
@@ -195,7 +200,7 @@
 
     fn apply_dispatch(
         &mut self,
-        request: Option<ToldRequest>,
+        request: Option<ReportedRequest>,
         dispatch: &DispatchRecord,
         now: Timestamp,
     ) {
@@ -218,7 +223,7 @@
     }
 
     /// Records the end of a request that another router has reported.
-    pub fn heard_end(&mut self, request: ToldRequest) {
+    pub fn heard_end(&mut self, request: ReportedRequest) {
         let Some((instance, _)) = self.reported_requests.remove(&request) else { return };
         if let Some(server) = self.server_mut(&instance) {
             server.fleet_load.remove_request(request);
--- a/crates/placement/tests/notices/world.rs
+++ b/crates/placement/tests/notices/world.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use juniper_placement::{
-    Choice, DispatchRecord, Outcome, Placement, RetryBudget, RetrySettings, ServerRequest, Ticket,
-    ToldRequest,
+    Choice, DispatchRecord, Outcome, Placement, ReportedRequest, RetryBudget, RetrySettings,
+    ServerRequest, Ticket,
 };
 use juniper_registry::{
     Instance, InstanceId, InstanceMap, InstanceName, InstanceReport, InstanceState, StartTime,
@@ -79,7 +79,7 @@
     attempts: u32,
     excluded: Vec<InstanceId>,
     /// Identity of the current dispatch in reports to other routers.
-    reported: Option<ToldRequest>,
+    reported: Option<ReportedRequest>,
 }
 
 #[derive(Debug)]
@@ -92,8 +92,8 @@
     Arrived(usize, usize, Box<Ticket>, u64, CallerRequest),
     Answered(usize, usize, Box<Ticket>, u64, CallerRequest, Answer),
     Done(usize),
-    PeerDispatch(usize, ToldRequest, DispatchRecord),
-    PeerCompletion(usize, ToldRequest),
+    PeerDispatch(usize, ReportedRequest, DispatchRecord),
+    PeerCompletion(usize, ReportedRequest),
     PeerBackoff(usize, usize, InstanceId, Duration),
     PeerDeparture(usize, InstanceId),
 }
@@ -330,10 +330,10 @@
     }
 
     /// Reports a dispatch to the other routers.
-    fn report_dispatch(&mut self, router: usize, dispatch: &DispatchRecord) -> ToldRequest {
+    fn report_dispatch(&mut self, router: usize, dispatch: &DispatchRecord) -> ReportedRequest {
         let last_number = &mut self.routers[router].last_number;
         *last_number = last_number.wrapping_add(1);
-        let request = ToldRequest { router: NodeId(router as u64 + 1), number: *last_number };
+        let request = ReportedRequest { router: NodeId(router as u64 + 1), number: *last_number };
         self.broadcast(router, |other| Event::PeerDispatch(other, request, dispatch.clone()));
         request
     }
--- a/crates/placement/tests/requests_without_prompt.rs
+++ b/crates/placement/tests/requests_without_prompt.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use juniper_placement::{Choice, Outcome, Placement, ServerRequest, ToldRequest};
+use juniper_placement::{Choice, Outcome, Placement, ReportedRequest, ServerRequest};
 use juniper_registry::Instance;
 use juniper_types::NodeId;
 
@@ -48,7 +48,7 @@
 /// server.
 fn report_peer_requests(placement: &mut Placement, in_flight: usize) -> Choice {
     let near = choose(placement, 0);
-    let request = |number| ToldRequest { router: NodeId(5), number };
+    let request = |number| ReportedRequest { router: NodeId(5), number };
     for number in 0..100 {
         placement.heard_sent(request(number), &near.dispatch_record(), at(u64::from(number)));
         placement.heard_end(request(number));
@@ -97,7 +97,7 @@
     let mut placement = near_and_far_server();
     let near = report_peer_requests(&mut placement, 6);
     (1_000..1_050).for_each(|number| {
-        placement.heard_end(ToldRequest { router: NodeId(5), number });
+        placement.heard_end(ReportedRequest { router: NodeId(5), number });
     });
     assert_ne!(choose(&placement, 1_050).instance, near.instance);
 }
