--- a/crates/gateway/src/news.rs
+++ b/crates/gateway/src/news.rs
@@ -6,7 +6,7 @@
 
 use juniper_feed::RelayedBatch;
 use juniper_placement::{
-    Choice, DispatchRecord, Placement, ReportedRequest, Reporter, SightingBudget,
+    Choice, DispatchRecord, Placement, ReportBudget, ReportedRequest, Reporter,
 };
 use juniper_protocol::message::{
     Reachability, RelayedNews, RouterNews, ServerLimitNews, ServerNoticeNews, Sighting,
@@ -121,7 +121,7 @@
 /// Tells the other routers what they should know, and learns it from them, for ever.
 pub(crate) async fn share(gateway: Arc<Gateway>) {
     let mut received = gateway.feed.news();
-    let mut budget = SightingBudget::default();
+    let mut budget = ReportBudget::default();
     loop {
         tokio::select! {
             batch = received.recv() => match batch {
@@ -138,7 +138,7 @@
 }
 
 /// Tells the others as much as the budget allows.
-async fn tell(gateway: &Gateway, budget: &mut SightingBudget) {
+async fn tell(gateway: &Gateway, budget: &mut ReportBudget) {
     let allowed = budget.allowed(gateway.feed.routers(), gateway.now());
     let (told, left_out) = gateway.news.take(allowed);
     gateway.metrics.sightings_left_out.inc_by(left_out as u64);
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -38,7 +38,7 @@
 pub use notices::PassedOver;
 pub use placement::Placement;
 pub use reachability_reports::Reporter;
-pub use report_budget::SightingBudget;
+pub use report_budget::ReportBudget;
 pub use request::{Prompt, PromptPart, ServerRequest};
 pub use retry_budget::{RetryBudget, RetrySettings};
 pub use server_limits::{HeardAt, LimitChange};
--- a/crates/placement/src/report_budget.rs
+++ b/crates/placement/src/report_budget.rs
@@ -17,12 +17,12 @@
 
 /// Budget of one router for dispatch reports.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct SightingBudget {
+pub struct ReportBudget {
     allowance: f64,
     updated: Timestamp,
 }
 
-impl SightingBudget {
+impl ReportBudget {
     /// Number of reports that may be sent now, with this number of routers.
     pub fn allowed(&mut self, routers: u32, now: Timestamp) -> usize {
         let rate = FLEET_REPORTS_PER_SECOND / f64::from(routers.max(1));
--- a/crates/placement/tests/budgets.rs
+++ b/crates/placement/tests/budgets.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use juniper_placement::{RetryBudget, RetrySettings, SightingBudget};
+use juniper_placement::{ReportBudget, RetryBudget, RetrySettings};
 use juniper_types::Timestamp;
 use quickcheck::quickcheck;
 
@@ -58,7 +58,7 @@
 
 /// Reports that each of `routers` routers may send within ten seconds.
 fn reports_in_ten_seconds(routers: u32) -> usize {
-    let mut budget = SightingBudget::default();
+    let mut budget = ReportBudget::default();
     let polls = (0..10_000).step_by(25);
     polls
         .map(|millis| {
