--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -35,7 +35,7 @@
 pub use dispatch_record::{DispatchRecord, ReportedRequest};
 pub use health::Outcome;
 pub use homes::ChainKeys;
-pub use notices::PassedOver;
+pub use notices::ExclusionReason;
 pub use placement::Placement;
 pub use reachability_reports::Reporter;
 pub use report_budget::ReportBudget;
--- a/crates/placement/src/notices.rs
+++ b/crates/placement/src/notices.rs
@@ -10,23 +10,23 @@
 
 /// Why a server is excluded from choices.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PassedOver {
+pub enum ExclusionReason {
     /// The server announced its departure.
-    Leaving,
+    Departing,
     /// The server requested a backoff from this router.
-    Resting,
+    BackingOff,
     /// The server requested a backoff from other routers; it is only used if no other server is
     /// available.
-    TurnsOthersAway,
+    BackingOffFromPeers,
 }
 
-impl PassedOver {
+impl ExclusionReason {
     /// Value in the `servers` log key.
     pub fn as_str(self) -> &'static str {
         match self {
-            PassedOver::Leaving => "leaving",
-            PassedOver::Resting => "resting",
-            PassedOver::TurnsOthersAway => "turns_others_away",
+            ExclusionReason::Departing => "leaving",
+            ExclusionReason::BackingOff => "resting",
+            ExclusionReason::BackingOffFromPeers => "turns_others_away",
         }
     }
 }
@@ -113,17 +113,17 @@
     }
 
     /// Servers of the service that are excluded from choices because of a notice, with the reason.
-    pub fn passed_over(&self, service: &str, now: Timestamp) -> Vec<(InstanceId, PassedOver)> {
+    pub fn passed_over(&self, service: &str, now: Timestamp) -> Vec<(InstanceId, ExclusionReason)> {
         let known = self.noticed.iter().filter_map(|name| self.servers.get(name));
         let known = known.filter(|server| server.instance.report.service == service);
         let over = known.filter_map(|server| {
             let id = &server.instance.id;
             let reason = if server.is_departing {
-                PassedOver::Leaving
+                ExclusionReason::Departing
             } else if self.active_backoff(server, now).is_some() {
-                PassedOver::Resting
+                ExclusionReason::BackingOff
             } else if self.is_backing_off_from_peers(server, now) {
-                PassedOver::TurnsOthersAway
+                ExclusionReason::BackingOffFromPeers
             } else {
                 return None;
             };
--- a/crates/placement/tests/backoffs.rs
+++ b/crates/placement/tests/backoffs.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use juniper_placement::{Choice, NoChoice, PassedOver, Placement};
+use juniper_placement::{Choice, ExclusionReason, NoChoice, Placement};
 use juniper_registry::{Instance, InstanceId, InstanceMap, StartTime};
 use juniper_types::NodeId;
 
@@ -45,7 +45,7 @@
     assert_eq!(try_choose(&placement, 1_000), Err(NoChoice::Resting(SECOND * 2)));
     assert_eq!(
         placement.passed_over(SERVICE, at(1_000)),
-        [(id(1), PassedOver::Resting), (id(2), PassedOver::Leaving)]
+        [(id(1), ExclusionReason::BackingOff), (id(2), ExclusionReason::Departing)]
     );
     assert_eq!(try_choose(&placement, 3_000).expect("the backoff has ended").instance, id(1));
 }
