--- a/crates/gateway/src/server_limits.rs
+++ b/crates/gateway/src/server_limits.rs
@@ -4,7 +4,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use juniper_limits::{Allowance, Decider, RequestRate, StatedLimit, ToldLimit, Verdict};
-use juniper_placement::{Choice, HeardAt, LimitChange};
+use juniper_placement::{Choice, LimitChange, ObservedAt};
 use juniper_protocol::message::{LimitCharge, ServerLimitNews, server_account};
 use juniper_registry::InstanceId;
 use juniper_types::Timestamp;
@@ -41,8 +41,8 @@
 }
 
 impl Gateway {
-    fn heard_at(&self) -> HeardAt {
-        HeardAt { now: self.now(), unix_ms: unix_ms() }
+    fn heard_at(&self) -> ObservedAt {
+        ObservedAt { now: self.now(), unix_ms: unix_ms() }
     }
 
     /// Notes what the answer of `instance` to `request`, sent at `sent_at`, states. An answer of
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -41,4 +41,4 @@
 pub use report_budget::ReportBudget;
 pub use request::{Prompt, PromptPart, ServerRequest};
 pub use retry_budget::{RetryBudget, RetrySettings};
-pub use server_limits::{HeardAt, LimitChange};
+pub use server_limits::{LimitChange, ObservedAt};
--- a/crates/placement/src/server_limits.rs
+++ b/crates/placement/src/server_limits.rs
@@ -8,7 +8,7 @@
 
 /// Time of an observation.
 #[derive(Clone, Copy, Debug)]
-pub struct HeardAt {
+pub struct ObservedAt {
     /// Time of this router's clock.
     pub now: Timestamp,
     /// Wall-clock time, in milliseconds since the Unix epoch.
@@ -30,7 +30,7 @@
         &mut self,
         instance: &InstanceId,
         rate: RequestRate,
-        at: HeardAt,
+        at: ObservedAt,
     ) -> Option<LimitChange> {
         let server = self.server_mut(instance)?;
         let is_new = match &mut server.limit {
@@ -49,7 +49,7 @@
         &mut self,
         instance: &InstanceId,
         sent_at: Timestamp,
-        at: HeardAt,
+        at: ObservedAt,
     ) -> Option<LimitChange> {
         let limit = self.server_mut(instance)?.limit.as_mut()?;
         limit.heard_none(sent_at, at.now, at.unix_ms).then_some(LimitChange::Over)
@@ -60,7 +60,7 @@
         &mut self,
         instance: &InstanceId,
         told: ToldLimit,
-        at: HeardAt,
+        at: ObservedAt,
     ) -> Option<LimitChange> {
         let server = self.server_mut(instance)?;
         let is_new = match &mut server.limit {
