--- a/crates/gateway/src/search.rs
+++ b/crates/gateway/src/search.rs
@@ -246,8 +246,8 @@
             self.call.route.name,
             self.call.service,
             self.call.priority,
-            overload.prospect.first_output_ms,
-            overload.prospect.wait_ms,
+            overload.estimate.first_output_ms,
+            overload.estimate.wait_ms,
             overload.least_waits_ms,
             overload.limit_ms
         );
--- a/crates/placement/src/admission.rs
+++ b/crates/placement/src/admission.rs
@@ -27,7 +27,7 @@
 
 /// Expected timing of a prompt at the server with the lowest cost.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Prospect {
+pub struct StartEstimate {
     /// Time to first output, in milliseconds.
     pub first_output_ms: f64,
     /// Part of that time spent in the queue, in milliseconds.
@@ -38,7 +38,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Overload {
     /// Expected timing of the prompt.
-    pub prospect: Prospect,
+    pub estimate: StartEstimate,
     /// Lower quartile of the queueing times over all servers, in milliseconds.
     pub least_waits_ms: f64,
     /// Time within which the prompt had to start, in milliseconds.
@@ -48,12 +48,12 @@
 impl Overload {
     /// Time by which the expected start exceeds the limit.
     pub fn excess(&self) -> Duration {
-        let excess_ms = (self.prospect.first_output_ms - self.limit_ms).max(0.0);
+        let excess_ms = (self.estimate.first_output_ms - self.limit_ms).max(0.0);
         Duration::from_secs_f64(excess_ms / 1_000.0)
     }
 }
 
-impl Prospect {
+impl StartEstimate {
     /// Returns the reason for rejecting a prompt of this rank (0 is the most urgent), or `None` to
     /// admit it. `least_waits_ms` visits every server and is only called if the start limit is
     /// exceeded.
@@ -71,6 +71,6 @@
         let least_waits_ms = least_waits_ms();
         let waits_long = self.wait_ms > limit_ms * LONG_WAIT_FACTOR;
         let is_scarce = least_waits_ms > limit_ms * SCARCE_CAPACITY_FACTOR;
-        (waits_long || is_scarce).then_some(Overload { prospect: self, least_waits_ms, limit_ms })
+        (waits_long || is_scarce).then_some(Overload { estimate: self, least_waits_ms, limit_ms })
     }
 }
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -30,7 +30,7 @@
 mod server;
 mod server_limits;
 
-pub use admission::{Overload, Prospect};
+pub use admission::{Overload, StartEstimate};
 pub use choice::{Choice, NoChoice, Reason, ServiceProfile, Ticket};
 pub use dispatch_record::{DispatchRecord, ReportedRequest};
 pub use health::Outcome;
--- a/crates/placement/src/search.rs
+++ b/crates/placement/src/search.rs
@@ -3,7 +3,7 @@
 use juniper_prefix_index::rendezvous;
 use juniper_types::Timestamp;
 
-use crate::admission::Prospect;
+use crate::admission::StartEstimate;
 use crate::candidates::{is_usable, last_resort};
 use crate::choice::{Choice, NoChoice, ServiceProfile};
 use crate::cost::{CostContext, ServerView};
@@ -95,7 +95,7 @@
         let work = PromptWork { source, ..work_by_server[index] };
         let view = self.server_view(servers[index], work, &context);
         let first_output_ms = context.first_output_ms(&view);
-        let estimate = Prospect { first_output_ms, wait_ms: context.wait_ms(&view) };
+        let estimate = StartEstimate { first_output_ms, wait_ms: context.wait_ms(&view) };
         if request.prompt.is_some() && request.may_be_refused {
             let least_waits_ms = || self.least_waits_ms(servers, &work_by_server, &context);
             let overload = estimate.overload(request.rank, request.time_left, least_waits_ms);
--- a/crates/placement/tests/admission.rs
+++ b/crates/placement/tests/admission.rs
@@ -5,14 +5,14 @@
 
 use std::time::Duration;
 
-use juniper_placement::Prospect;
+use juniper_placement::StartEstimate;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
 const OBJECTIVE: Duration = Duration::from_millis(800);
 
-fn estimate(first_output_ms: f64, wait_ms: f64) -> Prospect {
-    Prospect { first_output_ms, wait_ms }
+fn estimate(first_output_ms: f64, wait_ms: f64) -> StartEstimate {
+    StartEstimate { first_output_ms, wait_ms }
 }
 
 #[test]
