--- a/crates/gateway/src/search.rs
+++ b/crates/gateway/src/search.rs
@@ -248,7 +248,7 @@
             self.call.priority,
             overload.estimate.first_output_ms,
             overload.estimate.wait_ms,
-            overload.least_waits_ms,
+            overload.lower_quartile_wait_ms,
             overload.limit_ms
         );
     }
--- a/crates/placement/src/admission.rs
+++ b/crates/placement/src/admission.rs
@@ -40,7 +40,7 @@
     /// Expected timing of the prompt.
     pub estimate: StartEstimate,
     /// Lower quartile of the queueing times over all servers, in milliseconds.
-    pub least_waits_ms: f64,
+    pub lower_quartile_wait_ms: f64,
     /// Time within which the prompt had to start, in milliseconds.
     pub limit_ms: f64,
 }
@@ -55,22 +55,26 @@
 
 impl StartEstimate {
     /// Returns the reason for rejecting a prompt of this rank (0 is the most urgent), or `None` to
-    /// admit it. `least_waits_ms` visits every server and is only called if the start limit is
+    /// admit it. `lower_quartile_wait_ms` visits every server and is only called if the start limit is
     /// exceeded.
     pub fn overload(
         self,
         rank: u8,
         time_left: Duration,
-        least_waits_ms: impl FnOnce() -> f64,
+        lower_quartile_wait_ms: impl FnOnce() -> f64,
     ) -> Option<Overload> {
         let part = if rank == 0 { MAX_URGENT_START_SHARE } else { MAX_START_SHARE };
         let limit_ms = time_left.as_secs_f64() * 1_000.0 * part;
         if self.first_output_ms <= limit_ms {
             return None;
         }
-        let least_waits_ms = least_waits_ms();
+        let lower_quartile_wait_ms = lower_quartile_wait_ms();
         let waits_long = self.wait_ms > limit_ms * LONG_WAIT_FACTOR;
-        let is_scarce = least_waits_ms > limit_ms * SCARCE_CAPACITY_FACTOR;
-        (waits_long || is_scarce).then_some(Overload { estimate: self, least_waits_ms, limit_ms })
+        let is_scarce = lower_quartile_wait_ms > limit_ms * SCARCE_CAPACITY_FACTOR;
+        (waits_long || is_scarce).then_some(Overload {
+            estimate: self,
+            lower_quartile_wait_ms,
+            limit_ms,
+        })
     }
 }
--- a/crates/placement/src/search.rs
+++ b/crates/placement/src/search.rs
@@ -97,8 +97,10 @@
         let first_output_ms = context.first_output_ms(&view);
         let estimate = StartEstimate { first_output_ms, wait_ms: context.wait_ms(&view) };
         if request.prompt.is_some() && request.may_be_refused {
-            let least_waits_ms = || self.least_waits_ms(servers, &work_by_server, &context);
-            let overload = estimate.overload(request.rank, request.time_left, least_waits_ms);
+            let lower_quartile_wait_ms =
+                || self.lower_quartile_wait_ms(servers, &work_by_server, &context);
+            let overload =
+                estimate.overload(request.rank, request.time_left, lower_quartile_wait_ms);
             if let Some(overload) = overload {
                 return Err(NoChoice::Overloaded(overload));
             }
@@ -109,7 +111,7 @@
 
     /// Lower quartile of the servers' queueing times. There is spare capacity while a quarter of
     /// the servers have short queues.
-    fn least_waits_ms(
+    fn lower_quartile_wait_ms(
         &self,
         servers: &[&Server],
         work_by_server: &[PromptWork],
--- a/crates/placement/tests/admission.rs
+++ b/crates/placement/tests/admission.rs
@@ -17,8 +17,8 @@
 
 #[test]
 fn prompt_that_starts_in_time_is_admitted_without_checking_other_servers() {
-    let least_waits_ms = || panic!("the waits of all servers aren't needed");
-    assert_eq!(estimate(300.0, 290.0).overload(1, OBJECTIVE, least_waits_ms), None);
+    let lower_quartile_wait_ms = || panic!("the waits of all servers aren't needed");
+    assert_eq!(estimate(300.0, 290.0).overload(1, OBJECTIVE, lower_quartile_wait_ms), None);
 }
 
 #[test]
@@ -26,7 +26,7 @@
     let long = estimate(700.0, 0.0);
     assert_eq!(long.overload(1, OBJECTIVE, || 10.0), None);
     let overload = long.overload(1, OBJECTIVE, || 100.0).expect("it would delay others");
-    assert_eq!((overload.limit_ms, overload.least_waits_ms), (320.0, 100.0));
+    assert_eq!((overload.limit_ms, overload.lower_quartile_wait_ms), (320.0, 100.0));
     assert_eq!(overload.excess(), Duration::from_millis(380));
 }
 
