--- a/crates/gateway/src/server_limits.rs
+++ b/crates/gateway/src/server_limits.rs
@@ -157,11 +157,11 @@
 fn log_change(instance: &InstanceId, change: Option<LimitChange>, request: &str) {
     match change {
         None => {}
-        Some(LimitChange::Stated(rate)) => log::info!(
+        Some(LimitChange::Advertised(rate)) => log::info!(
             "event=server_limit_heard request={request} instance={instance} per_second={}",
             rate.per_second()
         ),
-        Some(LimitChange::Over) => {
+        Some(LimitChange::Ended) => {
             log::info!("event=server_limit_over request={request} instance={instance}");
         }
     }
--- a/crates/placement/src/server_limits.rs
+++ b/crates/placement/src/server_limits.rs
@@ -19,9 +19,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LimitChange {
     /// The server advertises this rate for all routers together.
-    Stated(RequestRate),
+    Advertised(RequestRate),
     /// The server no longer advertises a limit.
-    Over,
+    Ended,
 }
 
 impl Placement {
@@ -40,7 +40,7 @@
                 true
             }
         };
-        is_new.then_some(LimitChange::Stated(rate))
+        is_new.then_some(LimitChange::Advertised(rate))
     }
 
     /// Records that an answer of the server, to a request sent at `sent_at`, advertises no limit.
@@ -52,7 +52,7 @@
         at: ObservedAt,
     ) -> Option<LimitChange> {
         let limit = self.server_mut(instance)?.limit.as_mut()?;
-        limit.heard_none(sent_at, at.now, at.unix_ms).then_some(LimitChange::Over)
+        limit.heard_none(sent_at, at.now, at.unix_ms).then_some(LimitChange::Ended)
     }
 
     /// Records another router's report of the server's limit. Returns the change, if any.
@@ -71,7 +71,8 @@
                 true
             }
         };
-        let change = if told.is_over { LimitChange::Over } else { LimitChange::Stated(told.rate) };
+        let change =
+            if told.is_over { LimitChange::Ended } else { LimitChange::Advertised(told.rate) };
         is_new.then_some(change)
     }
 
