--- a/crates/gateway/src/search.rs
+++ b/crates/gateway/src/search.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use juniper_placement::{Choice, NoChoice, Overload, ServerRequest};
+use juniper_placement::{Choice, ChoiceError, Overload, ServerRequest};
 use juniper_registry::InstanceId;
 use juniper_types::Timestamp;
 use tokio::time::Instant;
@@ -71,7 +71,7 @@
             let views = *self.gateway.views_taken.borrow();
             let (choice, counted) = match self.choose_admitted().await {
                 Ok(admitted) => admitted,
-                Err(NoChoice::NoServer) if self.waits_for_servers(views).await => continue,
+                Err(ChoiceError::NoServer) if self.waits_for_servers(views).await => continue,
                 Err(refusal) => return Err(self.given_up(self.refusal(refusal))),
             };
             self.log_choice(&choice);
@@ -156,7 +156,7 @@
 
     /// Chooses a server that takes the request, with what was counted for it. One that has got all
     /// that it takes is passed over without a sending.
-    async fn choose_admitted(&self) -> Result<(Choice, Option<Charged>), NoChoice> {
+    async fn choose_admitted(&self) -> Result<(Choice, Option<Charged>), ChoiceError> {
         for refusals in 0.. {
             let choice = self.choose(refusals >= MAX_REFUSALS)?;
             match self.gateway.admit_at_server(self.call, &choice).await {
@@ -167,7 +167,7 @@
         unreachable!("servers with limits are left out after some refusals")
     }
 
-    fn choose(&self, spares_limited: bool) -> Result<Choice, NoChoice> {
+    fn choose(&self, spares_limited: bool) -> Result<Choice, ChoiceError> {
         let request = ServerRequest {
             service: &self.call.service,
             prompt: self.call.facts.prompt.as_ref(),
@@ -210,20 +210,24 @@
         self.gateway.wait_for_servers(views, arrived, deadline).await
     }
 
-    fn refusal(&self, refusal: NoChoice) -> OwnAnswer {
+    fn refusal(&self, refusal: ChoiceError) -> OwnAnswer {
         match refusal {
-            NoChoice::NoServer | NoChoice::OldWeights => OwnAnswer::NoServer(NO_SERVER_PAUSE),
-            NoChoice::AllExcluded => OwnAnswer::Full(FULL_PAUSE),
-            NoChoice::Overloaded(overload) => {
+            ChoiceError::NoServer | ChoiceError::OutdatedWeights => {
+                OwnAnswer::NoServer(NO_SERVER_PAUSE)
+            }
+            ChoiceError::AllExcluded => OwnAnswer::Full(FULL_PAUSE),
+            ChoiceError::Overloaded(overload) => {
                 self.log_overload(&overload);
                 let soonest = self.call.objective().mul_f64(SOONEST_RETURN);
                 OwnAnswer::Overloaded(spread(overload.excess().max(soonest)))
             }
-            NoChoice::Resting(rest) => {
+            ChoiceError::BackingOff(rest) => {
                 self.gateway.log_passed_over(self.call);
                 OwnAnswer::ServersResting(return_after(rest, self.call.priority))
             }
-            NoChoice::UsedUp(pause) => OwnAnswer::ServersUsedUp(spread(pause.max(FULL_PAUSE))),
+            ChoiceError::LimitReached(pause) => {
+                OwnAnswer::ServersUsedUp(spread(pause.max(FULL_PAUSE)))
+            }
         }
     }
 
--- a/crates/placement/src/candidates.rs
+++ b/crates/placement/src/candidates.rs
@@ -3,7 +3,7 @@
 use juniper_registry::InstanceName;
 use juniper_types::Timestamp;
 
-use crate::choice::{Choice, NoChoice, Reason};
+use crate::choice::{Choice, ChoiceError, Reason};
 use crate::placement::Placement;
 use crate::request::ServerRequest;
 use crate::server::Server;
@@ -15,19 +15,19 @@
         members: &[InstanceName],
         request: &ServerRequest<'_>,
         now: Timestamp,
-    ) -> Result<Vec<&Server>, NoChoice> {
+    ) -> Result<Vec<&Server>, ChoiceError> {
         let listed = members.iter().filter_map(|id| self.servers.get(id));
         // The instance list lags behind the servers' own answers.
         let is_in_service = |server: &&Server| !server.health.replaced && !server.is_departing;
         let listed: Vec<&Server> = listed.filter(is_in_service).collect();
         if listed.is_empty() {
-            return Err(NoChoice::NoServer);
+            return Err(ChoiceError::NoServer);
         }
         let mut candidates: Vec<&Server> = listed;
         if let Some(prompt) = request.prompt {
             candidates.retain(|server| server.version_of(&prompt.model) >= request.min_version);
             if candidates.is_empty() {
-                return Err(NoChoice::OldWeights);
+                return Err(ChoiceError::OutdatedWeights);
             }
         }
         // A full server only costs more, but a backoff must be respected in any case.
@@ -35,11 +35,11 @@
             candidates.iter().filter_map(|server| self.active_backoff(server, now)).min();
         candidates.retain(|server| self.active_backoff(server, now).is_none());
         if let Some(backoff) = shortest_backoff.filter(|_| candidates.is_empty()) {
-            return Err(NoChoice::Resting(backoff));
+            return Err(ChoiceError::BackingOff(backoff));
         }
         candidates.retain(|server| !request.excluded.contains(&server.instance.id));
         if candidates.is_empty() {
-            return Err(NoChoice::AllExcluded);
+            return Err(ChoiceError::AllExcluded);
         }
         // A server at its limit would be overloaded by any further request.
         let limit_waits = candidates.iter().filter_map(|server| server.limit_wait(now));
@@ -49,7 +49,7 @@
             server.limit_wait(now).is_none() && !(avoids_limited && server.limit.is_some())
         });
         match candidates.is_empty() {
-            true => Err(NoChoice::UsedUp(shortest_wait)),
+            true => Err(ChoiceError::LimitReached(shortest_wait)),
             false => Ok(candidates),
         }
     }
--- a/crates/placement/src/choice.rs
+++ b/crates/placement/src/choice.rs
@@ -122,7 +122,7 @@
 
 /// Why no server was chosen.
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
-pub enum NoChoice {
+pub enum ChoiceError {
     /// The service has no server.
     #[error("the service has no server")]
     NoServer,
@@ -131,19 +131,19 @@
     AllExcluded,
     /// Every server has older weights than the required version.
     #[error("every server has older weights than the required version")]
-    OldWeights,
+    OutdatedWeights,
     /// The queues are too long for the prompt to start in time.
     #[error("servers are overloaded: {0:?}")]
     Overloaded(Overload),
     /// Every server is backing off from this router; the first backoff ends after this time.
     #[error("every server is backing off; the first one accepts requests in {0:?}")]
-    Resting(Duration),
+    BackingOff(Duration),
     /// Every remaining server has reached its advertised limit; the first has capacity after this
     /// time.
     #[error(
         "every remaining server has reached its advertised limit; the first one has capacity in {0:?}"
     )]
-    UsedUp(Duration),
+    LimitReached(Duration),
 }
 
 /// An in-flight request on a server.
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -31,7 +31,7 @@
 mod server_limits;
 
 pub use admission::{Overload, StartEstimate};
-pub use choice::{Choice, NoChoice, Reason, ServiceProfile, Ticket};
+pub use choice::{Choice, ChoiceError, Reason, ServiceProfile, Ticket};
 pub use dispatch_record::{DispatchRecord, ReportedRequest};
 pub use health::Outcome;
 pub use homes::ChainKeys;
--- a/crates/placement/src/search.rs
+++ b/crates/placement/src/search.rs
@@ -5,7 +5,7 @@
 
 use crate::admission::StartEstimate;
 use crate::candidates::{is_usable, last_resort};
-use crate::choice::{Choice, NoChoice, ServiceProfile};
+use crate::choice::{Choice, ChoiceError, ServiceProfile};
 use crate::cost::{CostContext, ServerView};
 use crate::homes::ChainKeys;
 use crate::placement::Placement;
@@ -31,16 +31,16 @@
     /// Chooses a server for the request.
     ///
     /// # Errors
-    /// Returns a [`NoChoice`] if no server may be used.
+    /// Returns a [`ChoiceError`] if no server may be used.
     pub fn choose(
         &self,
         request: &ServerRequest<'_>,
         now: Timestamp,
         random: u64,
-    ) -> Result<Choice, NoChoice> {
+    ) -> Result<Choice, ChoiceError> {
         let members = self.services.get(request.service).map_or(&[][..], Vec::as_slice);
         if members.is_empty() {
-            return Err(NoChoice::NoServer);
+            return Err(ChoiceError::NoServer);
         }
         let candidates = self.candidates(members, request, now)?;
         let usable = candidates.iter().copied().filter(|server| is_usable(server, request, now));
@@ -65,7 +65,7 @@
         request: &ServerRequest<'_>,
         now: Timestamp,
         random: u64,
-    ) -> Result<Choice, NoChoice> {
+    ) -> Result<Choice, ChoiceError> {
         let context = CostContext {
             speed: self.speeds.get(request.service).copied().unwrap_or_default(),
             objective: request.objective,
@@ -87,7 +87,7 @@
                 best = Some((cost, tie, index));
             }
         }
-        let (cost_ms, _, index) = best.ok_or(NoChoice::NoServer)?;
+        let (cost_ms, _, index) = best.ok_or(ChoiceError::NoServer)?;
         let model = request.prompt.map_or("", |prompt| prompt.model.as_str());
         let source = work_by_server[index]
             .source
@@ -102,7 +102,7 @@
             let overload =
                 estimate.overload(request.rank, request.time_left, lower_quartile_wait_ms);
             if let Some(overload) = overload {
-                return Err(NoChoice::Overloaded(overload));
+                return Err(ChoiceError::Overloaded(overload));
             }
         }
         let cheapest = Cheapest { index, work, cost_ms, first_output_ms };
--- a/crates/placement/tests/backoffs.rs
+++ b/crates/placement/tests/backoffs.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use juniper_placement::{Choice, ExclusionReason, NoChoice, Placement};
+use juniper_placement::{Choice, ChoiceError, ExclusionReason, Placement};
 use juniper_registry::{Instance, InstanceId, InstanceMap, StartTime};
 use juniper_types::NodeId;
 
@@ -17,7 +17,7 @@
     instance(number, 1).id
 }
 
-fn try_choose(placement: &Placement, millis: u64) -> Result<Choice, NoChoice> {
+fn try_choose(placement: &Placement, millis: u64) -> Result<Choice, ChoiceError> {
     placement.choose(&request(&prompt(1, 2), &[]), at(millis), millis)
 }
 
@@ -31,7 +31,7 @@
     for (number, seconds) in [(1, 9), (2, 3), (3, 5)] {
         assert!(placement.asked_to_pause(&id(number), SECOND * seconds, at(0)));
     }
-    assert_eq!(try_choose(&placement, 1_000), Err(NoChoice::Resting(SECOND * 2)));
+    assert_eq!(try_choose(&placement, 1_000), Err(ChoiceError::BackingOff(SECOND * 2)));
     assert_eq!(try_choose(&placement, 3_000).expect("the backoff has ended").instance, id(2));
 }
 
@@ -42,7 +42,7 @@
     placement.heard_leaving(&id(2), at(0));
     placement.set_instances(&InstanceMap::default());
     placement.set_instances(&view([instance(1, 1), instance(2, 1)]));
-    assert_eq!(try_choose(&placement, 1_000), Err(NoChoice::Resting(SECOND * 2)));
+    assert_eq!(try_choose(&placement, 1_000), Err(ChoiceError::BackingOff(SECOND * 2)));
     assert_eq!(
         placement.passed_over(SERVICE, at(1_000)),
         [(id(1), ExclusionReason::BackingOff), (id(2), ExclusionReason::Departing)]
@@ -62,11 +62,11 @@
     placement.set_instances(&view([former.clone()]));
     placement.asked_to_pause(&former.id, SECOND * 3_600, at(0));
     placement.heard_leaving(&former.id, at(0));
-    assert_eq!(try_choose(&placement, 10), Err(NoChoice::NoServer));
+    assert_eq!(try_choose(&placement, 10), Err(ChoiceError::NoServer));
     placement.set_instances(&view([later.clone()]));
     assert_eq!(try_choose(&placement, 20).expect("a new incarnation").instance, later.id);
     placement.set_instances(&view([former]));
-    assert_eq!(try_choose(&placement, 30), Err(NoChoice::NoServer), "a departure is final");
+    assert_eq!(try_choose(&placement, 30), Err(ChoiceError::NoServer), "a departure is final");
 }
 
 #[test]
--- a/crates/placement/tests/placement.rs
+++ b/crates/placement/tests/placement.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use juniper_placement::{
-    DispatchRecord, NoChoice, Outcome, Placement, Prompt, PromptPart, Reason, ServerRequest,
+    ChoiceError, DispatchRecord, Outcome, Placement, Prompt, PromptPart, Reason, ServerRequest,
     ServiceProfile,
 };
 use juniper_registry::InstanceId;
@@ -174,7 +174,7 @@
     let mut placement = placement(3);
     let prompt = prompt(1, 1);
     let strict = ServerRequest { min_version: 2, ..request(&prompt, &[]) };
-    assert_eq!(placement.choose(&strict, at(0), 0), Err(NoChoice::OldWeights));
+    assert_eq!(placement.choose(&strict, at(0), 0), Err(ChoiceError::OutdatedWeights));
     let id = InstanceId::new("i-2");
     placement.saw_version(&id, 2);
     assert_eq!(placement.choose(&strict, at(0), 0).map(|choice| choice.instance), Ok(id));
@@ -229,7 +229,7 @@
     let ticket = placement.begin(&choice, true, at(0));
     placement.end(ticket, Outcome::Replaced, at(0));
     let prompt = prompt(1, 1);
-    assert_eq!(placement.choose(&request(&prompt, &[]), at(0), 0), Err(NoChoice::NoServer));
+    assert_eq!(placement.choose(&request(&prompt, &[]), at(0), 0), Err(ChoiceError::NoServer));
 }
 
 #[test]
@@ -315,11 +315,11 @@
 fn no_server_is_chosen_without_servers_or_with_all_excluded() {
     let placement = Placement::new("north");
     let prompt = prompt(1, 1);
-    assert_eq!(placement.choose(&request(&prompt, &[]), at(0), 0), Err(NoChoice::NoServer));
+    assert_eq!(placement.choose(&request(&prompt, &[]), at(0), 0), Err(ChoiceError::NoServer));
     let one = self::placement(1);
     let excluded = [InstanceId::new("i-1")];
     let refused = one.choose(&request(&prompt, &excluded), at(0), 0);
-    assert_eq!(refused, Err(NoChoice::AllExcluded));
+    assert_eq!(refused, Err(ChoiceError::AllExcluded));
 }
 
 #[test]
