--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -82,13 +82,13 @@
         match self {
             AttemptError::NotSent(ConnectError::Exhausted) | AttemptError::NotRun => Outcome::Full,
             // A kept connection that the server has closed tells nothing of new ones.
-            AttemptError::NotSent(ConnectError::Handshake(_)) => Outcome::Broken,
+            AttemptError::NotSent(ConnectError::Handshake(_)) => Outcome::Interrupted,
             AttemptError::NotSent(_) => Outcome::Unreachable,
             AttemptError::Resting(_) => Outcome::Cancelled,
             AttemptError::OtherServer => Outcome::Replaced,
-            AttemptError::OtherVersion(version) => Outcome::OtherWeights(*version),
+            AttemptError::OtherVersion(version) => Outcome::VersionMismatch(*version),
             AttemptError::Broken(_) | AttemptError::NoAnswer | AttemptError::Silent => {
-                Outcome::Broken
+                Outcome::Interrupted
             }
         }
     }
@@ -119,7 +119,7 @@
     /// counts as failing: it may swallow the next requests too.
     fn drop(&mut self) {
         let is_silent = !self.has_head && self.begun.elapsed() >= self.unusual_silence;
-        self.close(if is_silent { Outcome::Broken } else { Outcome::Cancelled });
+        self.close(if is_silent { Outcome::Interrupted } else { Outcome::Cancelled });
     }
 }
 
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -94,7 +94,7 @@
                     call.id()
                 );
                 let sent_at = attempt.sent_at;
-                attempt.fail(Outcome::Broken);
+                attempt.fail(Outcome::Interrupted);
                 if end == BodyEnd::Broken {
                     gateway.note_cut(&call, &instance, sent_at);
                 }
@@ -183,7 +183,7 @@
             return;
         }
         if failed {
-            return attempt.fail(Outcome::Broken);
+            return attempt.fail(Outcome::Interrupted);
         }
         let frame = tokio::select! {
             frame = timeout_at(call.deadline, rest.frame()) => frame,
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -97,7 +97,7 @@
                 self.last_event
             );
             let sent_at = attempt.sent_at;
-            attempt.fail(Outcome::Broken);
+            attempt.fail(Outcome::Interrupted);
             if end == BodyEnd::Broken {
                 self.gateway.note_cut(&self.call, &instance, sent_at);
             }
--- a/crates/placement/src/health.rs
+++ b/crates/placement/src/health.rs
@@ -35,7 +35,7 @@
     /// The server answered with an error.
     ServerError,
     /// The answer was interrupted, invalid or missing.
-    Broken,
+    Interrupted,
     /// The connection failed.
     Unreachable,
     /// The server rejected the request because it is full.
@@ -43,7 +43,7 @@
     /// Another incarnation listens on the address.
     Replaced,
     /// The server rejected the request because it doesn't have this version of the weights.
-    OtherWeights(u64),
+    VersionMismatch(u64),
     /// The caller disconnected; the request says nothing about the server.
     Cancelled,
 }
@@ -96,7 +96,7 @@
                 0.0
             }
             Outcome::ServerError => 1.0,
-            Outcome::Broken => {
+            Outcome::Interrupted => {
                 // A crashed host looks the same until a connection is tried, so the first probe is
                 // due at once.
                 let (interval, next_probe) = (MIN_PROBE_INTERVAL, now);
@@ -116,7 +116,7 @@
                 self.replaced = true;
                 return;
             }
-            Outcome::OtherWeights(version) => {
+            Outcome::VersionMismatch(version) => {
                 self.rejected_version =
                     Some(RejectedVersion { version, until: now.after(VERSION_REJECTION_TIME) });
                 return;
--- a/crates/placement/tests/placement.rs
+++ b/crates/placement/tests/placement.rs
@@ -237,7 +237,7 @@
     let mut placement = placement(4);
     let choice = choose(&mut placement, &prompt(1, 1), 0);
     let ticket = placement.begin(&choice, true, at(0));
-    placement.end(ticket, Outcome::OtherWeights(choice.version), at(0));
+    placement.end(ticket, Outcome::VersionMismatch(choice.version), at(0));
     let meanwhile = choose(&mut placement, &prompt(1, 1), 900);
     assert_ne!(meanwhile.instance, choice.instance);
     placement.saw_version(&choice.instance, choice.version + 1);
