--- a/crates/gateway/src/news.rs
+++ b/crates/gateway/src/news.rs
@@ -163,7 +163,7 @@
             match sighting.number {
                 // A router of an earlier version; the request is forgotten after a while.
                 0 => placement.sighted(&read(sighting), now),
-                number => placement.heard_sent(request(number), &read(sighting), now),
+                number => placement.apply_peer_dispatch(request(number), &read(sighting), now),
             }
         }
         news.ended.iter().for_each(|number| placement.heard_end(request(*number)));
--- a/crates/placement/src/placement.rs
+++ b/crates/placement/src/placement.rs
@@ -184,7 +184,7 @@
     }
 
     /// Records another router's dispatch report; the end of the request will be reported too.
-    pub fn heard_sent(
+    pub fn apply_peer_dispatch(
         &mut self,
         request: ReportedRequest,
         dispatch: &DispatchRecord,
--- a/crates/placement/tests/notices/world.rs
+++ b/crates/placement/tests/notices/world.rs
@@ -262,7 +262,7 @@
             Event::Done(server) => self.in_flight[server] -= 1,
             Event::PeerDispatch(router, request, dispatch) => {
                 let now = self.router_time(router);
-                self.routers[router].placement.heard_sent(request, &dispatch, now);
+                self.routers[router].placement.apply_peer_dispatch(request, &dispatch, now);
             }
             Event::PeerBackoff(router, from, id, backoff) => {
                 let now = self.router_time(router);
--- a/crates/placement/tests/requests_without_prompt.rs
+++ b/crates/placement/tests/requests_without_prompt.rs
@@ -50,7 +50,11 @@
     let near = choose(placement, 0);
     let request = |number| ReportedRequest { router: NodeId(5), number };
     for number in 0..100 {
-        placement.heard_sent(request(number), &near.dispatch_record(), at(u64::from(number)));
+        placement.apply_peer_dispatch(
+            request(number),
+            &near.dispatch_record(),
+            at(u64::from(number)),
+        );
         placement.heard_end(request(number));
     }
     (0..in_flight).for_each(|_| placement.sighted(&near.dispatch_record(), at(1_000)));
