--- a/crates/gateway/src/news.rs
+++ b/crates/gateway/src/news.rs
@@ -166,7 +166,7 @@
                 number => placement.apply_peer_dispatch(request(number), &read(sighting), now),
             }
         }
-        news.ended.iter().for_each(|number| placement.heard_end(request(*number)));
+        news.ended.iter().for_each(|number| placement.apply_peer_completion(request(*number)));
         let reporter = Reporter { node: from.0, zone: zone.as_str() };
         for told in &news.reachability {
             let instance = told.id();
--- a/crates/placement/src/placement.rs
+++ b/crates/placement/src/placement.rs
@@ -223,7 +223,7 @@
     }
 
     /// Records the end of a request that another router has reported.
-    pub fn heard_end(&mut self, request: ReportedRequest) {
+    pub fn apply_peer_completion(&mut self, request: ReportedRequest) {
         let Some((instance, _)) = self.reported_requests.remove(&request) else { return };
         if let Some(server) = self.server_mut(&instance) {
             server.fleet_load.remove_request(request);
--- a/crates/placement/tests/notices/world.rs
+++ b/crates/placement/tests/notices/world.rs
@@ -274,7 +274,7 @@
                 self.routers[router].placement.heard_leaving(&id, now);
             }
             Event::PeerCompletion(router, request) => {
-                self.routers[router].placement.heard_end(request)
+                self.routers[router].placement.apply_peer_completion(request)
             }
         }
     }
--- a/crates/placement/tests/requests_without_prompt.rs
+++ b/crates/placement/tests/requests_without_prompt.rs
@@ -55,7 +55,7 @@
             &near.dispatch_record(),
             at(u64::from(number)),
         );
-        placement.heard_end(request(number));
+        placement.apply_peer_completion(request(number));
     }
     (0..in_flight).for_each(|_| placement.sighted(&near.dispatch_record(), at(1_000)));
     near
@@ -101,7 +101,7 @@
     let mut placement = near_and_far_server();
     let near = report_peer_requests(&mut placement, 6);
     (1_000..1_050).for_each(|number| {
-        placement.heard_end(ReportedRequest { router: NodeId(5), number });
+        placement.apply_peer_completion(ReportedRequest { router: NodeId(5), number });
     });
     assert_ne!(choose(&placement, 1_050).instance, near.instance);
 }
