--- a/crates/gateway/src/news.rs
+++ b/crates/gateway/src/news.rs
@@ -170,7 +170,7 @@
         let reporter = Reporter { node: from.0, zone: zone.as_str() };
         for told in &news.reachability {
             let instance = told.id();
-            if placement.heard_reachability(reporter, &instance, told.reached, now) {
+            if placement.apply_peer_reachability(reporter, &instance, told.reached, now) {
                 log::info!("event=server_reported_unreachable instance={instance}");
                 gateway.metrics.servers_reported.inc();
             }
--- a/crates/placement/src/placement.rs
+++ b/crates/placement/src/placement.rs
@@ -232,7 +232,7 @@
 
     /// Records another router's report on whether it can reach the server. Returns whether the
     /// report changes the server to unreachable for this router.
-    pub fn heard_reachability(
+    pub fn apply_peer_reachability(
         &mut self,
         reporter: Reporter<'_>,
         instance: &InstanceId,
--- a/crates/placement/tests/reachability_reports.rs
+++ b/crates/placement/tests/reachability_reports.rs
@@ -10,7 +10,7 @@
 const NEAR: &str = "north";
 
 fn report(placement: &mut Placement, node: u64, zone: &str, server: &InstanceId, reached: bool) {
-    placement.heard_reachability(Reporter { node, zone }, server, reached, at(0));
+    placement.apply_peer_reachability(Reporter { node, zone }, server, reached, at(0));
 }
 
 /// A placement with two servers, and the choice of a prompt's home.
