--- a/crates/gateway/src/news.rs
+++ b/crates/gateway/src/news.rs
@@ -162,7 +162,7 @@
         for sighting in &news.sightings {
             match sighting.number {
                 // A router of an earlier version; the request is forgotten after a while.
-                0 => placement.sighted(&read(sighting), now),
+                0 => placement.apply_untracked_dispatch(&read(sighting), now),
                 number => placement.apply_peer_dispatch(request(number), &read(sighting), now),
             }
         }
--- a/crates/placement/src/placement.rs
+++ b/crates/placement/src/placement.rs
@@ -179,7 +179,7 @@
 
     /// Records a dispatch report without a request number: the end of the request won't be
     /// reported.
-    pub fn sighted(&mut self, dispatch: &DispatchRecord, now: Timestamp) {
+    pub fn apply_untracked_dispatch(&mut self, dispatch: &DispatchRecord, now: Timestamp) {
         self.apply_dispatch(None, dispatch, now);
     }
 
--- a/crates/placement/tests/overload.rs
+++ b/crates/placement/tests/overload.rs
@@ -51,7 +51,7 @@
     for (choice, _) in &sent {
         let dispatch = choice.dispatch_record();
         assert_eq!(dispatch.read_tokens == 0, choice.is_late);
-        elsewhere.sighted(&dispatch, at(0));
+        elsewhere.apply_untracked_dispatch(&dispatch, at(0));
     }
     // Four prompts are done after 700 ms; the other four wait until the queue is empty.
     prefill(&mut here, sent, 4);
--- a/crates/placement/tests/placement.rs
+++ b/crates/placement/tests/placement.rs
@@ -48,7 +48,7 @@
     let busy = choose(&mut one, &prompt(1, 1), 0).instance;
     let excluded = [busy];
     let elsewhere = one.choose(&request(&prompt(1, 1), &excluded), at(0), 0).expect("a server");
-    other.sighted(&elsewhere.dispatch_record(), at(10));
+    other.apply_untracked_dispatch(&elsewhere.dispatch_record(), at(10));
     // By then the prefill is complete; before, the queue counts too.
     let chosen = choose(&mut other, &prompt(1, 2), 1_000);
     assert_eq!((chosen.instance, chosen.reason), (elsewhere.instance, Reason::Holder));
@@ -58,7 +58,7 @@
 fn report_prompts(placement: &mut Placement, shared: impl IntoIterator<Item = u64>) {
     for shared in shared {
         let sent = choose(placement, &prompt(shared, 1), 0).dispatch_record();
-        placement.sighted(&sent, at(0));
+        placement.apply_untracked_dispatch(&sent, at(0));
     }
 }
 
@@ -97,7 +97,7 @@
         // No cache insertions, so that only the prefill counts.
         let sent =
             DispatchRecord { keys: Vec::new(), own_tokens: 0, tokens: 0, ..home.dispatch_record() };
-        placement.sighted(&sent, at(0));
+        placement.apply_untracked_dispatch(&sent, at(0));
     }
     assert_ne!(choose(&mut placement, &prompt(1, 1), 50).instance, home.instance);
     assert_eq!(choose(&mut placement, &prompt(1, 1), 10_000).instance, home.instance);
@@ -119,7 +119,7 @@
             read_tokens: 100,
             ..home.dispatch_record()
         };
-        placement.sighted(&stream, at(0));
+        placement.apply_untracked_dispatch(&stream, at(0));
     }
     let relaxed = request(&long, &[]);
     let chosen = |request| placement.choose(request, at(10), 10).expect("a server").instance;
@@ -306,7 +306,7 @@
         let mut dispatch = home.dispatch_record();
         dispatch.keys = vec![step];
         dispatch.tokens = 30_000;
-        placement.sighted(&dispatch, at(step * 50));
+        placement.apply_untracked_dispatch(&dispatch, at(step * 50));
     }
     assert_ne!(choose(&mut placement, &prompt(1, 1), 3_000).instance, home.instance);
 }
--- a/crates/placement/tests/requests_without_prompt.rs
+++ b/crates/placement/tests/requests_without_prompt.rs
@@ -57,7 +57,8 @@
         );
         placement.apply_peer_completion(request(number));
     }
-    (0..in_flight).for_each(|_| placement.sighted(&near.dispatch_record(), at(1_000)));
+    (0..in_flight)
+        .for_each(|_| placement.apply_untracked_dispatch(&near.dispatch_record(), at(1_000)));
     near
 }
 
--- a/crates/placement/tests/transfer_sources.rs
+++ b/crates/placement/tests/transfer_sources.rs
@@ -31,10 +31,10 @@
     for holder in holders {
         let instance = holder.id.clone();
         let dispatch = DispatchRecord { instance, ..sent.clone() };
-        placement.sighted(&dispatch, at(0));
+        placement.apply_untracked_dispatch(&dispatch, at(0));
         let busy =
             DispatchRecord { read_tokens: 40_000, keys: Vec::new(), own_tokens: 0, ..dispatch };
-        placement.sighted(&busy, at(9_990));
+        placement.apply_untracked_dispatch(&busy, at(9_990));
     }
     (placement, last.id.clone())
 }
@@ -76,8 +76,8 @@
         own_tokens: 0,
         ..first.dispatch_record()
     };
-    placement.sighted(&queue, at(0));
-    placement.sighted(&first.dispatch_record(), at(0));
+    placement.apply_untracked_dispatch(&queue, at(0));
+    placement.apply_untracked_dispatch(&first.dispatch_record(), at(0));
     let queued = choose(&mut placement, &prompt(1, 2), 1_000);
     assert!(queued.source.is_none(), "{queued:?}");
     let computed = choose(&mut placement, &prompt(1, 2), 10_000);
@@ -91,7 +91,7 @@
     let chosen_with_queue_of = |tokens: u32| {
         let mut placement = placement(2);
         let holder = choose(&mut placement, &prompt(1, 1), 0);
-        placement.sighted(&holder.dispatch_record(), at(0));
+        placement.apply_untracked_dispatch(&holder.dispatch_record(), at(0));
         for number in 1..=2 {
             let busy = DispatchRecord {
                 instance: instance(number, 1).id,
@@ -101,7 +101,7 @@
                 own_tokens: 0,
                 ..holder.dispatch_record()
             };
-            placement.sighted(&busy, at(5_000));
+            placement.apply_untracked_dispatch(&busy, at(5_000));
         }
         let queue = DispatchRecord {
             read_tokens: tokens,
@@ -110,7 +110,7 @@
             own_tokens: 0,
             ..holder.dispatch_record()
         };
-        placement.sighted(&queue, at(5_000));
+        placement.apply_untracked_dispatch(&queue, at(5_000));
         choose(&mut placement, &prompt(1, 2), 5_000).reason
     };
     // 250 ms of queue at the holder, and 1 s.
