--- a/crates/gateway/src/server_limits.rs
+++ b/crates/gateway/src/server_limits.rs
@@ -86,7 +86,7 @@
         };
         let told = ToldLimit { sequence: news.sequence, rate, is_over: news.is_over };
         let at = self.heard_at();
-        let change = self.placement().told_limit(&instance, told, at);
+        let change = self.placement().apply_peer_limit(&instance, told, at);
         log_change(&instance, change, "-");
         self.tell_limit(&instance, at.now);
     }
--- a/crates/placement/src/server_limits.rs
+++ b/crates/placement/src/server_limits.rs
@@ -56,7 +56,7 @@
     }
 
     /// Records another router's report of the server's limit. Returns the change, if any.
-    pub fn told_limit(
+    pub fn apply_peer_limit(
         &mut self,
         instance: &InstanceId,
         told: ToldLimit,
