--- a/crates/gateway/src/server_limits.rs
+++ b/crates/gateway/src/server_limits.rs
@@ -62,7 +62,7 @@
             StatedLimit::Nothing => self.placement().heard_no_limit(instance, sent_at, at),
             StatedLimit::Rate(rate) => {
                 self.metrics.stated_limits.with_label_values(&["yes"]).inc();
-                self.placement().heard_limit(instance, rate, at)
+                self.placement().observe_limit(instance, rate, at)
             }
             StatedLimit::Unreadable(fault) => {
                 self.metrics.stated_limits.with_label_values(&["no"]).inc();
--- a/crates/placement/src/server_limits.rs
+++ b/crates/placement/src/server_limits.rs
@@ -26,7 +26,7 @@
 
 impl Placement {
     /// Records the rate that an answer of the server advertises. Returns the change, if any.
-    pub fn heard_limit(
+    pub fn observe_limit(
         &mut self,
         instance: &InstanceId,
         rate: RequestRate,
