--- a/crates/gateway/src/server_limits.rs
+++ b/crates/gateway/src/server_limits.rs
@@ -59,7 +59,7 @@
         }
         let at = self.heard_at();
         let change = match facts.stated_limit {
-            StatedLimit::Nothing => self.placement().heard_no_limit(instance, sent_at, at),
+            StatedLimit::Nothing => self.placement().observe_no_limit(instance, sent_at, at),
             StatedLimit::Rate(rate) => {
                 self.metrics.stated_limits.with_label_values(&["yes"]).inc();
                 self.placement().observe_limit(instance, rate, at)
--- a/crates/placement/src/server_limits.rs
+++ b/crates/placement/src/server_limits.rs
@@ -45,7 +45,7 @@
 
     /// Records that an answer of the server, to a request sent at `sent_at`, advertises no limit.
     /// Returns the change, if any.
-    pub fn heard_no_limit(
+    pub fn observe_no_limit(
         &mut self,
         instance: &InstanceId,
         sent_at: Timestamp,
