--- a/crates/gateway/src/server_limits.rs
+++ b/crates/gateway/src/server_limits.rs
@@ -92,7 +92,7 @@
     }
 
     fn tell_limit(&self, instance: &InstanceId, now: Timestamp) {
-        let Some(told) = self.placement().limit_news(instance, now) else { return };
+        let Some(told) = self.placement().take_due_limit_report(instance, now) else { return };
         self.news.push_limit(ServerLimitNews {
             instance: instance.name().clone(),
             started: instance.started(),
--- a/crates/placement/src/server_limits.rs
+++ b/crates/placement/src/server_limits.rs
@@ -77,7 +77,11 @@
     }
 
     /// Takes the limit to report to other routers, if a report is due.
-    pub fn limit_news(&mut self, instance: &InstanceId, now: Timestamp) -> Option<ToldLimit> {
+    pub fn take_due_limit_report(
+        &mut self,
+        instance: &InstanceId,
+        now: Timestamp,
+    ) -> Option<ToldLimit> {
         self.server_mut(instance)?.limit.as_mut()?.news(now)
     }
 
