--- a/crates/gateway/src/server_limits.rs
+++ b/crates/gateway/src/server_limits.rs
@@ -110,7 +110,7 @@
         let charge = charge_of(call, choice, allowance);
         let (verdict, by) = self.decide(&charge, ANSWER_LIMIT).await;
         let now = self.now();
-        self.placement().limit_decided(&choice.instance, &verdict, by.decider(), now);
+        self.placement().record_limit_decision(&choice.instance, &verdict, by.decider(), now);
         self.metrics.server_charged(&verdict, by);
         match verdict {
             Verdict::Admitted { .. } => {
--- a/crates/placement/src/server_limits.rs
+++ b/crates/placement/src/server_limits.rs
@@ -97,7 +97,7 @@
     }
 
     /// Records the decision on whether a request may be sent to the server.
-    pub fn limit_decided(
+    pub fn record_limit_decision(
         &mut self,
         instance: &InstanceId,
         verdict: &Verdict,
