--- a/crates/placement/src/server_limits.rs
+++ b/crates/placement/src/server_limits.rs
@@ -110,7 +110,7 @@
     }
 
     /// Number of servers with an advertised limit.
-    pub fn limited_servers(&self) -> usize {
+    pub fn count_limited_servers(&self) -> usize {
         self.servers.values().filter(|server| server.limit.is_some()).count()
     }
 }
