--- a/crates/gateway/src/news.rs
+++ b/crates/gateway/src/news.rs
@@ -190,7 +190,7 @@
         log::info!("event=server_leaving_heard request=- instance={instance} from={from}");
     }
     if notice.pause_ms > 0 {
-        placement.told_of_pause(&instance, from, notice.pause(), now);
+        placement.apply_peer_backoff(&instance, from, notice.pause(), now);
     }
 }
 
--- a/crates/placement/src/notices.rs
+++ b/crates/placement/src/notices.rs
@@ -96,7 +96,7 @@
     }
 
     /// Records another router's report that the server requested a backoff.
-    pub fn told_of_pause(
+    pub fn apply_peer_backoff(
         &mut self,
         server: &InstanceId,
         router: NodeId,
--- a/crates/placement/tests/backoffs.rs
+++ b/crates/placement/tests/backoffs.rs
@@ -73,7 +73,7 @@
 fn peer_backoffs_count_for_ten_seconds_at_most() {
     let mut placement = placement(2);
     for router in [5, 6] {
-        placement.told_of_pause(&id(1), NodeId(router), SECOND * 3_600, at(0));
+        placement.apply_peer_backoff(&id(1), NodeId(router), SECOND * 3_600, at(0));
     }
     // Different shared segments, so that both servers are homes.
     let chosen = |millis, shared| {
--- a/crates/placement/tests/notices/world.rs
+++ b/crates/placement/tests/notices/world.rs
@@ -267,7 +267,7 @@
             Event::PeerBackoff(router, from, id, backoff) => {
                 let now = self.router_time(router);
                 let from = NodeId(from as u64 + 1);
-                self.routers[router].placement.told_of_pause(&id, from, backoff, now);
+                self.routers[router].placement.apply_peer_backoff(&id, from, backoff, now);
             }
             Event::PeerDeparture(router, id) => {
                 let now = self.router_time(router);
