--- a/crates/gateway/src/notices.rs
+++ b/crates/gateway/src/notices.rs
@@ -33,7 +33,7 @@
             StatedPause::Nothing => 0,
             StatedPause::For(pause) => {
                 self.metrics.noticed("pause", true);
-                let is_longer = self.placement().asked_to_pause(instance, pause, self.now());
+                let is_longer = self.placement().observe_backoff(instance, pause, self.now());
                 let pause_ms = u64::try_from(pause.as_millis()).unwrap_or(u64::MAX);
                 log::info!(
                     "event=server_pause_heard request={request} instance={instance} \
--- a/crates/placement/src/notices.rs
+++ b/crates/placement/src/notices.rs
@@ -34,7 +34,7 @@
 impl Placement {
     /// Records that an answer of the server requested a backoff from this router. Returns whether
     /// the backoff ends later than the known one.
-    pub fn asked_to_pause(
+    pub fn observe_backoff(
         &mut self,
         server: &InstanceId,
         duration: Duration,
--- a/crates/placement/tests/backoffs.rs
+++ b/crates/placement/tests/backoffs.rs
@@ -29,7 +29,7 @@
 fn earliest_end_of_all_backoffs_is_returned() {
     let mut placement = placement(3);
     for (number, seconds) in [(1, 9), (2, 3), (3, 5)] {
-        assert!(placement.asked_to_pause(&id(number), SECOND * seconds, at(0)));
+        assert!(placement.observe_backoff(&id(number), SECOND * seconds, at(0)));
     }
     assert_eq!(try_choose(&placement, 1_000), Err(ChoiceError::BackingOff(SECOND * 2)));
     assert_eq!(try_choose(&placement, 3_000).expect("the backoff has ended").instance, id(2));
@@ -38,7 +38,7 @@
 #[test]
 fn backoff_and_departure_survive_a_view_without_the_server() {
     let mut placement = placement(2);
-    placement.asked_to_pause(&id(1), SECOND * 3, at(0));
+    placement.observe_backoff(&id(1), SECOND * 3, at(0));
     placement.heard_leaving(&id(2), at(0));
     placement.set_instances(&InstanceMap::default());
     placement.set_instances(&view([instance(1, 1), instance(2, 1)]));
@@ -60,7 +60,7 @@
     let (former, later) = (started(1_000), started(2_000));
     let mut placement = placement(0);
     placement.set_instances(&view([former.clone()]));
-    placement.asked_to_pause(&former.id, SECOND * 3_600, at(0));
+    placement.observe_backoff(&former.id, SECOND * 3_600, at(0));
     placement.heard_leaving(&former.id, at(0));
     assert_eq!(try_choose(&placement, 10), Err(ChoiceError::NoServer));
     placement.set_instances(&view([later.clone()]));
--- a/crates/placement/tests/notices/world.rs
+++ b/crates/placement/tests/notices/world.rs
@@ -455,7 +455,7 @@
         let shares = self.scenario.notice_mode == NoticeMode::Shared;
         let placement = &mut self.routers[router].placement;
         let is_new = answer.is_departing && placement.heard_leaving(id, now);
-        let longer = answer.backoff.filter(|backoff| placement.asked_to_pause(id, *backoff, now));
+        let longer = answer.backoff.filter(|backoff| placement.observe_backoff(id, *backoff, now));
         if is_new && shares {
             self.broadcast(router, |other| Event::PeerDeparture(other, id.clone()));
         }
