--- a/crates/gateway/src/news.rs
+++ b/crates/gateway/src/news.rs
@@ -186,7 +186,7 @@
     now: Timestamp,
 ) {
     let instance = notice.id();
-    if notice.is_leaving && placement.heard_leaving(&instance, now) {
+    if notice.is_leaving && placement.record_departure(&instance, now) {
         log::info!("event=server_leaving_heard request=- instance={instance} from={from}");
     }
     if notice.pause_ms > 0 {
--- a/crates/gateway/src/notices.rs
+++ b/crates/gateway/src/notices.rs
@@ -63,7 +63,7 @@
             StatedDeparture::Nothing => false,
             StatedDeparture::Leaving => {
                 self.metrics.noticed("departure", true);
-                let is_new = self.placement().heard_leaving(instance, self.now());
+                let is_new = self.placement().record_departure(instance, self.now());
                 if is_new {
                     log::info!("event=server_leaving_heard request={request} instance={instance}");
                 }
--- a/crates/placement/src/notices.rs
+++ b/crates/placement/src/notices.rs
@@ -46,7 +46,7 @@
 
     /// Records that the server announced its departure, to this router or another one. A departure
     /// is final. Returns whether it was unknown.
-    pub fn heard_leaving(&mut self, server: &InstanceId, now: Timestamp) -> bool {
+    pub fn record_departure(&mut self, server: &InstanceId, now: Timestamp) -> bool {
         if self.departures.covers(server) {
             return false;
         }
--- a/crates/placement/tests/backoffs.rs
+++ b/crates/placement/tests/backoffs.rs
@@ -39,7 +39,7 @@
 fn backoff_and_departure_survive_a_view_without_the_server() {
     let mut placement = placement(2);
     placement.observe_backoff(&id(1), SECOND * 3, at(0));
-    placement.heard_leaving(&id(2), at(0));
+    placement.record_departure(&id(2), at(0));
     placement.set_instances(&InstanceMap::default());
     placement.set_instances(&view([instance(1, 1), instance(2, 1)]));
     assert_eq!(try_choose(&placement, 1_000), Err(ChoiceError::BackingOff(SECOND * 2)));
@@ -61,7 +61,7 @@
     let mut placement = placement(0);
     placement.set_instances(&view([former.clone()]));
     placement.observe_backoff(&former.id, SECOND * 3_600, at(0));
-    placement.heard_leaving(&former.id, at(0));
+    placement.record_departure(&former.id, at(0));
     assert_eq!(try_choose(&placement, 10), Err(ChoiceError::NoServer));
     placement.set_instances(&view([later.clone()]));
     assert_eq!(try_choose(&placement, 20).expect("a new incarnation").instance, later.id);
--- a/crates/placement/tests/notices/world.rs
+++ b/crates/placement/tests/notices/world.rs
@@ -271,7 +271,7 @@
             }
             Event::PeerDeparture(router, id) => {
                 let now = self.router_time(router);
-                self.routers[router].placement.heard_leaving(&id, now);
+                self.routers[router].placement.record_departure(&id, now);
             }
             Event::PeerCompletion(router, request) => {
                 self.routers[router].placement.apply_peer_completion(request)
@@ -454,7 +454,7 @@
         }
         let shares = self.scenario.notice_mode == NoticeMode::Shared;
         let placement = &mut self.routers[router].placement;
-        let is_new = answer.is_departing && placement.heard_leaving(id, now);
+        let is_new = answer.is_departing && placement.record_departure(id, now);
         let longer = answer.backoff.filter(|backoff| placement.observe_backoff(id, *backoff, now));
         if is_new && shares {
             self.broadcast(router, |other| Event::PeerDeparture(other, id.clone()));
