--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -220,7 +220,7 @@
     }
     let connection = attempt.connection.insert(connection);
     // An answer to another request may have asked for it while this one waited for its connection.
-    if let Some(rest) = gateway.placement().rest_left(&choice.instance, gateway.now()) {
+    if let Some(rest) = gateway.placement().remaining_backoff(&choice.instance, gateway.now()) {
         return Err(AttemptError::Resting(rest));
     }
     let request = request(gateway, call, choice, last_event);
--- a/crates/placement/src/notices.rs
+++ b/crates/placement/src/notices.rs
@@ -91,7 +91,7 @@
 
     /// Time for which this router must not send to the server; `None` if the server accepts
     /// requests.
-    pub fn rest_left(&self, server: &InstanceId, now: Timestamp) -> Option<Duration> {
+    pub fn remaining_backoff(&self, server: &InstanceId, now: Timestamp) -> Option<Duration> {
         self.backoffs.remaining(server, now)
     }
 
--- a/crates/placement/tests/notices/world.rs
+++ b/crates/placement/tests/notices/world.rs
@@ -365,7 +365,7 @@
         let now = self.router_time(router);
         let placement = &mut self.routers[router].placement;
         let id = &choice.instance;
-        if placement.rest_left(id, now).is_some() {
+        if placement.remaining_backoff(id, now).is_some() {
             placement.end(*ticket, Outcome::Cancelled, now);
             self.report_completion(router, &mut call);
             return self.dispatch(router, call);
