--- a/crates/placement/src/notices.rs
+++ b/crates/placement/src/notices.rs
@@ -108,7 +108,7 @@
     }
 
     /// Number of servers that are backing off from this router.
-    pub fn resting_servers(&self, now: Timestamp) -> usize {
+    pub fn count_backing_off_servers(&self, now: Timestamp) -> usize {
         self.backoffs.count_active(now)
     }
 
