--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -237,7 +237,7 @@
     let (head, body) = response.into_parts();
     let facts = gateway.dialect.read_answer(&head, &call.facts.id, &choice.instance);
     if let Some(version) = facts.version {
-        gateway.placement().saw_version(&choice.instance, version);
+        gateway.placement().observe_version(&choice.instance, version);
     }
     gateway.note_stated_limit(&choice.instance, &facts, attempt.sent_at, call.id());
     gateway.note_notice(&choice.instance, &facts, call.id());
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -161,7 +161,7 @@
         placement.set_profiles(service_profiles(view));
         placement.set_renewing(&view.renewing);
         for known in view.versions.iter() {
-            placement.saw_version(&known.id(), known.version);
+            placement.observe_version(&known.id(), known.version);
         }
         drop(placement);
         self.crashes.take_over(view);
--- a/crates/placement/src/placement.rs
+++ b/crates/placement/src/placement.rs
@@ -300,7 +300,7 @@
     }
 
     /// Records the version of the weights in an answer of the server.
-    pub fn saw_version(&mut self, instance: &InstanceId, version: u64) {
+    pub fn observe_version(&mut self, instance: &InstanceId, version: u64) {
         if let Some(server) = self.server_mut(instance) {
             server.observed_version = server.observed_version.max(version);
         }
