--- a/crates/gateway/src/notices.rs
+++ b/crates/gateway/src/notices.rs
@@ -79,7 +79,7 @@
 
     /// Logs which servers the choices for a request pass over, and why.
     pub(crate) fn log_passed_over(&self, call: &Call) {
-        let over = self.placement().passed_over(&call.service, self.now());
+        let over = self.placement().excluded_servers(&call.service, self.now());
         if over.is_empty() {
             return;
         }
--- a/crates/placement/src/notices.rs
+++ b/crates/placement/src/notices.rs
@@ -113,7 +113,11 @@
     }
 
     /// Servers of the service that are excluded from choices because of a notice, with the reason.
-    pub fn passed_over(&self, service: &str, now: Timestamp) -> Vec<(InstanceId, ExclusionReason)> {
+    pub fn excluded_servers(
+        &self,
+        service: &str,
+        now: Timestamp,
+    ) -> Vec<(InstanceId, ExclusionReason)> {
         let known = self.noticed.iter().filter_map(|name| self.servers.get(name));
         let known = known.filter(|server| server.instance.report.service == service);
         let over = known.filter_map(|server| {
--- a/crates/placement/tests/backoffs.rs
+++ b/crates/placement/tests/backoffs.rs
@@ -44,7 +44,7 @@
     placement.set_instances(&view([instance(1, 1), instance(2, 1)]));
     assert_eq!(try_choose(&placement, 1_000), Err(ChoiceError::BackingOff(SECOND * 2)));
     assert_eq!(
-        placement.passed_over(SERVICE, at(1_000)),
+        placement.excluded_servers(SERVICE, at(1_000)),
         [(id(1), ExclusionReason::BackingOff), (id(2), ExclusionReason::Departing)]
     );
     assert_eq!(try_choose(&placement, 3_000).expect("the backoff has ended").instance, id(1));
