--- a/crates/gateway/src/probe.rs
+++ b/crates/gateway/src/probe.rs
@@ -32,7 +32,7 @@
     match reached {
         Reached::Yes => {
             log::info!("event=server_reached instance={instance} address={address}");
-            gateway.placement().reached(&instance);
+            gateway.placement().record_probe_success(&instance);
         }
         Reached::Refused => gateway.note_refused(&instance),
         Reached::No => {}
--- a/crates/placement/src/placement.rs
+++ b/crates/placement/src/placement.rs
@@ -292,7 +292,7 @@
     }
 
     /// Records a successful probe of the server.
-    pub fn reached(&mut self, instance: &InstanceId) {
+    pub fn record_probe_success(&mut self, instance: &InstanceId) {
         if let Some(server) = self.server_mut(instance) {
             server.health.mark_reachable();
             server.unreachable_reports.clear();
--- a/crates/placement/tests/placement.rs
+++ b/crates/placement/tests/placement.rs
@@ -217,7 +217,7 @@
     assert_eq!(placement.take_due_probes(at(250)), due);
     assert_eq!(placement.take_due_probes(at(700)), [], "the interval has doubled");
     assert_eq!(placement.take_due_probes(at(750)), due);
-    placement.reached(&home.instance);
+    placement.record_probe_success(&home.instance);
     assert_eq!(placement.take_due_probes(at(60_000)), []);
     assert_eq!(choose(&mut placement, &prompt(1, 1), 60_000).instance, home.instance);
 }
