--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -128,7 +128,7 @@
         self.connection = None;
         if let Some(ticket) = self.ticket.take() {
             let now = self.gateway.now();
-            self.gateway.placement().end(ticket, outcome, now);
+            self.gateway.placement().end_request(ticket, outcome, now);
             if let Some(number) = self.told.take() {
                 self.gateway.news.push_end(number);
             }
@@ -177,7 +177,7 @@
     until: Instant,
 ) -> Result<Answered, AttemptError> {
     let now = gateway.now();
-    let ticket = gateway.placement().begin(choice, call.has_prompt(), now);
+    let ticket = gateway.placement().begin_request(choice, call.has_prompt(), now);
     let told = gateway.news.push_sighting(choice);
     if told.is_none() {
         gateway.metrics.sightings_left_out.inc();
--- a/crates/placement/src/placement.rs
+++ b/crates/placement/src/placement.rs
@@ -145,7 +145,7 @@
     }
 
     /// Records the dispatch of a request to the chosen server.
-    pub fn begin(&mut self, choice: &Choice, has_prompt: bool, now: Timestamp) -> Ticket {
+    pub fn begin_request(&mut self, choice: &Choice, has_prompt: bool, now: Timestamp) -> Ticket {
         let tokens_ahead = self.tokens_ahead(&choice.instance, now);
         self.last_request_number = self.last_request_number.wrapping_add(1);
         let request = ReportedRequest { router: LOCAL_ROUTER, number: self.last_request_number };
@@ -271,7 +271,7 @@
     }
 
     /// Records the end of a request.
-    pub fn end(&mut self, mut ticket: Ticket, outcome: Outcome, now: Timestamp) {
+    pub fn end_request(&mut self, mut ticket: Ticket, outcome: Outcome, now: Timestamp) {
         let Some(server) = self.server_mut(&ticket.instance) else { return };
         if !std::mem::replace(&mut ticket.had_output, true) {
             server.load.first_output(ticket.missed_tokens);
--- a/crates/placement/tests/notices/world.rs
+++ b/crates/placement/tests/notices/world.rs
@@ -320,7 +320,7 @@
         let Ok(choice) = placement.choose(&request, now, random) else {
             return self.checker.record_refused(call.sent);
         };
-        let ticket = Box::new(placement.begin(&choice, false, now));
+        let ticket = Box::new(placement.begin_request(&choice, false, now));
         call.reported = Some(self.report_dispatch(router, &choice.dispatch_record()));
         let wait = match self.random.random_range(0..30) {
             0 => Duration::from_millis(self.random.random_range(0..300)),
@@ -366,7 +366,7 @@
         let placement = &mut self.routers[router].placement;
         let id = &choice.instance;
         if placement.remaining_backoff(id, now).is_some() {
-            placement.end(*ticket, Outcome::Cancelled, now);
+            placement.end_request(*ticket, Outcome::Cancelled, now);
             self.report_completion(router, &mut call);
             return self.dispatch(router, call);
         }
@@ -436,12 +436,12 @@
         let placement = &mut self.routers[router].placement;
         if answer.is_served {
             placement.first_output(&mut ticket, now);
-            placement.end(ticket, Outcome::Answered, now);
+            placement.end_request(ticket, Outcome::Answered, now);
             self.report_completion(router, &mut call);
             let in_time = self.now.since(call.sent) <= OBJECTIVE;
             return self.checker.record_served(call.sent, in_time);
         }
-        placement.end(ticket, Outcome::Full, now);
+        placement.end_request(ticket, Outcome::Full, now);
         self.report_completion(router, &mut call);
         call.attempts += 1;
         call.excluded.push(id);
--- a/crates/placement/tests/overload.rs
+++ b/crates/placement/tests/overload.rs
@@ -12,7 +12,7 @@
 /// Sends a prompt without cached segments.
 fn send(placement: &mut Placement, number: u64, millis: u64) -> (Choice, Ticket) {
     let choice = choose(placement, &prompt(number, 1), millis);
-    let ticket = placement.begin(&choice, true, at(millis));
+    let ticket = placement.begin_request(&choice, true, at(millis));
     (choice, ticket)
 }
 
@@ -70,7 +70,7 @@
     prefill(&mut placement, in_time, 4);
     for (_, mut ticket) in late {
         placement.first_output(&mut ticket, at(6_000));
-        placement.end(ticket, Outcome::Answered, at(6_000));
+        placement.end_request(ticket, Outcome::Answered, at(6_000));
     }
     assert!(!choose(&mut placement, &prompt(200, 1), 6_001).is_late);
 }
--- a/crates/placement/tests/placement.rs
+++ b/crates/placement/tests/placement.rs
@@ -136,7 +136,7 @@
     for own in 0..12 {
         let busy = choose(&mut placement, &prompt(1, own), 300);
         if busy.instance == holder.instance {
-            placement.begin(&busy, true, at(300));
+            placement.begin_request(&busy, true, at(300));
         }
     }
     let diverted = choose(&mut placement, &prompt(1, 99), 300);
@@ -153,7 +153,7 @@
     let short = Prompt { parts, tokens: 800, ..prompt(1, 1) };
     let holder = send(&mut placement, &short, 0);
     for _ in 0..40 {
-        placement.begin(&holder, true, at(300));
+        placement.begin_request(&holder, true, at(300));
     }
     let other = choose(&mut placement, &short, 300);
     assert_eq!((other.reason, other.source), (Reason::Fetch, Some(holder.address)));
@@ -194,8 +194,8 @@
 fn unreachable_server_is_only_used_as_last_resort() {
     let mut placement = placement(2);
     let first = choose(&mut placement, &prompt(1, 1), 0);
-    let ticket = placement.begin(&first, true, at(0));
-    placement.end(ticket, Outcome::Unreachable, at(0));
+    let ticket = placement.begin_request(&first, true, at(0));
+    placement.end_request(ticket, Outcome::Unreachable, at(0));
     let prompt = prompt(1, 1);
     assert_ne!(choose(&mut placement, &prompt, 100).instance, first.instance);
     let excluded = [choose(&mut placement, &prompt, 100).instance];
@@ -207,8 +207,8 @@
 fn unreachable_server_gets_no_requests_until_a_probe_succeeds() {
     let mut placement = placement(2);
     let home = choose(&mut placement, &prompt(1, 1), 0);
-    let ticket = placement.begin(&home, true, at(0));
-    placement.end(ticket, Outcome::Unreachable, at(0));
+    let ticket = placement.begin_request(&home, true, at(0));
+    placement.end_request(ticket, Outcome::Unreachable, at(0));
     for millis in [100, 300, 5_000, 60_000] {
         assert_ne!(choose(&mut placement, &prompt(1, 1), millis).instance, home.instance);
     }
@@ -226,8 +226,8 @@
 fn address_of_another_incarnation_is_not_used() {
     let mut placement = placement(1);
     let choice = choose(&mut placement, &prompt(1, 1), 0);
-    let ticket = placement.begin(&choice, true, at(0));
-    placement.end(ticket, Outcome::Replaced, at(0));
+    let ticket = placement.begin_request(&choice, true, at(0));
+    placement.end_request(ticket, Outcome::Replaced, at(0));
     let prompt = prompt(1, 1);
     assert_eq!(placement.choose(&request(&prompt, &[]), at(0), 0), Err(ChoiceError::NoServer));
 }
@@ -236,8 +236,8 @@
 fn server_that_rejected_a_version_is_avoided_until_it_reports_another() {
     let mut placement = placement(4);
     let choice = choose(&mut placement, &prompt(1, 1), 0);
-    let ticket = placement.begin(&choice, true, at(0));
-    placement.end(ticket, Outcome::VersionMismatch(choice.version), at(0));
+    let ticket = placement.begin_request(&choice, true, at(0));
+    placement.end_request(ticket, Outcome::VersionMismatch(choice.version), at(0));
     let meanwhile = choose(&mut placement, &prompt(1, 1), 900);
     assert_ne!(meanwhile.instance, choice.instance);
     placement.observe_version(&choice.instance, choice.version + 1);
@@ -256,10 +256,10 @@
     let bad = InstanceId::new("i-1");
     for step in 0..60 {
         let choice = placement.choose(&plain, at(step * 20), step * 977).expect("a server");
-        let ticket = placement.begin(&choice, false, at(step * 20));
+        let ticket = placement.begin_request(&choice, false, at(step * 20));
         let failed = choice.instance == bad;
         let outcome = if failed { Outcome::ServerError } else { Outcome::Answered };
-        placement.end(ticket, outcome, at(step * 20 + 10));
+        placement.end_request(ticket, outcome, at(step * 20 + 10));
     }
     let chosen = (0..40).filter(|step| {
         let choice = placement.choose(&plain, at(1_200), step * 977).expect("a server");
@@ -367,13 +367,15 @@
         let choices: Vec<_> = (1..=10)
             .map(|own| choose(&mut placement, &prompt(100 + round, own), started_at))
             .collect();
-        let tickets: Vec<_> =
-            choices.iter().map(|choice| placement.begin(choice, true, at(started_at))).collect();
+        let tickets: Vec<_> = choices
+            .iter()
+            .map(|choice| placement.begin_request(choice, true, at(started_at)))
+            .collect();
         for (index, mut ticket) in tickets.into_iter().enumerate() {
             // Each prefill takes 175 ms, one after another.
             let done_at = started_at + (index as u64 + 1) * 175;
             placement.first_output(&mut ticket, at(done_at));
-            placement.end(ticket, Outcome::Answered, at(done_at));
+            placement.end_request(ticket, Outcome::Answered, at(done_at));
         }
     }
     // By then the measured delays of this server have decayed.
--- a/crates/placement/tests/requests_without_prompt.rs
+++ b/crates/placement/tests/requests_without_prompt.rs
@@ -89,9 +89,9 @@
 fn own_request_counts_until_it_ends() {
     let mut placement = near_and_far_server();
     let near = choose(&placement, 0);
-    let tickets: Vec<_> = (0..6).map(|_| placement.begin(&near, false, at(0))).collect();
+    let tickets: Vec<_> = (0..6).map(|_| placement.begin_request(&near, false, at(0))).collect();
     assert_ne!(choose(&placement, 50).instance, near.instance);
-    tickets.into_iter().for_each(|ticket| placement.end(ticket, Outcome::Answered, at(60)));
+    tickets.into_iter().for_each(|ticket| placement.end_request(ticket, Outcome::Answered, at(60)));
     assert_eq!(choose(&placement, 70).instance, near.instance);
 }
 
--- a/crates/placement/tests/support/mod.rs
+++ b/crates/placement/tests/support/mod.rs
@@ -85,7 +85,7 @@
 /// Sends a prompt and ends the request.
 pub fn send(placement: &mut Placement, prompt: &Prompt, millis: u64) -> Choice {
     let choice = choose(placement, prompt, millis);
-    let ticket = placement.begin(&choice, true, at(millis));
-    placement.end(ticket, Outcome::Answered, at(millis + 200));
+    let ticket = placement.begin_request(&choice, true, at(millis));
+    placement.end_request(ticket, Outcome::Answered, at(millis + 200));
     choice
 }
