--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -156,7 +156,7 @@
     pub(crate) fn first_output(&mut self) {
         if let Some(ticket) = &mut self.ticket {
             let now = self.gateway.now();
-            self.gateway.placement().first_output(ticket, now);
+            self.gateway.placement().record_first_output(ticket, now);
         }
     }
 }
--- a/crates/placement/src/placement.rs
+++ b/crates/placement/src/placement.rs
@@ -250,7 +250,7 @@
     }
 
     /// Records the first output of a request.
-    pub fn first_output(&mut self, ticket: &mut Ticket, now: Timestamp) {
+    pub fn record_first_output(&mut self, ticket: &mut Ticket, now: Timestamp) {
         if std::mem::replace(&mut ticket.had_output, true) {
             return;
         }
--- a/crates/placement/tests/notices/world.rs
+++ b/crates/placement/tests/notices/world.rs
@@ -435,7 +435,7 @@
         }
         let placement = &mut self.routers[router].placement;
         if answer.is_served {
-            placement.first_output(&mut ticket, now);
+            placement.record_first_output(&mut ticket, now);
             placement.end_request(ticket, Outcome::Answered, now);
             self.report_completion(router, &mut call);
             let in_time = self.now.since(call.sent) <= OBJECTIVE;
--- a/crates/placement/tests/overload.rs
+++ b/crates/placement/tests/overload.rs
@@ -23,7 +23,7 @@
         let before = prefilled.entry(choice.instance).or_default();
         *before += 1;
         if *before <= count {
-            placement.first_output(&mut ticket, at(*before * 175));
+            placement.record_first_output(&mut ticket, at(*before * 175));
         }
     }
 }
@@ -69,7 +69,7 @@
     let (late, in_time): (Vec<_>, Vec<_>) = sent.into_iter().partition(|sent| sent.0.is_late);
     prefill(&mut placement, in_time, 4);
     for (_, mut ticket) in late {
-        placement.first_output(&mut ticket, at(6_000));
+        placement.record_first_output(&mut ticket, at(6_000));
         placement.end_request(ticket, Outcome::Answered, at(6_000));
     }
     assert!(!choose(&mut placement, &prompt(200, 1), 6_001).is_late);
--- a/crates/placement/tests/placement.rs
+++ b/crates/placement/tests/placement.rs
@@ -374,7 +374,7 @@
         for (index, mut ticket) in tickets.into_iter().enumerate() {
             // Each prefill takes 175 ms, one after another.
             let done_at = started_at + (index as u64 + 1) * 175;
-            placement.first_output(&mut ticket, at(done_at));
+            placement.record_first_output(&mut ticket, at(done_at));
             placement.end_request(ticket, Outcome::Answered, at(done_at));
         }
     }
