--- a/crates/gateway/src/search.rs
+++ b/crates/gateway/src/search.rs
@@ -258,8 +258,8 @@
     }
 
     fn log_choice(&self, choice: &Choice) {
-        self.gateway.metrics.kept_tokens.inc_by(u64::from(choice.kept_tokens));
-        self.gateway.metrics.missed_tokens.inc_by(u64::from(choice.missed_tokens));
+        self.gateway.metrics.kept_tokens.inc_by(u64::from(choice.cached_tokens));
+        self.gateway.metrics.missed_tokens.inc_by(u64::from(choice.prefill_tokens));
         log::info!(
             "event=attempt request={} route={} service={} instance={} reason={} cost_ms={:.1} \
              late={} kept={} missed={} chain={:08x} version={} source={} candidates={} catalog={} age_ms={} sent={}",
@@ -270,8 +270,8 @@
             choice.reason.as_str(),
             choice.cost_ms,
             choice.is_late,
-            choice.kept_tokens,
-            choice.missed_tokens,
+            choice.cached_tokens,
+            choice.prefill_tokens,
             choice.keys.last().copied().unwrap_or(0) >> 32,
             choice.version,
             choice.source.map_or_else(|| "-".to_owned(), |source| source.to_string()),
--- a/crates/placement/src/choice.rs
+++ b/crates/placement/src/choice.rs
@@ -54,9 +54,9 @@
     /// after those that can still be in time, so it isn't counted as queued.
     pub is_late: bool,
     /// Prompt tokens expected in the server's cache.
-    pub kept_tokens: u32,
+    pub cached_tokens: u32,
     /// Prompt tokens that the server must compute.
-    pub missed_tokens: u32,
+    pub prefill_tokens: u32,
     /// Number of servers that were considered.
     pub candidates: usize,
     /// Version of the model weights on the server; zero without a model.
@@ -78,7 +78,7 @@
 impl Choice {
     /// Prefill tokens that add to the server's queue: none if the request is late.
     pub(crate) fn queued_tokens(&self) -> u32 {
-        if self.is_late { 0 } else { self.missed_tokens }
+        if self.is_late { 0 } else { self.prefill_tokens }
     }
 
     /// Description of the dispatch for other routers.
@@ -150,7 +150,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Ticket {
     pub(crate) instance: InstanceId,
-    pub(crate) missed_tokens: u32,
+    pub(crate) prefill_tokens: u32,
     pub(crate) is_measured: bool,
     pub(crate) started_at: Timestamp,
     pub(crate) had_output: bool,
--- a/crates/placement/src/cost.rs
+++ b/crates/placement/src/cost.rs
@@ -62,7 +62,7 @@
     pub silent: bool,
     pub cold_ms: f64,
     /// Prompt tokens that the server must compute.
-    pub missed_tokens: u32,
+    pub prefill_tokens: u32,
     /// Shared tokens among those that are already cached on some server.
     pub recomputed_tokens: u32,
     /// KV transfer time of the segments that the server would fetch.
@@ -91,7 +91,7 @@
     /// Expected cost of the request.
     pub(crate) fn cost_ms(&self, server: &ServerView<'_>) -> f64 {
         let objective_ms = self.objective.as_secs_f64() * 1_000.0;
-        let prefill = self.speed.ms_for(f64::from(server.missed_tokens));
+        let prefill = self.speed.ms_for(f64::from(server.prefill_tokens));
         let recompute = self.speed.ms_for(f64::from(server.recomputed_tokens)) * RECOMPUTE_FACTOR;
         let queue =
             self.speed.ms_for(server.fleet_queued_tokens.max(server.load.queued_tokens as f64));
@@ -118,7 +118,7 @@
 
     /// Expected time to first output, if no later request overtakes this one.
     pub(crate) fn first_output_ms(&self, server: &ServerView<'_>) -> f64 {
-        let prefill = self.speed.ms_for(f64::from(server.missed_tokens));
+        let prefill = self.speed.ms_for(f64::from(server.prefill_tokens));
         self.wait_ms(server) + prefill + server.move_ms + server.cold_ms
     }
 
--- a/crates/placement/src/load.rs
+++ b/crates/placement/src/load.rs
@@ -26,15 +26,15 @@
 }
 
 impl Load {
-    pub(crate) fn add_request(&mut self, missed_tokens: u32) {
+    pub(crate) fn add_request(&mut self, prefill_tokens: u32) {
         self.requests += 1;
         self.awaiting_output += 1;
-        self.queued_tokens += u64::from(missed_tokens);
+        self.queued_tokens += u64::from(prefill_tokens);
     }
 
-    pub(crate) fn first_output(&mut self, missed_tokens: u32) {
+    pub(crate) fn first_output(&mut self, prefill_tokens: u32) {
         self.awaiting_output = self.awaiting_output.saturating_sub(1);
-        self.queued_tokens = self.queued_tokens.saturating_sub(u64::from(missed_tokens));
+        self.queued_tokens = self.queued_tokens.saturating_sub(u64::from(prefill_tokens));
     }
 
     pub(crate) fn remove_request(&mut self) {
--- a/crates/placement/src/placement.rs
+++ b/crates/placement/src/placement.rs
@@ -152,15 +152,15 @@
         self.apply_dispatch(Some(request), &choice.dispatch_record(), now);
         if has_prompt && let Some(server) = self.server(&choice.instance) {
             let service = server.instance.report.service.clone();
-            let tokens = choice.kept_tokens + choice.missed_tokens;
-            self.lanes.entry(service).or_default().record(tokens, choice.missed_tokens, now);
+            let tokens = choice.cached_tokens + choice.prefill_tokens;
+            self.lanes.entry(service).or_default().record(tokens, choice.prefill_tokens, now);
         }
         if let Some(server) = self.server_mut(&choice.instance) {
             server.load.add_request(choice.queued_tokens());
         }
         Ticket {
             instance: choice.instance.clone(),
-            missed_tokens: choice.queued_tokens(),
+            prefill_tokens: choice.queued_tokens(),
             // Late requests run after others, so their timing isn't a sample of the server's speed.
             is_measured: has_prompt && !choice.is_late,
             started_at: now,
@@ -257,14 +257,14 @@
         let took = now.since(ticket.started_at);
         let Some(server) = incarnation_mut(&mut self.servers, &ticket.instance) else { return };
         server.unreachable_reports.clear();
-        server.load.first_output(ticket.missed_tokens);
+        server.load.first_output(ticket.prefill_tokens);
         if !ticket.is_measured {
             return;
         }
         let speed = self.speeds.entry(server.instance.report.service.clone()).or_default();
-        let expected_ms = speed.ms_for(f64::from(ticket.missed_tokens));
-        if ticket.tokens_ahead < f64::from(ticket.missed_tokens) * MAX_QUEUE_SHARE {
-            speed.record(ticket.missed_tokens, took);
+        let expected_ms = speed.ms_for(f64::from(ticket.prefill_tokens));
+        if ticket.tokens_ahead < f64::from(ticket.prefill_tokens) * MAX_QUEUE_SHARE {
+            speed.record(ticket.prefill_tokens, took);
         }
         let expected = Duration::from_secs_f64(expected_ms / 1_000.0);
         server.health.record_delay(took.saturating_sub(expected), now);
@@ -274,7 +274,7 @@
     pub fn end_request(&mut self, mut ticket: Ticket, outcome: Outcome, now: Timestamp) {
         let Some(server) = self.server_mut(&ticket.instance) else { return };
         if !std::mem::replace(&mut ticket.had_output, true) {
-            server.load.first_output(ticket.missed_tokens);
+            server.load.first_output(ticket.prefill_tokens);
         }
         server.load.remove_request();
         server.fleet_load.remove_request(ticket.request);
--- a/crates/placement/src/prompt_work.rs
+++ b/crates/placement/src/prompt_work.rs
@@ -25,7 +25,7 @@
     /// them.
     pub ready_tokens: u32,
     /// Prompt tokens that the server must compute.
-    pub missed_tokens: u32,
+    pub prefill_tokens: u32,
     /// Shared tokens among those that are already cached on some server.
     pub recomputed_tokens: u32,
     /// Time to transfer shared segments to the server, in milliseconds.
@@ -48,7 +48,7 @@
     fn default() -> Self {
         PromptWork {
             ready_tokens: 0,
-            missed_tokens: 0,
+            prefill_tokens: 0,
             recomputed_tokens: 0,
             move_ms: 0.0,
             other_lane: false,
@@ -67,7 +67,7 @@
     /// segments must be computed, and they must be most of the prompt.
     pub(crate) fn should_store(&self, tokens: u32, shared_tokens: u32) -> bool {
         let own_tokens = tokens.saturating_sub(shared_tokens);
-        self.missed_tokens > own_tokens && tokens < 2 * shared_tokens
+        self.prefill_tokens > own_tokens && tokens < 2 * shared_tokens
     }
 }
 
@@ -110,7 +110,7 @@
             };
             PromptWork {
                 ready_tokens: ready[index],
-                missed_tokens: tokens.saturating_sub(cached_tokens + transferred),
+                prefill_tokens: tokens.saturating_sub(cached_tokens + transferred),
                 recomputed_tokens: recomputed,
                 move_ms: move_ms * f64::from(transferred),
                 other_lane: other_lane[index],
--- a/crates/placement/tests/placement.rs
+++ b/crates/placement/tests/placement.rs
@@ -39,7 +39,7 @@
     let first = send(&mut placement, &prompt(1, 1), 0);
     let second = choose(&mut placement, &prompt(1, 2), 1_000);
     assert_eq!((second.instance, second.reason), (first.instance, Reason::Holder));
-    assert_eq!((second.kept_tokens, second.missed_tokens), (6_000, 1_000));
+    assert_eq!((second.cached_tokens, second.prefill_tokens), (6_000, 1_000));
 }
 
 #[test]
@@ -63,7 +63,7 @@
 }
 
 fn cached_tokens(placement: &mut Placement, shared: u64) -> u32 {
-    choose(placement, &prompt(shared, 1), 0).kept_tokens
+    choose(placement, &prompt(shared, 1), 0).cached_tokens
 }
 
 #[test]
@@ -157,7 +157,7 @@
     }
     let other = choose(&mut placement, &short, 300);
     assert_eq!((other.reason, other.source), (Reason::Fetch, Some(holder.address)));
-    assert_eq!(other.missed_tokens, 600);
+    assert_eq!(other.prefill_tokens, 600);
 }
 
 #[test]
@@ -166,7 +166,7 @@
     let first = send(&mut placement, &prompt(1, 1), 0);
     placement.observe_version(&first.instance, 2);
     let second = choose(&mut placement, &prompt(1, 2), 1_000);
-    assert_eq!((second.kept_tokens, second.source), (0, None));
+    assert_eq!((second.cached_tokens, second.source), (0, None));
 }
 
 #[test]
