--- a/crates/gateway/src/news.rs
+++ b/crates/gateway/src/news.rs
@@ -195,7 +195,7 @@
 }
 
 fn message(sighting: DispatchRecord, number: u16) -> Sighting {
-    let DispatchRecord { instance, version, keys, part_tokens, own_tokens, tokens, read_tokens } =
+    let DispatchRecord { instance, version, keys, part_tokens, own_tokens, tokens, prefill_tokens } =
         sighting;
     Sighting {
         instance: instance.name().clone(),
@@ -204,7 +204,7 @@
         part_tokens,
         own_tokens,
         tokens,
-        read_tokens,
+        read_tokens: prefill_tokens,
         number,
     }
 }
@@ -217,6 +217,6 @@
         part_tokens: sighting.part_tokens.clone(),
         own_tokens: sighting.own_tokens,
         tokens: sighting.tokens,
-        read_tokens: sighting.read_tokens,
+        prefill_tokens: sighting.read_tokens,
     }
 }
--- a/crates/placement/src/choice.rs
+++ b/crates/placement/src/choice.rs
@@ -90,7 +90,7 @@
             part_tokens: self.part_tokens.clone(),
             own_tokens: self.own_tokens,
             tokens: self.inserted_tokens,
-            read_tokens: self.queued_tokens(),
+            prefill_tokens: self.queued_tokens(),
         }
     }
 }
--- a/crates/placement/src/dispatch_record.rs
+++ b/crates/placement/src/dispatch_record.rs
@@ -28,5 +28,5 @@
     /// Prompt tokens that the server had to compute or fetch.
     pub tokens: u32,
     /// Tokens among those that add to the server's prefill queue.
-    pub read_tokens: u32,
+    pub prefill_tokens: u32,
 }
--- a/crates/placement/src/placement.rs
+++ b/crates/placement/src/placement.rs
@@ -208,7 +208,7 @@
         server.turnover.record(dispatch.tokens, now);
         let service = &server.instance.report.service;
         let speed = self.speeds.get(service).copied().unwrap_or_default();
-        server.fleet_load.add_request(request, dispatch.read_tokens, speed, now);
+        server.fleet_load.add_request(request, dispatch.prefill_tokens, speed, now);
         if dispatch.keys.is_empty() && dispatch.own_tokens == 0 {
             return;
         }
--- a/crates/placement/tests/overload.rs
+++ b/crates/placement/tests/overload.rs
@@ -50,7 +50,7 @@
     let sent: Vec<(Choice, Ticket)> = (0..8).map(|number| send(&mut here, number, 0)).collect();
     for (choice, _) in &sent {
         let dispatch = choice.dispatch_record();
-        assert_eq!(dispatch.read_tokens == 0, choice.is_late);
+        assert_eq!(dispatch.prefill_tokens == 0, choice.is_late);
         elsewhere.apply_untracked_dispatch(&dispatch, at(0));
     }
     // Four prompts are done after 700 ms; the other four wait until the queue is empty.
--- a/crates/placement/tests/placement.rs
+++ b/crates/placement/tests/placement.rs
@@ -116,7 +116,7 @@
         let stream = DispatchRecord {
             keys: vec![own],
             tokens: 100,
-            read_tokens: 100,
+            prefill_tokens: 100,
             ..home.dispatch_record()
         };
         placement.apply_untracked_dispatch(&stream, at(0));
--- a/crates/placement/tests/transfer_sources.rs
+++ b/crates/placement/tests/transfer_sources.rs
@@ -33,7 +33,7 @@
         let dispatch = DispatchRecord { instance, ..sent.clone() };
         placement.apply_untracked_dispatch(&dispatch, at(0));
         let busy =
-            DispatchRecord { read_tokens: 40_000, keys: Vec::new(), own_tokens: 0, ..dispatch };
+            DispatchRecord { prefill_tokens: 40_000, keys: Vec::new(), own_tokens: 0, ..dispatch };
         placement.apply_untracked_dispatch(&busy, at(9_990));
     }
     (placement, last.id.clone())
@@ -71,7 +71,7 @@
     let first = choose(&mut placement, &prompt(1, 1), 0);
     // The prefill of 100,000 tokens takes 2.5 s; the prompt is queued behind it.
     let queue = DispatchRecord {
-        read_tokens: 100_000,
+        prefill_tokens: 100_000,
         keys: Vec::new(),
         own_tokens: 0,
         ..first.dispatch_record()
@@ -96,7 +96,7 @@
             let busy = DispatchRecord {
                 instance: instance(number, 1).id,
                 tokens: 400_000,
-                read_tokens: 0,
+                prefill_tokens: 0,
                 keys: Vec::new(),
                 own_tokens: 0,
                 ..holder.dispatch_record()
@@ -104,7 +104,7 @@
             placement.apply_untracked_dispatch(&busy, at(5_000));
         }
         let queue = DispatchRecord {
-            read_tokens: tokens,
+            prefill_tokens: tokens,
             tokens: 0,
             keys: Vec::new(),
             own_tokens: 0,
