--- a/crates/gateway/src/news.rs
+++ b/crates/gateway/src/news.rs
@@ -195,13 +195,20 @@
 }
 
 fn message(sighting: DispatchRecord, number: u16) -> Sighting {
-    let DispatchRecord { instance, version, keys, part_tokens, own_tokens, tokens, prefill_tokens } =
-        sighting;
+    let DispatchRecord {
+        instance,
+        version,
+        keys,
+        segment_tokens,
+        own_tokens,
+        tokens,
+        prefill_tokens,
+    } = sighting;
     Sighting {
         instance: instance.name().clone(),
         version,
         chains: keys,
-        part_tokens,
+        part_tokens: segment_tokens,
         own_tokens,
         tokens,
         read_tokens: prefill_tokens,
@@ -214,7 +221,7 @@
         instance: InstanceId::started_at(sighting.instance.clone(), StartTime::UNKNOWN),
         version: sighting.version,
         keys: sighting.chains.clone(),
-        part_tokens: sighting.part_tokens.clone(),
+        segment_tokens: sighting.part_tokens.clone(),
         own_tokens: sighting.own_tokens,
         tokens: sighting.tokens,
         prefill_tokens: sighting.read_tokens,
--- a/crates/placement/src/candidates.rs
+++ b/crates/placement/src/candidates.rs
@@ -83,7 +83,7 @@
         source: None,
         store: None,
         keys: Vec::new(),
-        part_tokens: Vec::new(),
+        segment_tokens: Vec::new(),
         own_tokens: request.prompt.map_or(0, |prompt| prompt.tokens),
         inserted_tokens: 0,
     }
--- a/crates/placement/src/choice.rs
+++ b/crates/placement/src/choice.rs
@@ -68,7 +68,7 @@
     /// Keys of the prompt's shared prefixes, the longest last.
     pub keys: Vec<u64>,
     /// Tokens of each shared segment.
-    pub part_tokens: Vec<u32>,
+    pub segment_tokens: Vec<u32>,
     /// Prompt tokens after the shared segments.
     pub own_tokens: u32,
     /// Prompt tokens that are new in the server's cache, computed or fetched.
@@ -87,7 +87,7 @@
             instance: self.instance.clone(),
             version: self.version,
             keys: self.keys.clone(),
-            part_tokens: self.part_tokens.clone(),
+            segment_tokens: self.segment_tokens.clone(),
             own_tokens: self.own_tokens,
             tokens: self.inserted_tokens,
             prefill_tokens: self.queued_tokens(),
--- a/crates/placement/src/dispatch_record.rs
+++ b/crates/placement/src/dispatch_record.rs
@@ -22,7 +22,7 @@
     /// Keys of the prompt's shared prefixes, the longest last.
     pub keys: Vec<u64>,
     /// Tokens of each shared segment.
-    pub part_tokens: Vec<u32>,
+    pub segment_tokens: Vec<u32>,
     /// Prompt tokens after the shared segments.
     pub own_tokens: u32,
     /// Prompt tokens that the server had to compute or fetch.
--- a/crates/placement/src/homes.rs
+++ b/crates/placement/src/homes.rs
@@ -24,9 +24,9 @@
     pub fn of(prompt: &Prompt, sharing: u64) -> Self {
         let mut chain = ChainKeys::default();
         let (mut key, mut tokens) = (sharing, 0_u32);
-        for part in prompt.shared() {
-            key = rendezvous::score(key, part.id);
-            tokens = tokens.saturating_add(part.tokens);
+        for segment in prompt.shared() {
+            key = rendezvous::score(key, segment.id);
+            tokens = tokens.saturating_add(segment.tokens);
             chain.keys.push(key);
             chain.tokens.push(tokens);
         }
@@ -39,7 +39,7 @@
     }
 
     /// Tokens of each segment.
-    pub fn part_tokens(&self) -> Vec<u32> {
+    pub fn segment_tokens(&self) -> Vec<u32> {
         let starts = std::iter::once(0).chain(self.tokens.iter().copied());
         self.tokens.iter().zip(starts).map(|(end, start)| end - start).collect()
     }
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -39,6 +39,6 @@
 pub use placement::Placement;
 pub use reachability_reports::Reporter;
 pub use report_budget::ReportBudget;
-pub use request::{Prompt, PromptPart, ServerRequest};
+pub use request::{Prompt, PromptSegment, ServerRequest};
 pub use retry_budget::{RetryBudget, RetrySettings};
 pub use server_limits::{LimitChange, ObservedAt};
--- a/crates/placement/src/placement.rs
+++ b/crates/placement/src/placement.rs
@@ -215,7 +215,7 @@
         let capacity = self.profiles.get(service).map_or(0, |profile| profile.cache_tokens);
         let prompt = DispatchedPrompt {
             keys: &dispatch.keys,
-            tokens: &dispatch.part_tokens,
+            tokens: &dispatch.segment_tokens,
             own_tokens: dispatch.own_tokens,
             computed_at: now.after(speed.time_for(server.fleet_load.queued_tokens(speed, now))),
         };
--- a/crates/placement/src/request.rs
+++ b/crates/placement/src/request.rs
@@ -6,7 +6,7 @@
 
 /// A prefix segment of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PromptPart {
+pub struct PromptSegment {
     /// Identifier of the content.
     pub id: u64,
     /// Length in tokens.
@@ -19,7 +19,7 @@
     /// Model name.
     pub model: String,
     /// Segments in prompt order.
-    pub parts: Vec<PromptPart>,
+    pub segments: Vec<PromptSegment>,
     /// Tokens of the whole prompt.
     pub tokens: u32,
     /// Maximum number of generated tokens.
@@ -28,8 +28,8 @@
 
 impl Prompt {
     /// Segments that other requests may share: all but the last.
-    pub fn shared(&self) -> &[PromptPart] {
-        match self.parts.split_last() {
+    pub fn shared(&self) -> &[PromptSegment] {
+        match self.segments.split_last() {
             Some((_own, shared)) => shared,
             None => &[],
         }
@@ -37,7 +37,7 @@
 
     /// Total tokens of the shared segments.
     pub fn shared_tokens(&self) -> u32 {
-        self.shared().iter().map(|part| part.tokens).sum()
+        self.shared().iter().map(|segment| segment.tokens).sum()
     }
 }
 
--- a/crates/placement/src/search.rs
+++ b/crates/placement/src/search.rs
@@ -155,7 +155,7 @@
             version,
             source: source.or(store).filter(|_| work.can_transfer),
             store: store.filter(|_| work.should_store(tokens, chain.all_tokens())),
-            part_tokens: chain.part_tokens(),
+            segment_tokens: chain.segment_tokens(),
             own_tokens: tokens.saturating_sub(chain.all_tokens()),
             keys: chain.keys,
             inserted_tokens: work.inserted_tokens,
--- a/crates/placement/tests/placement.rs
+++ b/crates/placement/tests/placement.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use juniper_placement::{
-    ChoiceError, DispatchRecord, Outcome, Placement, Prompt, PromptPart, Reason, ServerRequest,
+    ChoiceError, DispatchRecord, Outcome, Placement, Prompt, PromptSegment, Reason, ServerRequest,
     ServiceProfile,
 };
 use juniper_registry::InstanceId;
@@ -108,9 +108,9 @@
 #[test]
 fn long_prefill_goes_to_a_server_with_few_streams() {
     let mut placement = placement(4);
-    let part = |id, tokens| PromptPart { id, tokens };
-    let parts = vec![part(1, 6_000), part(2, 20_000)];
-    let long = Prompt { parts, tokens: 26_000, ..prompt(1, 1) };
+    let segment = |id, tokens| PromptSegment { id, tokens };
+    let segments = vec![segment(1, 6_000), segment(2, 20_000)];
+    let long = Prompt { segments, tokens: 26_000, ..prompt(1, 1) };
     let home = choose(&mut placement, &long, 0);
     for own in 0..10 {
         let stream = DispatchRecord {
@@ -148,9 +148,9 @@
 #[test]
 fn short_segments_are_fetched_and_reported_too() {
     let mut placement = placement(2);
-    let part = |id, tokens| PromptPart { id, tokens };
-    let parts = vec![part(1, 120), part(2, 80), part(3, 600)];
-    let short = Prompt { parts, tokens: 800, ..prompt(1, 1) };
+    let segment = |id, tokens| PromptSegment { id, tokens };
+    let segments = vec![segment(1, 120), segment(2, 80), segment(3, 600)];
+    let short = Prompt { segments, tokens: 800, ..prompt(1, 1) };
     let holder = send(&mut placement, &short, 0);
     for _ in 0..40 {
         placement.begin_request(&holder, true, at(300));
@@ -273,9 +273,9 @@
 fn short_and_long_prompts_use_separate_servers() {
     let mut placement = placement(10);
     let short = |number: u64| Prompt {
-        parts: vec![
-            PromptPart { id: 1_000 + number % 9, tokens: 100 },
-            PromptPart { id: number, tokens: 400 },
+        segments: vec![
+            PromptSegment { id: 1_000 + number % 9, tokens: 100 },
+            PromptSegment { id: number, tokens: 400 },
         ],
         tokens: 500,
         ..prompt(0, 0)
@@ -352,7 +352,7 @@
     assert_eq!((cached.reason, cached.store), (Reason::Holder, None));
     assert_eq!(cached.source, Some(store), "the server may have evicted them");
     let mut little_shared = prompt(2, 2);
-    little_shared.parts[0].tokens = 3_000;
+    little_shared.segments[0].tokens = 3_000;
     assert_eq!(choose(&mut placement, &little_shared, 1_000).store, None);
 }
 
--- a/crates/placement/tests/support/mod.rs
+++ b/crates/placement/tests/support/mod.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use juniper_placement::{
-    Choice, Outcome, Placement, Prompt, PromptPart, ServerRequest, ServiceProfile,
+    Choice, Outcome, Placement, Prompt, PromptSegment, ServerRequest, ServiceProfile,
 };
 use juniper_registry::{
     Instance, InstanceId, InstanceMap, InstanceName, InstanceReport, InstanceState, ModelHolding,
@@ -53,10 +53,10 @@
 }
 
 pub fn prompt(shared: u64, own: u64) -> Prompt {
-    let part = |id, tokens| PromptPart { id, tokens };
+    let segment = |id, tokens| PromptSegment { id, tokens };
     Prompt {
         model: "m".to_owned(),
-        parts: vec![part(shared, 6_000), part(own, 1_000)],
+        segments: vec![segment(shared, 6_000), segment(own, 1_000)],
         tokens: 7_000,
         output_tokens: 50,
     }
