--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -186,9 +186,9 @@
         let engine = service.engine.as_ref()?;
         let bits_per_ms = engine.link_mbps * 1_000.0 * LINK_PART;
         let bits = engine.token_bytes as f64 * 8.0;
-        let move_ms = if bits_per_ms > 0.0 { bits / bits_per_ms } else { 0.0 };
+        let transfer_ms_per_token = if bits_per_ms > 0.0 { bits / bits_per_ms } else { 0.0 };
         let (cache_tokens, stores) = (engine.cache_tokens, stores.clone());
-        Some((service.name.clone(), ServiceProfile { move_ms, cache_tokens, stores }))
+        Some((service.name.clone(), ServiceProfile { transfer_ms_per_token, cache_tokens, stores }))
     });
     engines.collect()
 }
--- a/crates/placement/src/choice.rs
+++ b/crates/placement/src/choice.rs
@@ -99,7 +99,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ServiceProfile {
     /// Time to transfer one token, in milliseconds; zero if KV transfer isn't available.
-    pub move_ms: f64,
+    pub transfer_ms_per_token: f64,
     /// Capacity of each server's KV cache, in tokens; zero if unknown.
     pub cache_tokens: u64,
     /// Addresses of the KV stores, if there are any.
--- a/crates/placement/src/cost.rs
+++ b/crates/placement/src/cost.rs
@@ -66,7 +66,7 @@
     /// Shared tokens among those that are already cached on some server.
     pub recomputed_tokens: u32,
     /// KV transfer time of the segments that the server would fetch.
-    pub move_ms: f64,
+    pub transfer_ms: f64,
     /// Whether the server belongs to the lane for prompts of the other length.
     pub other_lane: bool,
     /// Used share of the advertised limit, from 0 to 1.
@@ -109,7 +109,7 @@
             server.health.failure_rate(self.now) - self.mean_failure_rate - BASELINE_FAILURE_RATE;
         let failures = excess.max(0.0) * FAILURE_RATE_FACTOR * objective_ms;
         let eviction = self.speed.ms_for(server.evicted_tokens) * EVICTION_FACTOR;
-        let transfer = server.move_ms + eviction;
+        let transfer = server.transfer_ms + eviction;
         let stream_gap = self.stream_gap_ms(queue + prefill, requests, objective_ms);
         let work =
             prefill + recompute + transfer + queue + in_flight + congestion + delay + stream_gap;
@@ -119,7 +119,7 @@
     /// Expected time to first output, if no later request overtakes this one.
     pub(crate) fn first_output_ms(&self, server: &ServerView<'_>) -> f64 {
         let prefill = self.speed.ms_for(f64::from(server.prefill_tokens));
-        self.wait_ms(server) + prefill + server.move_ms + server.cold_ms
+        self.wait_ms(server) + prefill + server.transfer_ms + server.cold_ms
     }
 
     /// Expected time in the queue.
--- a/crates/placement/src/prompt_work.rs
+++ b/crates/placement/src/prompt_work.rs
@@ -29,7 +29,7 @@
     /// Shared tokens among those that are already cached on some server.
     pub recomputed_tokens: u32,
     /// Time to transfer shared segments to the server, in milliseconds.
-    pub move_ms: f64,
+    pub transfer_ms: f64,
     /// Whether the server belongs to the lane for prompts of the other length.
     pub other_lane: bool,
     /// Tokens inserted into the server's cache.
@@ -50,7 +50,7 @@
             ready_tokens: 0,
             prefill_tokens: 0,
             recomputed_tokens: 0,
-            move_ms: 0.0,
+            transfer_ms: 0.0,
             other_lane: false,
             inserted_tokens: 0,
             eviction_loss: 0.0,
@@ -84,8 +84,9 @@
         let model = request.prompt.map_or("", |prompt| prompt.model.as_str());
         let shared_tokens = chain.all_tokens();
         let other_lane = self.other_lane(servers, request, now);
-        let ServiceProfile { move_ms, cache_tokens, .. } = *self.profile(request.service);
-        let can_transfer = move_ms > 0.0 && shared_tokens >= MIN_TRANSFER_TOKENS;
+        let ServiceProfile { transfer_ms_per_token, cache_tokens, .. } =
+            *self.profile(request.service);
+        let can_transfer = transfer_ms_per_token > 0.0 && shared_tokens >= MIN_TRANSFER_TOKENS;
         let home = chain.home(servers.iter().map(|server| server.hash));
         let versions: Vec<u64> = servers.iter().map(|server| server.version_of(model)).collect();
         let cached = tokens_by_server(servers, &versions, chain, |server, version, key| {
@@ -112,7 +113,7 @@
                 ready_tokens: ready[index],
                 prefill_tokens: tokens.saturating_sub(cached_tokens + transferred),
                 recomputed_tokens: recomputed,
-                move_ms: move_ms * f64::from(transferred),
+                transfer_ms: transfer_ms_per_token * f64::from(transferred),
                 other_lane: other_lane[index],
                 inserted_tokens: tokens.saturating_sub(cached_tokens),
                 eviction_loss: servers[index].turnover.eviction_loss(cache_tokens, now),
--- a/crates/placement/src/search.rs
+++ b/crates/placement/src/search.rs
@@ -22,7 +22,7 @@
 
 /// Profile of an unknown service.
 static DEFAULT_PROFILE: ServiceProfile =
-    ServiceProfile { move_ms: 0.0, cache_tokens: 0, stores: Vec::new() };
+    ServiceProfile { transfer_ms_per_token: 0.0, cache_tokens: 0, stores: Vec::new() };
 
 /// Maximum cost of a cold server, in milliseconds.
 const MAX_COLD_COST_MS: f64 = 400.0;
@@ -186,7 +186,7 @@
             cold_ms: (report.cold_remaining_ms as f64).min(MAX_COLD_COST_MS),
             prefill_tokens: work.prefill_tokens,
             recomputed_tokens: work.recomputed_tokens,
-            move_ms: work.move_ms,
+            transfer_ms: work.transfer_ms,
             other_lane: work.other_lane,
             utilization: server.limit.as_ref().map_or(0.0, |limit| limit.used_part(context.now)),
             evicted_tokens: f64::from(work.inserted_tokens) * work.eviction_loss,
--- a/crates/placement/tests/placement.rs
+++ b/crates/placement/tests/placement.rs
@@ -327,7 +327,11 @@
     let mut placement = placement(6);
     let stores: Vec<SocketAddrV4> =
         (1..=3).map(|number| SocketAddrV4::new(Ipv4Addr::new(172, 20, 0, number), 8_000)).collect();
-    let profile = ServiceProfile { move_ms: 0.005, cache_tokens: 160_000, stores: stores.clone() };
+    let profile = ServiceProfile {
+        transfer_ms_per_token: 0.005,
+        cache_tokens: 160_000,
+        stores: stores.clone(),
+    };
     placement.set_profiles(HashMap::from([(SERVICE.to_owned(), profile)]));
     let mut chains = [0; 3];
     for shared in 0..90 {
@@ -345,7 +349,8 @@
 fn store_gets_only_prompts_with_uncached_shared_segments() {
     let mut placement = placement(1);
     let store = SocketAddrV4::new(Ipv4Addr::new(172, 20, 0, 1), 8_000);
-    let profile = ServiceProfile { move_ms: 0.005, cache_tokens: 160_000, stores: vec![store] };
+    let profile =
+        ServiceProfile { transfer_ms_per_token: 0.005, cache_tokens: 160_000, stores: vec![store] };
     placement.set_profiles(HashMap::from([(SERVICE.to_owned(), profile)]));
     assert_eq!(send(&mut placement, &prompt(1, 1), 0).store, Some(store));
     let cached = choose(&mut placement, &prompt(1, 2), 1_000);
