--- a/crates/gateway/src/search.rs
+++ b/crates/gateway/src/search.rs
@@ -179,7 +179,7 @@
             min_version: self.min_version(),
             objective: self.call.objective(),
             time_left: self.call.objective().saturating_sub(self.call.arrived.elapsed()),
-            max_pause: self.call.max_pause(),
+            max_gap: self.call.max_pause(),
         };
         let now = self.gateway.now();
         self.gateway.placement().choose(&request, now, rand::random())
--- a/crates/placement/src/cost.rs
+++ b/crates/placement/src/cost.rs
@@ -81,7 +81,7 @@
     pub speed: PrefillSpeed,
     pub objective: Duration,
     /// Longest gap between events of a stream that still counts as in time.
-    pub max_pause: Option<Duration>,
+    pub max_gap: Option<Duration>,
     /// Mean failure rate of the service's servers.
     pub mean_failure_rate: f64,
     pub now: Timestamp,
@@ -132,8 +132,8 @@
     /// Cost of stream gaps: in-flight streams get no tokens during a long prefill, and neither does
     /// the request's own stream if the queue ahead is long.
     fn stream_gap_ms(&self, prefill_ms: f64, requests: f64, objective_ms: f64) -> f64 {
-        let Some(max_pause) = self.max_pause else { return 0.0 };
-        let safe_ms = max_pause.as_secs_f64() * 1_000.0 * SAFE_PREFILL_SHARE;
+        let Some(max_gap) = self.max_gap else { return 0.0 };
+        let safe_ms = max_gap.as_secs_f64() * 1_000.0 * SAFE_PREFILL_SHARE;
         let is_too_long = prefill_ms > safe_ms;
         if is_too_long { requests * STREAM_GAP_FACTOR * objective_ms } else { 0.0 }
     }
--- a/crates/placement/src/request.rs
+++ b/crates/placement/src/request.rs
@@ -66,5 +66,5 @@
     pub may_be_refused: bool,
     /// Longest gap between events of a stream that still counts as in time; `None` without a
     /// stream.
-    pub max_pause: Option<Duration>,
+    pub max_gap: Option<Duration>,
 }
--- a/crates/placement/src/search.rs
+++ b/crates/placement/src/search.rs
@@ -69,7 +69,7 @@
         let context = CostContext {
             speed: self.speeds.get(request.service).copied().unwrap_or_default(),
             objective: request.objective,
-            max_pause: request.max_pause,
+            max_gap: request.max_gap,
             mean_failure_rate: mean_failure_rate(servers, now),
             now,
         };
--- a/crates/placement/tests/notices/world.rs
+++ b/crates/placement/tests/notices/world.rs
@@ -315,7 +315,7 @@
             min_version: 0,
             objective: OBJECTIVE,
             time_left: OBJECTIVE,
-            max_pause: None,
+            max_gap: None,
         };
         let Ok(choice) = placement.choose(&request, now, random) else {
             return self.checker.record_refused(call.sent);
--- a/crates/placement/tests/placement.rs
+++ b/crates/placement/tests/placement.rs
@@ -124,8 +124,8 @@
     let relaxed = request(&long, &[]);
     let chosen = |request| placement.choose(request, at(10), 10).expect("a server").instance;
     assert_eq!(chosen(&relaxed), home.instance);
-    let max_pause = Some(Duration::from_millis(500));
-    let strict = ServerRequest { max_pause, ..relaxed };
+    let max_gap = Some(Duration::from_millis(500));
+    let strict = ServerRequest { max_gap, ..relaxed };
     assert_ne!(chosen(&strict), home.instance);
 }
 
--- a/crates/placement/tests/requests_without_prompt.rs
+++ b/crates/placement/tests/requests_without_prompt.rs
@@ -23,7 +23,7 @@
         min_version: 0,
         objective: Duration::from_millis(300),
         time_left: Duration::from_millis(300),
-        max_pause: None,
+        max_gap: None,
     }
 }
 
--- a/crates/placement/tests/support/mod.rs
+++ b/crates/placement/tests/support/mod.rs
@@ -75,7 +75,7 @@
         min_version: 0,
         objective: Duration::from_millis(800),
         time_left: Duration::from_millis(800),
-        max_pause: None,
+        max_gap: None,
     }
 }
 
