--- a/crates/gateway/src/search.rs
+++ b/crates/gateway/src/search.rs
@@ -167,13 +167,13 @@
         unreachable!("servers with limits are left out after some refusals")
     }
 
-    fn choose(&self, spares_limited: bool) -> Result<Choice, ChoiceError> {
+    fn choose(&self, excludes_limited: bool) -> Result<Choice, ChoiceError> {
         let request = ServerRequest {
             service: &self.call.service,
             prompt: self.call.facts.prompt.as_ref(),
             sharing: sharing_key(&self.call.sharing),
             excluded: &self.excluded,
-            spares_limited,
+            excludes_limited,
             rank: self.call.priority,
             may_be_refused: self.progress.sent == 0 && self.call.facts.last_event.is_none(),
             min_version: self.min_version(),
--- a/crates/placement/src/candidates.rs
+++ b/crates/placement/src/candidates.rs
@@ -44,7 +44,7 @@
         // A server at its limit would be overloaded by any further request.
         let limit_waits = candidates.iter().filter_map(|server| server.limit_wait(now));
         let shortest_wait = limit_waits.min().unwrap_or_default();
-        let avoids_limited = request.spares_limited;
+        let avoids_limited = request.excludes_limited;
         candidates.retain(|server| {
             server.limit_wait(now).is_none() && !(avoids_limited && server.limit.is_some())
         });
--- a/crates/placement/src/request.rs
+++ b/crates/placement/src/request.rs
@@ -53,7 +53,7 @@
     /// Servers that have already failed this request.
     pub excluded: &'a [InstanceId],
     /// Whether servers with an advertised limit are excluded.
-    pub spares_limited: bool,
+    pub excludes_limited: bool,
     /// Minimum version of the model weights.
     pub min_version: u64,
     /// Latency objective: an answer within this time has its full value.
--- a/crates/placement/tests/notices/world.rs
+++ b/crates/placement/tests/notices/world.rs
@@ -309,7 +309,7 @@
             prompt: None,
             sharing: 0,
             excluded: &call.excluded,
-            spares_limited: false,
+            excludes_limited: false,
             rank: 1,
             may_be_refused: false,
             min_version: 0,
--- a/crates/placement/tests/requests_without_prompt.rs
+++ b/crates/placement/tests/requests_without_prompt.rs
@@ -17,7 +17,7 @@
         prompt: None,
         sharing: 0,
         excluded: &[],
-        spares_limited: false,
+        excludes_limited: false,
         rank: 1,
         may_be_refused: false,
         min_version: 0,
--- a/crates/placement/tests/support/mod.rs
+++ b/crates/placement/tests/support/mod.rs
@@ -69,7 +69,7 @@
         prompt: Some(prompt),
         sharing: 7,
         excluded,
-        spares_limited: false,
+        excludes_limited: false,
         rank: 1,
         may_be_refused: false,
         min_version: 0,
