--- a/crates/gateway/src/search.rs
+++ b/crates/gateway/src/search.rs
@@ -171,7 +171,7 @@
         let request = ServerRequest {
             service: &self.call.service,
             prompt: self.call.facts.prompt.as_ref(),
-            sharing: sharing_key(&self.call.sharing),
+            sharing_key: sharing_key(&self.call.sharing),
             excluded: &self.excluded,
             excludes_limited,
             rank: self.call.priority,
--- a/crates/placement/src/homes.rs
+++ b/crates/placement/src/homes.rs
@@ -12,18 +12,18 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ChainKeys {
     /// Prefix keys, the longest prefix last. Equal for the same segments in the same order under
-    /// the same sharing key.
+    /// the same sharing_key key.
     pub keys: Vec<u64>,
     /// Tokens of each prefix.
     pub tokens: Vec<u32>,
 }
 
 impl ChainKeys {
-    /// Computes the keys of a prompt. `sharing` is the key of the callers that share cached
+    /// Computes the keys of a prompt. `sharing_key` is the key of the callers that share cached
     /// segments with each other.
-    pub fn of(prompt: &Prompt, sharing: u64) -> Self {
+    pub fn of(prompt: &Prompt, sharing_key: u64) -> Self {
         let mut chain = ChainKeys::default();
-        let (mut key, mut tokens) = (sharing, 0_u32);
+        let (mut key, mut tokens) = (sharing_key, 0_u32);
         for segment in prompt.shared() {
             key = rendezvous::score(key, segment.id);
             tokens = tokens.saturating_add(segment.tokens);
--- a/crates/placement/src/request.rs
+++ b/crates/placement/src/request.rs
@@ -49,7 +49,7 @@
     /// The prompt, if the service runs a model.
     pub prompt: Option<&'a Prompt>,
     /// Key of the callers that share cached segments with each other.
-    pub sharing: u64,
+    pub sharing_key: u64,
     /// Servers that have already failed this request.
     pub excluded: &'a [InstanceId],
     /// Whether servers with an advertised limit are excluded.
--- a/crates/placement/src/search.rs
+++ b/crates/placement/src/search.rs
@@ -73,7 +73,7 @@
             mean_failure_rate: mean_failure_rate(servers, now),
             now,
         };
-        let chain = request.prompt.map(|prompt| ChainKeys::of(prompt, request.sharing));
+        let chain = request.prompt.map(|prompt| ChainKeys::of(prompt, request.sharing_key));
         let chain = chain.unwrap_or_default();
         let work_by_server = self.prompt_work(servers, request, &chain, now);
         let mut best: Option<(f64, u64, usize)> = None;
--- a/crates/placement/tests/notices/world.rs
+++ b/crates/placement/tests/notices/world.rs
@@ -307,7 +307,7 @@
         let request = ServerRequest {
             service: SERVICE,
             prompt: None,
-            sharing: 0,
+            sharing_key: 0,
             excluded: &call.excluded,
             excludes_limited: false,
             rank: 1,
--- a/crates/placement/tests/requests_without_prompt.rs
+++ b/crates/placement/tests/requests_without_prompt.rs
@@ -15,7 +15,7 @@
     ServerRequest {
         service: SERVICE,
         prompt: None,
-        sharing: 0,
+        sharing_key: 0,
         excluded: &[],
         excludes_limited: false,
         rank: 1,
--- a/crates/placement/tests/support/mod.rs
+++ b/crates/placement/tests/support/mod.rs
@@ -67,7 +67,7 @@
     ServerRequest {
         service: SERVICE,
         prompt: Some(prompt),
-        sharing: 7,
+        sharing_key: 7,
         excluded,
         excludes_limited: false,
         rank: 1,
