--- a/crates/gateway/src/search.rs
+++ b/crates/gateway/src/search.rs
@@ -147,7 +147,7 @@
         }
         let now = self.gateway.now();
         let routers = self.gateway.feed.routers();
-        let taken = self.gateway.budget().take(&self.call.service, routers, now);
+        let taken = self.gateway.budget().take_retry(&self.call.service, routers, now);
         if !taken {
             self.gateway.metrics.budget_spent.inc();
         }
--- a/crates/placement/src/retry_budget.rs
+++ b/crates/placement/src/retry_budget.rs
@@ -87,7 +87,7 @@
 
     /// Takes one retry from the budget. Returns whether `routers` routers together stay within the
     /// bound.
-    pub fn take(&mut self, service: &str, routers: u32, now: Timestamp) -> bool {
+    pub fn take_retry(&mut self, service: &str, routers: u32, now: Timestamp) -> bool {
         let number = self.bucket_number(now);
         let settings = self.settings;
         let counts = self.counts(service);
--- a/crates/placement/tests/budgets.rs
+++ b/crates/placement/tests/budgets.rs
@@ -16,17 +16,17 @@
 #[test]
 fn quiet_service_gets_its_share_of_the_free_retries() {
     let mut budget = RetryBudget::new(SETTINGS);
-    let taken = (0..100).filter(|_| budget.take("app", 9, at(0))).count();
+    let taken = (0..100).filter(|_| budget.take_retry("app", 9, at(0))).count();
     assert_eq!(taken, 4);
-    assert!(!budget.take("app", 9, at(9_000)));
-    assert!(budget.take("app", 9, at(12_000)));
+    assert!(!budget.take_retry("app", 9, at(9_000)));
+    assert!(budget.take_retry("app", 9, at(12_000)));
 }
 
 #[test]
 fn services_have_separate_budgets() {
     let mut budget = RetryBudget::new(SETTINGS);
-    while budget.take("one", 1, at(0)) {}
-    assert!(budget.take("other", 1, at(0)));
+    while budget.take_retry("one", 1, at(0)) {}
+    assert!(budget.take_retry("other", 1, at(0)));
 }
 
 quickcheck! {
@@ -42,7 +42,7 @@
             budget.record_request("app", at(now));
             requests.push(now);
             for _ in 0..*wanted {
-                if budget.take("app", routers as u32, at(now)) {
+                if budget.take_retry("app", routers as u32, at(now)) {
                     retries.push(now);
                 }
             }
--- a/crates/placement/tests/notices/world.rs
+++ b/crates/placement/tests/notices/world.rs
@@ -300,7 +300,8 @@
         let random = self.random.random();
         let Router { placement, budget, incarnation, .. } = &mut self.routers[router];
         let incarnation = *incarnation;
-        if call.attempts >= MAX_ATTEMPTS || (call.attempts > 0 && !budget.take(SERVICE, count, now))
+        if call.attempts >= MAX_ATTEMPTS
+            || (call.attempts > 0 && !budget.take_retry(SERVICE, count, now))
         {
             return self.checker.record_refused(call.sent);
         }
