--- a/crates/gateway/src/face.rs
+++ b/crates/gateway/src/face.rs
@@ -142,7 +142,7 @@
         metrics.catalog_age_ms.set(age);
         let limited = gateway.placement().count_limited_servers();
         let resting = gateway.placement().count_backing_off_servers(gateway.now());
-        metrics.count_backing_off_servers.set(i64::try_from(resting).unwrap_or(i64::MAX));
+        metrics.resting_servers.set(i64::try_from(resting).unwrap_or(i64::MAX));
         metrics.limited_servers.set(i64::try_from(limited).unwrap_or(i64::MAX));
         metrics.catalog_version.set(gateway.feed.latest().catalog_version() as i64);
         (StatusCode::OK, Bytes::from(metrics.text()))
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -56,7 +56,7 @@
     /// Servers that state such a limit.
     pub limited_servers: IntGauge,
     /// Servers that asked this router for a pause that isn't over.
-    pub count_backing_off_servers: IntGauge,
+    pub resting_servers: IntGauge,
     /// Servers that ended under requests, and quarantines.
     pub crashes: CrashMetrics,
     /// New connections to servers.
@@ -134,10 +134,7 @@
             )?,
             limited_tenants: Mutex::default(),
             limited_servers: gauge("limited_servers", "Servers that state what they take.")?,
-            count_backing_off_servers: gauge(
-                "count_backing_off_servers",
-                "Servers that asked for a pause.",
-            )?,
+            resting_servers: gauge("resting_servers", "Servers that asked for a pause.")?,
             server_charges: counters(
                 "server_charges_total",
                 "Requests for servers that state what they take, by outcome and who decided.",
--- a/crates/gateway/tests/paths/pauses.rs
+++ b/crates/gateway/tests/paths/pauses.rs
@@ -150,7 +150,7 @@
 }
 
 /// What another router tells that was asked for a pause.
-fn apply_peer_backoff(server: &FakeServer, pause_ms: u64) -> RouterNews {
+fn told_of_pause(server: &FakeServer, pause_ms: u64) -> RouterNews {
     let (instance, started) = (server.report().name, StartTime::UNKNOWN);
     let notice = ServerNoticeNews { instance, started, pause_ms, is_leaving: false };
     RouterNews { notices: Some(vec![notice]), ..RouterNews::default() }
@@ -175,15 +175,15 @@
 async fn a_server_that_turns_two_other_routers_away_is_spared_while_others_serve() {
     let (spared, other) = (good("a").await, good("b").await);
     let gateway = TestGateway::start(&[&spared, &other]).await;
-    gateway.control.relay(2, "north", apply_peer_backoff(&spared, 60_000));
-    gateway.control.relay(2, "north", apply_peer_backoff(&spared, 60_000));
+    gateway.control.relay(2, "north", told_of_pause(&spared, 60_000));
+    gateway.control.relay(2, "north", told_of_pause(&spared, 60_000));
     sleep(Duration::from_millis(100)).await;
     let begun = Instant::now();
     while spared.requests().is_empty() {
         assert_eq!(ask(&gateway).await.status, 200);
         assert!(begun.elapsed() < PATIENCE, "one router alone doesn't count");
     }
-    gateway.control.relay(3, "north", apply_peer_backoff(&spared, 60_000));
+    gateway.control.relay(3, "north", told_of_pause(&spared, 60_000));
     sleep(Duration::from_millis(100)).await;
     let got = spared.requests().len();
     for _ in 0..12 {
@@ -191,7 +191,7 @@
     }
     assert_eq!(spared.requests().len(), got);
     for from in [2, 3] {
-        gateway.control.relay(from, "north", apply_peer_backoff(&other, 60_000));
+        gateway.control.relay(from, "north", told_of_pause(&other, 60_000));
     }
     sleep(Duration::from_millis(100)).await;
     assert_eq!(ask(&gateway).await.status, 200, "no server has asked this router for a pause");
