--- a/crates/placement/src/admission.rs
+++ b/crates/placement/src/admission.rs
@@ -63,8 +63,8 @@
         time_left: Duration,
         lower_quartile_wait_ms: impl FnOnce() -> f64,
     ) -> Option<Overload> {
-        let part = if rank == 0 { MAX_URGENT_START_SHARE } else { MAX_START_SHARE };
-        let limit_ms = time_left.as_secs_f64() * 1_000.0 * part;
+        let share = if rank == 0 { MAX_URGENT_START_SHARE } else { MAX_START_SHARE };
+        let limit_ms = time_left.as_secs_f64() * 1_000.0 * share;
         if self.first_output_ms <= limit_ms {
             return None;
         }
--- a/crates/placement/src/notices.rs
+++ b/crates/placement/src/notices.rs
@@ -1,4 +1,4 @@
-//! Backoffs and departures that servers request in their answers.
+//! Backoffs and departures that servers announce in their answers.
 
 use std::time::Duration;
 
@@ -120,7 +120,7 @@
     ) -> Vec<(InstanceId, ExclusionReason)> {
         let known = self.noticed.iter().filter_map(|name| self.servers.get(name));
         let known = known.filter(|server| server.instance.report.service == service);
-        let over = known.filter_map(|server| {
+        let excluded = known.filter_map(|server| {
             let id = &server.instance.id;
             let reason = if server.is_departing {
                 ExclusionReason::Departing
@@ -133,6 +133,6 @@
             };
             Some((id.clone(), reason))
         });
-        over.collect()
+        excluded.collect()
     }
 }
--- a/crates/placement/src/retry_budget.rs
+++ b/crates/placement/src/retry_budget.rs
@@ -1,8 +1,8 @@
 //! Retry budget: bounds retries to a share of the requests of a service.
 //!
 //! The bound holds for all routers together without coordination: each router limits itself to a
-//! share of its own requests plus its part of the free retries. A margin covers temporary errors in
-//! the number of routers.
+//! share of its own requests plus its share of the free retries. A margin covers temporary errors
+//! in the number of routers.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -55,7 +55,7 @@
     }
 }
 
-/// This router's part of the retry budget, by service.
+/// This router's share of the retry budget, by service.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     settings: RetrySettings,
--- a/crates/placement/src/server_limits.rs
+++ b/crates/placement/src/server_limits.rs
@@ -59,20 +59,20 @@
     pub fn apply_peer_limit(
         &mut self,
         instance: &InstanceId,
-        told: ToldLimit,
+        report: ToldLimit,
         at: ObservedAt,
     ) -> Option<LimitChange> {
         let server = self.server_mut(instance)?;
         let is_new = match &mut server.limit {
-            Some(limit) => limit.told(told, at.now, at.unix_ms),
-            None if told.is_over => false,
+            Some(limit) => limit.told(report, at.now, at.unix_ms),
+            None if report.is_over => false,
             limit => {
-                *limit = Some(ServerLimit::told_first(told, at.now));
+                *limit = Some(ServerLimit::told_first(report, at.now));
                 true
             }
         };
         let change =
-            if told.is_over { LimitChange::Ended } else { LimitChange::Advertised(told.rate) };
+            if report.is_over { LimitChange::Ended } else { LimitChange::Advertised(report.rate) };
         is_new.then_some(change)
     }
 
