--- a/crates/gateway/src/probe.rs
+++ b/crates/gateway/src/probe.rs
@@ -32,7 +32,7 @@
     match outcome {
         ProbeOutcome::Connected => {
             log::info!("event=server_reached instance={instance} address={address}");
-            gateway.placement().reached(&instance);
+            gateway.placement().record_probe_success(&instance);
         }
         ProbeOutcome::Refused => gateway.record_refused(&instance),
         ProbeOutcome::Failed => {}
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -188,7 +188,7 @@
             return;
         }
         if failed {
-            return attempt.fail(Outcome::Broken);
+            return attempt.fail(Outcome::Interrupted);
         }
         let frame = tokio::select! {
             frame = timeout_at(call.deadline, rest.frame()) => frame,
--- a/crates/gateway/src/search.rs
+++ b/crates/gateway/src/search.rs
@@ -173,7 +173,7 @@
             prompt: self.call.facts.prompt.as_ref(),
             sharing: hash_sharing_scope(&self.call.sharing_scope),
             excluded: &self.excluded,
-            spares_limited,
+            excludes_limited,
             rank: self.call.priority,
             may_be_refused: self.progress.sent == 0 && self.call.facts.last_event.is_none(),
             min_version: self.min_version(),
@@ -251,9 +251,9 @@
             self.call.route.name,
             self.call.service,
             self.call.priority,
-            overload.prospect.first_output_ms,
-            overload.prospect.wait_ms,
-            overload.least_waits_ms,
+            overload.estimate.first_output_ms,
+            overload.estimate.wait_ms,
+            overload.lower_quartile_wait_ms,
             overload.limit_ms
         );
     }
@@ -271,8 +271,8 @@
             choice.reason.as_str(),
             choice.cost_ms,
             choice.is_late,
-            choice.kept_tokens,
-            choice.missed_tokens,
+            choice.cached_tokens,
+            choice.prefill_tokens,
             choice.keys.last().copied().unwrap_or(0) >> 32,
             choice.version,
             choice.source.map_or_else(|| "-".to_owned(), |source| source.to_string()),
--- a/crates/placement/src/candidates.rs
+++ b/crates/placement/src/candidates.rs
@@ -27,7 +27,7 @@
         if let Some(prompt) = request.prompt {
             candidates.retain(|server| server.version_of(&prompt.model) >= request.min_version);
             if candidates.is_empty() {
-                return Err(ChoiceError::OldWeights);
+                return Err(ChoiceError::OutdatedWeights);
             }
         }
         // A full server only costs more, but a backoff must be respected in any case.
@@ -35,7 +35,7 @@
             candidates.iter().filter_map(|server| self.active_backoff(server, now)).min();
         candidates.retain(|server| self.active_backoff(server, now).is_none());
         if let Some(backoff) = shortest_backoff.filter(|_| candidates.is_empty()) {
-            return Err(ChoiceError::Resting(backoff));
+            return Err(ChoiceError::BackingOff(backoff));
         }
         candidates.retain(|server| !request.excluded.contains(&server.instance.id));
         if candidates.is_empty() {
@@ -44,12 +44,12 @@
         // A server at its limit would be overloaded by any further request.
         let limit_waits = candidates.iter().filter_map(|server| server.limit_wait(now));
         let shortest_wait = limit_waits.min().unwrap_or_default();
-        let avoids_limited = request.spares_limited;
+        let avoids_limited = request.excludes_limited;
         candidates.retain(|server| {
             server.limit_wait(now).is_none() && !(avoids_limited && server.limit.is_some())
         });
         match candidates.is_empty() {
-            true => Err(ChoiceError::UsedUp(shortest_wait)),
+            true => Err(ChoiceError::LimitReached(shortest_wait)),
             false => Ok(candidates),
         }
     }
@@ -76,14 +76,14 @@
         reason: Reason::LastResort,
         cost_ms: 0.0,
         is_late: false,
-        kept_tokens: 0,
-        missed_tokens: request.prompt.map_or(0, |prompt| prompt.tokens),
+        cached_tokens: 0,
+        prefill_tokens: request.prompt.map_or(0, |prompt| prompt.tokens),
         candidates: candidates.len(),
         version: request.prompt.map_or(0, |prompt| candidates[index].version_of(&prompt.model)),
         source: None,
         store: None,
         keys: Vec::new(),
-        part_tokens: Vec::new(),
+        segment_tokens: Vec::new(),
         own_tokens: request.prompt.map_or(0, |prompt| prompt.tokens),
         inserted_tokens: 0,
     }
--- a/crates/placement/src/choice.rs
+++ b/crates/placement/src/choice.rs
@@ -54,9 +54,9 @@
     /// after those that can still be in time, so it isn't counted as queued.
     pub is_late: bool,
     /// Prompt tokens expected in the server's cache.
-    pub kept_tokens: u32,
+    pub cached_tokens: u32,
     /// Prompt tokens that the server must compute.
-    pub missed_tokens: u32,
+    pub prefill_tokens: u32,
     /// Number of servers that were considered.
     pub candidates: usize,
     /// Version of the model weights on the server; zero without a model.
@@ -68,7 +68,7 @@
     /// Keys of the prompt's shared prefixes, the longest last.
     pub keys: Vec<u64>,
     /// Tokens of each shared segment.
-    pub part_tokens: Vec<u32>,
+    pub segment_tokens: Vec<u32>,
     /// Prompt tokens after the shared segments.
     pub own_tokens: u32,
     /// Prompt tokens that are new in the server's cache, computed or fetched.
@@ -78,19 +78,19 @@
 impl Choice {
     /// Prefill tokens that add to the server's queue: none if the request is late.
     pub(crate) fn queued_tokens(&self) -> u32 {
-        if self.is_late { 0 } else { self.missed_tokens }
+        if self.is_late { 0 } else { self.prefill_tokens }
     }
 
     /// Description of the dispatch for other routers.
-    pub fn sighting(&self) -> DispatchRecord {
+    pub fn dispatch_record(&self) -> DispatchRecord {
         DispatchRecord {
             instance: self.instance.clone(),
             version: self.version,
             keys: self.keys.clone(),
-            part_tokens: self.part_tokens.clone(),
+            segment_tokens: self.segment_tokens.clone(),
             own_tokens: self.own_tokens,
             tokens: self.inserted_tokens,
-            read_tokens: self.queued_tokens(),
+            prefill_tokens: self.queued_tokens(),
         }
     }
 }
@@ -99,7 +99,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ServiceProfile {
     /// Time to transfer one token, in milliseconds; zero if KV transfer isn't available.
-    pub move_ms: f64,
+    pub transfer_ms_per_token: f64,
     /// Capacity of each server's KV cache, in tokens; zero if unknown.
     pub cache_tokens: u64,
     /// Addresses of the KV stores, if there are any.
@@ -131,26 +131,26 @@
     AllExcluded,
     /// Every server has older weights than the required version.
     #[error("every server has older weights than the required version")]
-    OldWeights,
+    OutdatedWeights,
     /// The queues are too long for the prompt to start in time.
     #[error("servers are overloaded: {0:?}")]
     Overloaded(Overload),
     /// Every server is backing off from this router; the first backoff ends after this time.
     #[error("every server is backing off; the first one accepts requests in {0:?}")]
-    Resting(Duration),
+    BackingOff(Duration),
     /// Every remaining server has reached its advertised limit; the first has capacity after this
     /// time.
     #[error(
         "every remaining server has reached its advertised limit; the first one has capacity in {0:?}"
     )]
-    UsedUp(Duration),
+    LimitReached(Duration),
 }
 
 /// An in-flight request on a server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Ticket {
     pub(crate) instance: InstanceId,
-    pub(crate) missed_tokens: u32,
+    pub(crate) prefill_tokens: u32,
     pub(crate) is_measured: bool,
     pub(crate) started_at: Timestamp,
     pub(crate) had_output: bool,
--- a/crates/placement/src/cost.rs
+++ b/crates/placement/src/cost.rs
@@ -62,11 +62,11 @@
     pub silent: bool,
     pub cold_ms: f64,
     /// Prompt tokens that the server must compute.
-    pub missed_tokens: u32,
+    pub prefill_tokens: u32,
     /// Shared tokens among those that are already cached on some server.
     pub recomputed_tokens: u32,
     /// KV transfer time of the segments that the server would fetch.
-    pub move_ms: f64,
+    pub transfer_ms: f64,
     /// Whether the server belongs to the lane for prompts of the other length.
     pub other_lane: bool,
     /// Used share of the advertised limit, from 0 to 1.
@@ -81,7 +81,7 @@
     pub speed: PrefillSpeed,
     pub objective: Duration,
     /// Longest gap between events of a stream that still counts as in time.
-    pub max_pause: Option<Duration>,
+    pub max_gap: Option<Duration>,
     /// Mean failure rate of the service's servers.
     pub mean_failure_rate: f64,
     pub now: Timestamp,
@@ -91,7 +91,7 @@
     /// Expected cost of the request.
     pub(crate) fn cost_ms(&self, server: &ServerView<'_>) -> f64 {
         let objective_ms = self.objective.as_secs_f64() * 1_000.0;
-        let prefill = self.speed.ms_for(f64::from(server.missed_tokens));
+        let prefill = self.speed.ms_for(f64::from(server.prefill_tokens));
         let recompute = self.speed.ms_for(f64::from(server.recomputed_tokens)) * RECOMPUTE_FACTOR;
         let queue =
             self.speed.ms_for(server.fleet_queued_tokens.max(server.load.queued_tokens as f64));
@@ -109,7 +109,7 @@
             server.health.failure_rate(self.now) - self.mean_failure_rate - BASELINE_FAILURE_RATE;
         let failures = excess.max(0.0) * FAILURE_RATE_FACTOR * objective_ms;
         let eviction = self.speed.ms_for(server.evicted_tokens) * EVICTION_FACTOR;
-        let transfer = server.move_ms + eviction;
+        let transfer = server.transfer_ms + eviction;
         let stream_gap = self.stream_gap_ms(queue + prefill, requests, objective_ms);
         let work =
             prefill + recompute + transfer + queue + in_flight + congestion + delay + stream_gap;
@@ -118,8 +118,8 @@
 
     /// Expected time to first output, if no later request overtakes this one.
     pub(crate) fn first_output_ms(&self, server: &ServerView<'_>) -> f64 {
-        let prefill = self.speed.ms_for(f64::from(server.missed_tokens));
-        self.wait_ms(server) + prefill + server.move_ms + server.cold_ms
+        let prefill = self.speed.ms_for(f64::from(server.prefill_tokens));
+        self.wait_ms(server) + prefill + server.transfer_ms + server.cold_ms
     }
 
     /// Expected time in the queue.
@@ -132,8 +132,8 @@
     /// Cost of stream gaps: in-flight streams get no tokens during a long prefill, and neither does
     /// the request's own stream if the queue ahead is long.
     fn stream_gap_ms(&self, prefill_ms: f64, requests: f64, objective_ms: f64) -> f64 {
-        let Some(max_pause) = self.max_pause else { return 0.0 };
-        let safe_ms = max_pause.as_secs_f64() * 1_000.0 * SAFE_PREFILL_SHARE;
+        let Some(max_gap) = self.max_gap else { return 0.0 };
+        let safe_ms = max_gap.as_secs_f64() * 1_000.0 * SAFE_PREFILL_SHARE;
         let is_too_long = prefill_ms > safe_ms;
         if is_too_long { requests * STREAM_GAP_FACTOR * objective_ms } else { 0.0 }
     }
--- a/crates/placement/src/homes.rs
+++ b/crates/placement/src/homes.rs
@@ -12,21 +12,21 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ChainKeys {
     /// Prefix keys, the longest prefix last. Equal for the same segments in the same order under
-    /// the same sharing key.
+    /// the same sharing_key key.
     pub keys: Vec<u64>,
     /// Tokens of each prefix.
     pub tokens: Vec<u32>,
 }
 
 impl ChainKeys {
-    /// Computes the keys of a prompt. `sharing` is the key of the callers that share cached
+    /// Computes the keys of a prompt. `sharing_key` is the key of the callers that share cached
     /// segments with each other.
-    pub fn of(prompt: &Prompt, sharing: u64) -> Self {
+    pub fn of(prompt: &Prompt, sharing_key: u64) -> Self {
         let mut chain = ChainKeys::default();
-        let (mut key, mut tokens) = (sharing, 0_u32);
-        for part in prompt.shared() {
-            key = rendezvous::score(key, part.id);
-            tokens = tokens.saturating_add(part.tokens);
+        let (mut key, mut tokens) = (sharing_key, 0_u32);
+        for segment in prompt.shared() {
+            key = rendezvous::score(key, segment.id);
+            tokens = tokens.saturating_add(segment.tokens);
             chain.keys.push(key);
             chain.tokens.push(tokens);
         }
@@ -39,7 +39,7 @@
     }
 
     /// Tokens of each segment.
-    pub fn part_tokens(&self) -> Vec<u32> {
+    pub fn segment_tokens(&self) -> Vec<u32> {
         let starts = std::iter::once(0).chain(self.tokens.iter().copied());
         self.tokens.iter().zip(starts).map(|(end, start)| end - start).collect()
     }
--- a/crates/placement/src/notices.rs
+++ b/crates/placement/src/notices.rs
@@ -1,4 +1,4 @@
-//! Backoffs and departures that servers request in their answers.
+//! Backoffs and departures that servers announce in their answers.
 
 use std::time::Duration;
 
@@ -12,21 +12,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExclusionReason {
     /// The server announced its departure.
-    Leaving,
+    Departing,
     /// The server requested a backoff from this router.
-    Resting,
+    BackingOff,
     /// The server requested a backoff from other routers; it is only used if no other server is
     /// available.
-    TurnsOthersAway,
+    BackingOffFromPeers,
 }
 
 impl ExclusionReason {
     /// Value in the `servers` log key.
     pub fn as_str(self) -> &'static str {
         match self {
-            ExclusionReason::Leaving => "leaving",
-            ExclusionReason::Resting => "resting",
-            ExclusionReason::TurnsOthersAway => "turns_others_away",
+            ExclusionReason::Departing => "leaving",
+            ExclusionReason::BackingOff => "resting",
+            ExclusionReason::BackingOffFromPeers => "turns_others_away",
         }
     }
 }
@@ -108,27 +108,31 @@
     }
 
     /// Number of servers that are backing off from this router.
-    pub fn resting_servers(&self, now: Timestamp) -> usize {
+    pub fn count_backing_off_servers(&self, now: Timestamp) -> usize {
         self.backoffs.count_active(now)
     }
 
     /// Servers of the service that are excluded from choices because of a notice, with the reason.
-    pub fn passed_over(&self, service: &str, now: Timestamp) -> Vec<(InstanceId, ExclusionReason)> {
+    pub fn excluded_servers(
+        &self,
+        service: &str,
+        now: Timestamp,
+    ) -> Vec<(InstanceId, ExclusionReason)> {
         let known = self.noticed.iter().filter_map(|name| self.servers.get(name));
         let known = known.filter(|server| server.instance.report.service == service);
-        let over = known.filter_map(|server| {
+        let excluded = known.filter_map(|server| {
             let id = &server.instance.id;
             let reason = if server.is_departing {
-                ExclusionReason::Leaving
+                ExclusionReason::Departing
             } else if self.active_backoff(server, now).is_some() {
-                ExclusionReason::Resting
+                ExclusionReason::BackingOff
             } else if self.is_backing_off_from_peers(server, now) {
-                ExclusionReason::TurnsOthersAway
+                ExclusionReason::BackingOffFromPeers
             } else {
                 return None;
             };
             Some((id.clone(), reason))
         });
-        over.collect()
+        excluded.collect()
     }
 }
--- a/crates/placement/src/placement.rs
+++ b/crates/placement/src/placement.rs
@@ -145,22 +145,22 @@
     }
 
     /// Records the dispatch of a request to the chosen server.
-    pub fn begin(&mut self, choice: &Choice, has_prompt: bool, now: Timestamp) -> Ticket {
+    pub fn begin_request(&mut self, choice: &Choice, has_prompt: bool, now: Timestamp) -> Ticket {
         let tokens_ahead = self.tokens_ahead(&choice.instance, now);
         self.last_request_number = self.last_request_number.wrapping_add(1);
         let request = ReportedRequest { router: LOCAL_ROUTER, number: self.last_request_number };
-        self.apply_dispatch(Some(request), &choice.sighting(), now);
+        self.apply_dispatch(Some(request), &choice.dispatch_record(), now);
         if has_prompt && let Some(server) = self.server(&choice.instance) {
             let service = server.instance.report.service.clone();
-            let tokens = choice.kept_tokens + choice.missed_tokens;
-            self.lanes.entry(service).or_default().record(tokens, choice.missed_tokens, now);
+            let tokens = choice.cached_tokens + choice.prefill_tokens;
+            self.lanes.entry(service).or_default().record(tokens, choice.prefill_tokens, now);
         }
         if let Some(server) = self.server_mut(&choice.instance) {
             server.load.add_request(choice.queued_tokens());
         }
         Ticket {
             instance: choice.instance.clone(),
-            missed_tokens: choice.queued_tokens(),
+            prefill_tokens: choice.queued_tokens(),
             // Late requests run after others, so their timing isn't a sample of the server's speed.
             is_measured: has_prompt && !choice.is_late,
             started_at: now,
@@ -179,47 +179,47 @@
 
     /// Records a dispatch report without a request number: the end of the request won't be
     /// reported.
-    pub fn sighted(&mut self, sighting: &DispatchRecord, now: Timestamp) {
-        self.apply_dispatch(None, sighting, now);
+    pub fn apply_untracked_dispatch(&mut self, dispatch: &DispatchRecord, now: Timestamp) {
+        self.apply_dispatch(None, dispatch, now);
     }
 
     /// Records another router's dispatch report; the end of the request will be reported too.
     pub fn apply_peer_dispatch(
         &mut self,
         request: ReportedRequest,
-        sighting: &DispatchRecord,
+        dispatch: &DispatchRecord,
         now: Timestamp,
     ) {
         if self.reported_requests.len() >= self.cleanup_threshold {
             self.reported_requests.retain(|_, (_, started_at)| !is_expired(*started_at, now));
             self.cleanup_threshold = (self.reported_requests.len() * 2).max(MIN_CLEANUP_THRESHOLD);
         }
-        self.reported_requests.insert(request, (sighting.instance.clone(), now));
-        self.apply_dispatch(Some(request), sighting, now);
+        self.reported_requests.insert(request, (dispatch.instance.clone(), now));
+        self.apply_dispatch(Some(request), dispatch, now);
     }
 
     fn apply_dispatch(
         &mut self,
         request: Option<ReportedRequest>,
-        sighting: &DispatchRecord,
+        dispatch: &DispatchRecord,
         now: Timestamp,
     ) {
-        let Some(server) = incarnation_mut(&mut self.servers, &sighting.instance) else { return };
-        server.turnover.record(sighting.tokens, now);
+        let Some(server) = incarnation_mut(&mut self.servers, &dispatch.instance) else { return };
+        server.turnover.record(dispatch.tokens, now);
         let service = &server.instance.report.service;
         let speed = self.speeds.get(service).copied().unwrap_or_default();
-        server.fleet_load.add_request(request, sighting.read_tokens, speed, now);
-        if sighting.keys.is_empty() && sighting.own_tokens == 0 {
+        server.fleet_load.add_request(request, dispatch.prefill_tokens, speed, now);
+        if dispatch.keys.is_empty() && dispatch.own_tokens == 0 {
             return;
         }
         let capacity = self.profiles.get(service).map_or(0, |profile| profile.cache_tokens);
         let prompt = DispatchedPrompt {
-            keys: &sighting.keys,
-            tokens: &sighting.part_tokens,
-            own_tokens: sighting.own_tokens,
+            keys: &dispatch.keys,
+            tokens: &dispatch.segment_tokens,
+            own_tokens: dispatch.own_tokens,
             computed_at: now.after(speed.time_for(server.fleet_load.queued_tokens(speed, now))),
         };
-        server.cached.record(sighting.version, prompt, capacity);
+        server.cached.record(dispatch.version, prompt, capacity);
     }
 
     /// Records the end of a request that another router has reported.
@@ -250,31 +250,31 @@
     }
 
     /// Records the first output of a request.
-    pub fn first_output(&mut self, ticket: &mut Ticket, now: Timestamp) {
+    pub fn record_first_output(&mut self, ticket: &mut Ticket, now: Timestamp) {
         if std::mem::replace(&mut ticket.had_output, true) {
             return;
         }
         let took = now.since(ticket.started_at);
         let Some(server) = incarnation_mut(&mut self.servers, &ticket.instance) else { return };
         server.unreachable_reports.clear();
-        server.load.first_output(ticket.missed_tokens);
+        server.load.first_output(ticket.prefill_tokens);
         if !ticket.is_measured {
             return;
         }
         let speed = self.speeds.entry(server.instance.report.service.clone()).or_default();
-        let expected_ms = speed.ms_for(f64::from(ticket.missed_tokens));
-        if ticket.tokens_ahead < f64::from(ticket.missed_tokens) * MAX_QUEUE_SHARE {
-            speed.record(ticket.missed_tokens, took);
+        let expected_ms = speed.ms_for(f64::from(ticket.prefill_tokens));
+        if ticket.tokens_ahead < f64::from(ticket.prefill_tokens) * MAX_QUEUE_SHARE {
+            speed.record(ticket.prefill_tokens, took);
         }
         let expected = Duration::from_secs_f64(expected_ms / 1_000.0);
         server.health.record_delay(took.saturating_sub(expected), now);
     }
 
     /// Records the end of a request.
-    pub fn end(&mut self, mut ticket: Ticket, outcome: Outcome, now: Timestamp) {
+    pub fn end_request(&mut self, mut ticket: Ticket, outcome: Outcome, now: Timestamp) {
         let Some(server) = self.server_mut(&ticket.instance) else { return };
         if !std::mem::replace(&mut ticket.had_output, true) {
-            server.load.first_output(ticket.missed_tokens);
+            server.load.first_output(ticket.prefill_tokens);
         }
         server.load.remove_request();
         server.fleet_load.remove_request(ticket.request);
@@ -292,7 +292,7 @@
     }
 
     /// Records a successful probe of the server.
-    pub fn reached(&mut self, instance: &InstanceId) {
+    pub fn record_probe_success(&mut self, instance: &InstanceId) {
         if let Some(server) = self.server_mut(instance) {
             server.health.mark_reachable();
             server.unreachable_reports.clear();
--- a/crates/placement/src/request.rs
+++ b/crates/placement/src/request.rs
@@ -7,7 +7,7 @@
 /// A prefix segment of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptSegment {
-    /// Hash of the content.
+    /// Identifier of the content.
     pub id: u64,
     /// Length in tokens.
     pub tokens: u32,
@@ -19,7 +19,7 @@
     /// Model name.
     pub model: String,
     /// Segments in prompt order.
-    pub parts: Vec<PromptSegment>,
+    pub segments: Vec<PromptSegment>,
     /// Tokens of the whole prompt.
     pub tokens: u32,
     /// Maximum number of generated tokens.
@@ -29,7 +29,7 @@
 impl Prompt {
     /// Segments that other requests may share: all but the last.
     pub fn shared(&self) -> &[PromptSegment] {
-        match self.parts.split_last() {
+        match self.segments.split_last() {
             Some((_own, shared)) => shared,
             None => &[],
         }
@@ -37,7 +37,7 @@
 
     /// Total tokens of the shared segments.
     pub fn shared_tokens(&self) -> u32 {
-        self.shared().iter().map(|part| part.tokens).sum()
+        self.shared().iter().map(|segment| segment.tokens).sum()
     }
 }
 
@@ -49,11 +49,11 @@
     /// The prompt, if the service runs a model.
     pub prompt: Option<&'a Prompt>,
     /// Key of the callers that share cached segments with each other.
-    pub sharing: u64,
+    pub sharing_key: u64,
     /// Servers that have already failed this request.
     pub excluded: &'a [InstanceId],
     /// Whether servers with an advertised limit are excluded.
-    pub spares_limited: bool,
+    pub excludes_limited: bool,
     /// Minimum version of the model weights.
     pub min_version: u64,
     /// Latency objective: an answer within this time has its full value.
@@ -66,5 +66,5 @@
     pub may_be_refused: bool,
     /// Longest gap between events of a stream that still counts as in time; `None` without a
     /// stream.
-    pub max_pause: Option<Duration>,
+    pub max_gap: Option<Duration>,
 }
--- a/crates/placement/src/retry_budget.rs
+++ b/crates/placement/src/retry_budget.rs
@@ -1,8 +1,8 @@
 //! Retry budget: bounds retries to a share of the requests of a service.
 //!
 //! The bound holds for all routers together without coordination: each router limits itself to a
-//! share of its own requests plus its part of the free retries. A margin covers temporary errors in
-//! the number of routers.
+//! share of its own requests plus its share of the free retries. A margin covers temporary errors
+//! in the number of routers.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -55,7 +55,7 @@
     }
 }
 
-/// This router's part of the retry budget, by service.
+/// This router's share of the retry budget, by service.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     settings: RetrySettings,
@@ -87,7 +87,7 @@
 
     /// Takes one retry from the budget. Returns whether `routers` routers together stay within the
     /// bound.
-    pub fn take(&mut self, service: &str, routers: u32, now: Timestamp) -> bool {
+    pub fn take_retry(&mut self, service: &str, routers: u32, now: Timestamp) -> bool {
         let number = self.bucket_number(now);
         let settings = self.settings;
         let counts = self.counts(service);
--- a/crates/placement/src/search.rs
+++ b/crates/placement/src/search.rs
@@ -22,7 +22,7 @@
 
 /// Profile of an unknown service.
 static DEFAULT_PROFILE: ServiceProfile =
-    ServiceProfile { move_ms: 0.0, cache_tokens: 0, stores: Vec::new() };
+    ServiceProfile { transfer_ms_per_token: 0.0, cache_tokens: 0, stores: Vec::new() };
 
 /// Maximum cost of a cold server, in milliseconds.
 const MAX_COLD_COST_MS: f64 = 400.0;
@@ -69,11 +69,11 @@
         let context = CostContext {
             speed: self.speeds.get(request.service).copied().unwrap_or_default(),
             objective: request.objective,
-            max_pause: request.max_pause,
+            max_gap: request.max_gap,
             mean_failure_rate: mean_failure_rate(servers, now),
             now,
         };
-        let chain = request.prompt.map(|prompt| ChainKeys::of(prompt, request.sharing));
+        let chain = request.prompt.map(|prompt| ChainKeys::of(prompt, request.sharing_key));
         let chain = chain.unwrap_or_default();
         let work_by_server = self.prompt_work(servers, request, &chain, now);
         let mut best: Option<(f64, u64, usize)> = None;
@@ -97,8 +97,10 @@
         let first_output_ms = context.first_output_ms(&view);
         let estimate = StartEstimate { first_output_ms, wait_ms: context.wait_ms(&view) };
         if request.prompt.is_some() && request.may_be_refused {
-            let least_waits_ms = || self.least_waits_ms(servers, &work_by_server, &context);
-            let overload = estimate.overload(request.rank, request.time_left, least_waits_ms);
+            let lower_quartile_wait_ms =
+                || self.lower_quartile_wait_ms(servers, &work_by_server, &context);
+            let overload =
+                estimate.overload(request.rank, request.time_left, lower_quartile_wait_ms);
             if let Some(overload) = overload {
                 return Err(ChoiceError::Overloaded(overload));
             }
@@ -109,7 +111,7 @@
 
     /// Lower quartile of the servers' queueing times. There is spare capacity while a quarter of
     /// the servers have short queues.
-    fn least_waits_ms(
+    fn lower_quartile_wait_ms(
         &self,
         servers: &[&Server],
         work_by_server: &[PromptWork],
@@ -147,13 +149,13 @@
             reason: work.reason,
             cost_ms,
             is_late: is_late && request.prompt.is_some(),
-            kept_tokens: tokens.saturating_sub(work.missed_tokens),
-            missed_tokens: work.missed_tokens,
+            cached_tokens: tokens.saturating_sub(work.prefill_tokens),
+            prefill_tokens: work.prefill_tokens,
             candidates: servers.len(),
             version,
             source: source.or(store).filter(|_| work.can_transfer),
             store: store.filter(|_| work.should_store(tokens, chain.all_tokens())),
-            part_tokens: chain.part_tokens(),
+            segment_tokens: chain.segment_tokens(),
             own_tokens: tokens.saturating_sub(chain.all_tokens()),
             keys: chain.keys,
             inserted_tokens: work.inserted_tokens,
@@ -182,9 +184,9 @@
             same_zone: report.zone == self.zone,
             silent: server.instance.silent,
             cold_ms: (report.cold_remaining_ms as f64).min(MAX_COLD_COST_MS),
-            missed_tokens: work.missed_tokens,
+            prefill_tokens: work.prefill_tokens,
             recomputed_tokens: work.recomputed_tokens,
-            move_ms: work.move_ms,
+            transfer_ms: work.transfer_ms,
             other_lane: work.other_lane,
             utilization: server.limit.as_ref().map_or(0.0, |limit| limit.used_part(context.now)),
             evicted_tokens: f64::from(work.inserted_tokens) * work.eviction_loss,
--- a/crates/placement/src/server_limits.rs
+++ b/crates/placement/src/server_limits.rs
@@ -19,9 +19,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LimitChange {
     /// The server advertises this rate for all routers together.
-    Stated(RequestRate),
+    Advertised(RequestRate),
     /// The server no longer advertises a limit.
-    Over,
+    Ended,
 }
 
 impl Placement {
@@ -40,7 +40,7 @@
                 true
             }
         };
-        is_new.then_some(LimitChange::Stated(rate))
+        is_new.then_some(LimitChange::Advertised(rate))
     }
 
     /// Records that an answer of the server, to a request sent at `sent_at`, advertises no limit.
@@ -52,32 +52,36 @@
         at: ObservedAt,
     ) -> Option<LimitChange> {
         let limit = self.server_mut(instance)?.limit.as_mut()?;
-        limit.observe_no_limit(sent_at, at.now, at.unix_ms).then_some(LimitChange::Over)
+        limit.heard_none(sent_at, at.now, at.unix_ms).then_some(LimitChange::Ended)
     }
 
     /// Records another router's report of the server's limit. Returns the change, if any.
     pub fn apply_peer_limit(
         &mut self,
         instance: &InstanceId,
-        told: PeerLimit,
+        report: PeerLimit,
         at: ObservedAt,
     ) -> Option<LimitChange> {
         let server = self.server_mut(instance)?;
         let is_new = match &mut server.limit {
-            Some(limit) => limit.apply_report(told, at.now, at.unix_ms),
-            None if told.has_ended => false,
+            Some(limit) => limit.told(report, at.now, at.unix_ms),
+            None if report.is_over => false,
             limit => {
-                *limit = Some(ServerLimit::from_report(told, at.now));
+                *limit = Some(ServerLimit::told_first(report, at.now));
                 true
             }
         };
         let change =
-            if told.has_ended { LimitChange::Over } else { LimitChange::Stated(told.rate) };
+            if report.is_over { LimitChange::Ended } else { LimitChange::Advertised(report.rate) };
         is_new.then_some(change)
     }
 
     /// Takes the limit to report to other routers, if a report is due.
-    pub fn limit_news(&mut self, instance: &InstanceId, now: Timestamp) -> Option<PeerLimit> {
+    pub fn take_due_limit_report(
+        &mut self,
+        instance: &InstanceId,
+        now: Timestamp,
+    ) -> Option<PeerLimit> {
         self.server_mut(instance)?.limit.as_mut()?.news(now)
     }
 
@@ -106,7 +110,7 @@
     }
 
     /// Number of servers with an advertised limit.
-    pub fn limited_servers(&self) -> usize {
+    pub fn count_limited_servers(&self) -> usize {
         self.servers.values().filter(|server| server.limit.is_some()).count()
     }
 }
--- a/crates/placement/tests/support/mod.rs
+++ b/crates/placement/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! Servers, prompts and requests for the tests of placement.
+//! Servers, prompts and requests for the placement tests.
 
-// Each test program uses some of them.
+// Each test program uses only some of the helpers.
 #![allow(dead_code)]
 
 use std::collections::HashMap;
@@ -47,16 +47,17 @@
     let mut placement = Placement::new("north");
     let instances: InstanceMap = (1..=count).map(|number| Arc::new(instance(number, 1))).collect();
     placement.set_instances(&instances);
-    let profile = ServiceProfile { move_ms: 0.005, cache_tokens: 160_000, stores: Vec::new() };
+    let profile =
+        ServiceProfile { transfer_ms_per_token: 0.005, cache_tokens: 160_000, stores: Vec::new() };
     placement.set_profiles(HashMap::from([(SERVICE.to_owned(), profile)]));
     placement
 }
 
 pub fn prompt(shared: u64, own: u64) -> Prompt {
-    let part = |id, tokens| PromptSegment { id, tokens };
+    let segment = |id, tokens| PromptSegment { id, tokens };
     Prompt {
         model: "m".to_owned(),
-        parts: vec![part(shared, 6_000), part(own, 1_000)],
+        segments: vec![segment(shared, 6_000), segment(own, 1_000)],
         tokens: 7_000,
         output_tokens: 50,
     }
@@ -66,15 +67,15 @@
     ServerRequest {
         service: SERVICE,
         prompt: Some(prompt),
-        sharing: 7,
+        sharing_key: 7,
         excluded,
-        spares_limited: false,
+        excludes_limited: false,
         rank: 1,
         may_be_refused: false,
         min_version: 0,
         objective: Duration::from_millis(800),
         time_left: Duration::from_millis(800),
-        max_pause: None,
+        max_gap: None,
     }
 }
 
@@ -82,10 +83,10 @@
     placement.choose(&request(prompt, &[]), at(millis), millis).expect("a server")
 }
 
-/// Sends a prompt and lets it end.
+/// Sends a prompt and ends the request.
 pub fn send(placement: &mut Placement, prompt: &Prompt, millis: u64) -> Choice {
     let choice = choose(placement, prompt, millis);
-    let ticket = placement.begin(&choice, true, at(millis));
-    placement.end(ticket, Outcome::Answered, at(millis + 200));
+    let ticket = placement.begin_request(&choice, true, at(millis));
+    placement.end_request(ticket, Outcome::Answered, at(millis + 200));
     choice
 }
