--- a/crates/feed/src/lib.rs
+++ b/crates/feed/src/lib.rs
@@ -8,18 +8,18 @@
 mod actor;
 mod charge;
 mod feed;
+mod follow;
 mod link;
 mod links;
 mod relay;
 mod replica_calls;
-mod selection;
 mod view;
 mod view_builder;
 
 pub use actor::{FeedSettings, RelayedBatch};
 pub use charge::ChargeError;
 pub use feed::Feed;
+pub use follow::{FOLLOWED_REPLICAS, FollowRequest, FollowScope, MAX_FULLY_FOLLOWED};
 pub use relay::select_relay;
-pub use selection::{FOLLOWED_REPLICAS, FollowRequest, FollowScope, MAX_FULLY_FOLLOWED};
 pub use view::{FleetView, WantedWeights};
 pub use view_builder::{FleetViewBuilder, MergeOutcome};
--- a/crates/feed/src/link.rs
+++ b/crates/feed/src/link.rs
@@ -19,7 +19,7 @@
 
 use crate::actor::{FeedActor, LinkEvent, ReplicaEvent};
 use crate::charge::{ChargeSender, PendingCharge, charge_result};
-use crate::selection::FollowScope;
+use crate::follow::FollowScope;
 
 /// Timeout for connecting, handshake included.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
--- a/crates/feed/src/links.rs
+++ b/crates/feed/src/links.rs
@@ -11,9 +11,9 @@
 use tokio::time::Instant;
 
 use crate::actor::FeedActor;
+use crate::follow::{FollowRequest, FollowScope, MAX_FULLY_FOLLOWED};
 use crate::link::{self, LinkCommand, LinkContext};
 use crate::relay::select_relay;
-use crate::selection::{FollowRequest, FollowScope, MAX_FULLY_FOLLOWED};
 
 /// Time for which an unreachable replica is followed only if no others are left.
 const UNREACHABLE_RETENTION: Duration = Duration::from_secs(5);
