--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -1,40 +1,41 @@
-//! Timing and sizes of the failure detector.
+//! Configuration of the failure detector.
 
 use std::time::Duration;
 
-/// Settings of one detector.
+/// Timing and message sizes of one detector.
 #[derive(Clone, Debug)]
 pub struct DetectorConfig {
-    /// Time between two probes of this node.
+    /// Interval between the probes of this node.
     pub probe_interval: Duration,
-    /// Time after which an unanswered probe is handed to other members.
+    /// Time after which an unacknowledged probe is followed by indirect probes.
     pub probe_timeout: Duration,
-    /// Members asked to probe in this node's place.
+    /// Number of members asked for an indirect probe.
     pub indirect_probes: usize,
-    /// Time that a suspected member has to refute.
+    /// Time within which a suspected member can refute the suspicion.
     pub suspicion_timeout: Duration,
-    /// Updates carried by one message.
+    /// Maximum number of updates in a message.
     pub updates_per_message: usize,
-    /// Updates carried by one message of a whole list; they fill a datagram.
+    /// Maximum number of updates in a message of the complete member list; sized to fit into a
+    /// datagram.
     pub updates_per_list_message: usize,
-    /// Acknowledgements in a row whose digest differs after which the whole list
-    /// is asked for. Gossip alone takes minutes when hundreds join together.
-    pub differing_until_list: u32,
-    /// Acknowledgements in a row whose digest agrees after which news that is
-    /// still waiting counts as known.
-    pub agreeing_until_quiet: u32,
-    /// Each update is sent this many times the logarithm of the group's size.
+    /// Number of consecutive acknowledgements with a differing digest after which the complete
+    /// member list is requested. Gossip alone takes minutes when hundreds of nodes join together.
+    pub differing_until_list_request: u32,
+    /// Number of consecutive acknowledgements with the same digest after which queued updates are
+    /// dropped as known to all.
+    pub agreeing_until_gossip_cleared: u32,
+    /// Factor on the logarithm of the group's size that gives how often each update is sent.
     pub retransmit_factor: u32,
-    /// One in this many probes goes with an attempt to reach members that are gone.
-    pub rejoin_every: u32,
-    /// Time for which a dead member is remembered, so that old news can't revive it.
+    /// Average number of probes between two attempts to contact a dead member or an absent seed.
+    pub rejoin_interval_probes: u32,
+    /// Time for which a dead member is kept in the table, so that outdated updates can't revive it.
     pub dead_retention: Duration,
 }
 
 impl Default for DetectorConfig {
-    /// A crash is noticed after about 1.5 probe intervals on average and taken
-    /// for certain after the suspicion timeout: some 4.5 s, well below the time
-    /// in which engines reload weights, and long enough for a pause of a second.
+    /// Detects a crash after about 1.5 probe intervals on average and declares the member dead
+    /// after the suspicion timeout: about 4.5 s in total, which is shorter than engines take to reload
+    /// weights and longer than a stall of one second.
     fn default() -> Self {
         DetectorConfig {
             probe_interval: Duration::from_secs(1),
@@ -43,10 +44,10 @@
             suspicion_timeout: Duration::from_secs(3),
             updates_per_message: 6,
             updates_per_list_message: 20,
-            differing_until_list: 3,
-            agreeing_until_quiet: 3,
+            differing_until_list_request: 3,
+            agreeing_until_gossip_cleared: 3,
             retransmit_factor: 3,
-            rejoin_every: 10,
+            rejoin_interval_probes: 10,
             dead_retention: Duration::from_secs(600),
         }
     }
--- a/crates/membership/src/detector.rs
+++ b/crates/membership/src/detector.rs
@@ -1,4 +1,4 @@
-//! The failure detector: a pure state machine over ticks and messages.
+//! Failure detector as a pure state machine over ticks and messages.
 
 use std::net::SocketAddr;
 
@@ -14,21 +14,21 @@
 use crate::message::{Message, Purpose};
 use crate::table::MemberTable;
 
-/// What the owner of a detector has to do.
+/// Actions for the owner of a detector.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Send `message` to `address`.
     Send {
-        /// Where to.
+        /// Address of the receiver.
         address: SocketAddr,
-        /// What.
+        /// Message to send.
         message: Message,
     },
-    /// A member's state changed, as this node sees it.
+    /// The state of a member changed in this node's view.
     Changed(Update),
 }
 
-/// A probe that has not been acknowledged.
+/// Probe without an acknowledgement.
 #[derive(Debug)]
 struct PendingProbe {
     target: NodeId,
@@ -37,7 +37,7 @@
     indirect_sent: bool,
 }
 
-/// A probe made for another member.
+/// Indirect probe on behalf of another member.
 #[derive(Debug)]
 struct RelayedProbe {
     sequence: u64,
@@ -46,7 +46,7 @@
     sent: Timestamp,
 }
 
-/// The failure detector of one node.
+/// Failure detector of one node.
 #[derive(Debug)]
 pub struct Detector {
     config: DetectorConfig,
@@ -55,18 +55,19 @@
     table: MemberTable,
     gossip: GossipQueue,
     random: ChaCha8Rng,
-    order: Vec<NodeId>,
+    probe_order: Vec<NodeId>,
     pending: Option<PendingProbe>,
     relayed: Vec<RelayedProbe>,
     next_probe: Timestamp,
     next_sequence: u64,
-    /// Acknowledgements in a row whose digest agreed, or differed.
-    agreeing: u32,
-    differing: u32,
+    /// Number of consecutive acknowledgements whose digest agreed.
+    agreeing_digests: u32,
+    /// Number of consecutive acknowledgements whose digest differed.
+    differing_digests: u32,
 }
 
 impl Detector {
-    /// A detector for `own` that joins through `seeds`.
+    /// Creates a detector for the member `own`, which joins through `seeds`.
     pub fn new(config: DetectorConfig, own: Member, seeds: Vec<SocketAddr>, seed: u64) -> Self {
         Detector {
             config,
@@ -75,42 +76,42 @@
             table: MemberTable::default(),
             gossip: GossipQueue::default(),
             random: ChaCha8Rng::seed_from_u64(seed),
-            order: Vec::new(),
+            probe_order: Vec::new(),
             pending: None,
             relayed: Vec::new(),
             next_probe: Timestamp::ZERO,
             next_sequence: 0,
-            agreeing: 0,
-            differing: 0,
+            agreeing_digests: 0,
+            differing_digests: 0,
         }
     }
 
-    /// Everything known of the other members.
+    /// Table of the other members.
     pub fn table(&self) -> &MemberTable {
         &self.table
     }
 
-    /// This node as it presents itself.
+    /// State that this node announces of itself.
     pub fn own(&self) -> &Update {
         &self.own
     }
 
-    /// Lets time pass. Meant to be called several times within a probe timeout.
+    /// Advances the time. Has to be called several times within a probe timeout.
     pub fn tick(&mut self, now: Timestamp) -> Vec<Action> {
         let mut actions = Vec::new();
         self.relayed.retain(|probe| now.since(probe.sent) < self.config.probe_interval);
-        self.end_suspicions(now, &mut actions);
+        self.expire_suspicions(now, &mut actions);
         self.probe_indirectly(now, &mut actions);
         if now >= self.next_probe {
-            self.fail_pending(now, &mut actions);
-            self.table.forget_gone(now, self.config.dead_retention);
+            self.suspect_pending_target(now, &mut actions);
+            self.table.remove_expired(now, self.config.dead_retention);
             self.start_probe(now, &mut actions);
             self.next_probe = now.after(self.jittered_interval());
         }
         actions
     }
 
-    /// Takes in a message.
+    /// Processes a received message.
     pub fn receive(&mut self, message: Message, now: Timestamp) -> Vec<Action> {
         let mut actions = Vec::new();
         let sender = message.sender.member.clone();
@@ -122,27 +123,27 @@
         for update in message.updates {
             self.merge(update, now, &mut actions);
         }
-        self.tell_if_doubted(&sender, &mut actions);
+        self.notify_if_doubted(&sender, &mut actions);
         match message.purpose {
             Purpose::Probe { sequence } => {
                 let purpose = Purpose::Acknowledge { sequence };
-                actions.push(self.send(sender.address, purpose));
+                actions.push(self.send_action(sender.address, purpose));
             }
             Purpose::Acknowledge { sequence } => {
-                if self.acknowledged(sequence, &mut actions) {
-                    self.compare(digest, sender.address, &mut actions);
+                if self.handle_acknowledgement(sequence, &mut actions) {
+                    self.compare_digest(digest, sender.address, &mut actions);
                 }
             }
             Purpose::IndirectProbe { sequence, target } => {
                 self.relay_probe(sender.address, sequence, target, now, &mut actions);
             }
-            Purpose::Join => actions.extend(self.member_list(sender.address)),
-            Purpose::News => {}
+            Purpose::Join => actions.extend(self.member_list_messages(sender.address)),
+            Purpose::Updates => {}
         }
         actions
     }
 
-    /// Announces that this node leaves; its messages go to a few members.
+    /// Announces to a few members that this node leaves the group.
     pub fn leave(&mut self) -> Vec<Action> {
         self.own.version += 1;
         self.own.liveness = Liveness::Left;
@@ -150,10 +151,10 @@
             self.table.present().map(|known| known.update.member.address).collect();
         let fanout = self.config.updates_per_message;
         let chosen = addresses.into_iter().sample(&mut self.random, fanout);
-        chosen.into_iter().map(|address| self.send(address, Purpose::News)).collect()
+        chosen.into_iter().map(|address| self.send_action(address, Purpose::Updates)).collect()
     }
 
-    /// Jitter keeps nodes that started together from probing in step.
+    /// Probe interval with jitter, so that nodes that started together don't probe in step.
     fn jittered_interval(&mut self) -> std::time::Duration {
         let factor = self.random.random_range(0.9..1.1);
         self.config.probe_interval.mul_f64(factor)
@@ -164,13 +165,13 @@
         self.config.retransmit_factor * (u32::BITS - size.leading_zeros())
     }
 
-    fn send(&mut self, address: SocketAddr, purpose: Purpose) -> Action {
+    fn send_action(&mut self, address: SocketAddr, purpose: Purpose) -> Action {
         let limit = self.retransmit_limit();
-        let updates = self.gossip.take(self.config.updates_per_message, limit);
-        Action::Send { address, message: self.message(purpose, updates) }
+        let updates = self.gossip.take_updates(self.config.updates_per_message, limit);
+        Action::Send { address, message: self.build_message(purpose, updates) }
     }
 
-    fn message(&self, purpose: Purpose, updates: Vec<Update>) -> Message {
+    fn build_message(&self, purpose: Purpose, updates: Vec<Update>) -> Message {
         Message { sender: self.own.clone(), purpose, updates, digest: self.digest() }
     }
 
@@ -179,22 +180,22 @@
         digest(others.chain([&self.own]))
     }
 
-    /// Gossip spreads a few changes quickly. When many come together, comparing
-    /// digests finds out who lacks some, and whole lists make it good.
-    fn compare(&mut self, theirs: u64, address: SocketAddr, actions: &mut Vec<Action>) {
-        if theirs == self.digest() {
-            self.differing = 0;
-            self.agreeing += 1;
-            if self.agreeing >= self.config.agreeing_until_quiet {
+    /// Compares a received digest with the own one. Repeated differences mean that gossip is too
+    /// slow to spread many changes at once; the complete list is then requested.
+    fn compare_digest(&mut self, received: u64, address: SocketAddr, actions: &mut Vec<Action>) {
+        if received == self.digest() {
+            self.differing_digests = 0;
+            self.agreeing_digests += 1;
+            if self.agreeing_digests >= self.config.agreeing_until_gossip_cleared {
                 self.gossip.clear();
             }
             return;
         }
-        self.agreeing = 0;
-        self.differing += 1;
-        if self.differing >= self.config.differing_until_list {
-            self.differing = 0;
-            actions.push(self.send(address, Purpose::Join));
+        self.agreeing_digests = 0;
+        self.differing_digests += 1;
+        if self.differing_digests >= self.config.differing_until_list_request {
+            self.differing_digests = 0;
+            actions.push(self.send_action(address, Purpose::Join));
         }
     }
 
@@ -210,43 +211,43 @@
         actions.push(Action::Changed(update));
     }
 
-    /// Overrides what others say of this node, an earlier life of it included.
-    fn refute(&mut self, said: &Update) {
+    /// Overrides outdated reports about this node, including those about an earlier incarnation.
+    fn refute(&mut self, reported: &Update) {
         if self.own.liveness == Liveness::Left {
             return;
         }
-        let differs = said.liveness != Liveness::Alive || said.member != self.own.member;
-        if differs && said.version >= self.own.version {
-            self.own.version = said.version + 1;
+        let differs = reported.liveness != Liveness::Alive || reported.member != self.own.member;
+        if differs && reported.version >= self.own.version {
+            self.own.version = reported.version + 1;
             self.gossip.push(self.own.clone());
         }
     }
 
-    /// A sender that others take for suspect, dead or an earlier life is told,
-    /// so that it can refute.
-    fn tell_if_doubted(&mut self, sender: &Member, actions: &mut Vec<Action>) {
+    /// Notifies a sender that is known as suspected, dead or of another incarnation, so that it can
+    /// refute this.
+    fn notify_if_doubted(&mut self, sender: &Member, actions: &mut Vec<Action>) {
         let Some(known) = self.table.get(sender.node) else { return };
         let update = known.update.clone();
         if update.liveness == Liveness::Alive && update.member == *sender {
             return;
         }
-        let message = self.message(Purpose::News, vec![update]);
+        let message = self.build_message(Purpose::Updates, vec![update]);
         actions.push(Action::Send { address: sender.address, message });
     }
 
-    /// Whether the acknowledgement answers this node's own probe.
-    fn acknowledged(&mut self, sequence: u64, actions: &mut Vec<Action>) -> bool {
-        let own = self.pending.as_ref().is_some_and(|probe| probe.sequence == sequence);
-        if own {
+    /// Processes an acknowledgement; returns whether it answers this node's own probe.
+    fn handle_acknowledgement(&mut self, sequence: u64, actions: &mut Vec<Action>) -> bool {
+        let is_own = self.pending.as_ref().is_some_and(|probe| probe.sequence == sequence);
+        if is_own {
             self.pending = None;
         }
-        let found = self.relayed.iter().position(|probe| probe.sequence == sequence);
-        if let Some(at) = found {
-            let probe = self.relayed.swap_remove(at);
+        let index = self.relayed.iter().position(|probe| probe.sequence == sequence);
+        if let Some(index) = index {
+            let probe = self.relayed.swap_remove(index);
             let purpose = Purpose::Acknowledge { sequence: probe.requester_sequence };
-            actions.push(self.send(probe.requester, purpose));
+            actions.push(self.send_action(probe.requester, purpose));
         }
-        own
+        is_own
     }
 
     fn relay_probe(
@@ -262,20 +263,20 @@
         self.next_sequence += 1;
         let sequence = self.next_sequence;
         self.relayed.push(RelayedProbe { sequence, requester, requester_sequence, sent: now });
-        actions.push(self.send(address, Purpose::Probe { sequence }));
+        actions.push(self.send_action(address, Purpose::Probe { sequence }));
     }
 
-    /// The whole list of members, in messages of a bounded size.
-    fn member_list(&mut self, address: SocketAddr) -> Vec<Action> {
+    /// Messages with the complete member list.
+    fn member_list_messages(&mut self, address: SocketAddr) -> Vec<Action> {
         let updates: Vec<Update> = self.table.iter().map(|known| known.update.clone()).collect();
-        let message = |updates: &[Update]| self.message(Purpose::News, updates.to_vec());
+        let message = |updates: &[Update]| self.build_message(Purpose::Updates, updates.to_vec());
         updates
             .chunks(self.config.updates_per_list_message)
             .map(|chunk| Action::Send { address, message: message(chunk) })
             .collect()
     }
 
-    fn end_suspicions(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
+    fn expire_suspicions(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         for suspect in self.table.overdue_suspects(now, self.config.suspicion_timeout) {
             self.merge(Update { liveness: Liveness::Dead, ..suspect }, now, actions);
         }
@@ -297,11 +298,11 @@
         let count = self.config.indirect_probes;
         for address in addresses.into_iter().sample(&mut self.random, count) {
             let purpose = Purpose::IndirectProbe { sequence, target };
-            actions.push(self.send(address, purpose));
+            actions.push(self.send_action(address, purpose));
         }
     }
 
-    fn fail_pending(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
+    fn suspect_pending_target(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         let Some(probe) = self.pending.take() else { return };
         let Some(known) = self.table.get(probe.target) else { return };
         if known.update.liveness == Liveness::Alive {
@@ -312,9 +313,9 @@
 
     fn start_probe(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         let Some((target, address)) = self.next_target() else {
-            // Alone: keep trying to join.
+            // No other member is known: try to join again.
             for seed in self.seeds.clone() {
-                actions.push(self.send(seed, Purpose::Join));
+                actions.push(self.send_action(seed, Purpose::Join));
             }
             return;
         };
@@ -322,41 +323,41 @@
         self.next_sequence += 1;
         let sequence = self.next_sequence;
         self.pending = Some(PendingProbe { target, sequence, sent: now, indirect_sent: false });
-        actions.push(self.send(address, Purpose::Probe { sequence }));
+        actions.push(self.send_action(address, Purpose::Probe { sequence }));
     }
 
-    /// Now and then asks a seed or a gone member for its list. Two parts of a
-    /// group that were cut off from each other hold each other for dead, and
-    /// forget each other in time; this is how they meet again.
+    /// Occasionally requests the member list from a dead member or an absent seed. After a
+    /// partition both sides have declared each other dead and removed each other; without this they
+    /// would never merge again.
     fn try_rejoin(&mut self, actions: &mut Vec<Action>) {
-        if !self.random.random_ratio(1, self.config.rejoin_every) {
+        if !self.random.random_ratio(1, self.config.rejoin_interval_probes) {
             return;
         }
-        let gone = self.table.iter().filter(|known| known.update.liveness == Liveness::Dead);
-        let gone = gone.map(|known| known.update.member.address);
+        let dead = self.table.iter().filter(|known| known.update.liveness == Liveness::Dead);
+        let dead = dead.map(|known| known.update.member.address);
         let present: Vec<SocketAddr> =
             self.table.present().map(|known| known.update.member.address).collect();
         let absent_seeds = self.seeds.iter().copied().filter(|seed| !present.contains(seed));
         let own = self.own.member.address;
-        let candidates = gone.chain(absent_seeds).filter(|address| *address != own);
+        let candidates = dead.chain(absent_seeds).filter(|address| *address != own);
         if let Some(address) = candidates.choose(&mut self.random) {
-            actions.push(self.send(address, Purpose::Join));
+            actions.push(self.send_action(address, Purpose::Join));
         }
     }
 
-    /// Members in a random order, each once before any comes again, so that a
-    /// crash is noticed within a bounded number of periods.
+    /// Next member to probe, in a random order in which each member comes once before any comes
+    /// again, so that a crash is detected within a bounded number of periods.
     fn next_target(&mut self) -> Option<(NodeId, SocketAddr)> {
         for _ in 0..2 {
-            while let Some(node) = self.order.pop() {
+            while let Some(node) = self.probe_order.pop() {
                 let known = self.table.get(node).map(|known| &known.update);
-                let up = known.filter(|update| update.liveness <= Liveness::Suspect);
-                if let Some(update) = up {
+                let present = known.filter(|update| update.liveness <= Liveness::Suspect);
+                if let Some(update) = present {
                     return Some((node, update.member.address));
                 }
             }
-            self.order = self.table.present().map(|known| known.update.member.node).collect();
-            self.order.shuffle(&mut self.random);
+            self.probe_order = self.table.present().map(|known| known.update.member.node).collect();
+            self.probe_order.shuffle(&mut self.random);
         }
         None
     }
--- a/crates/membership/src/gossip.rs
+++ b/crates/membership/src/gossip.rs
@@ -1,4 +1,4 @@
-//! News waiting to be passed on, least often sent first.
+//! Queue of updates to be gossiped, least often sent first.
 
 use std::collections::BTreeMap;
 
@@ -7,43 +7,43 @@
 use crate::member::Update;
 
 #[derive(Debug)]
-struct Waiting {
+struct QueuedUpdate {
     update: Update,
-    sent: u32,
+    sent_count: u32,
 }
 
-/// Updates that still have to be passed on; at most one for each member.
+/// Updates to be gossiped, at most one for each member.
 #[derive(Debug, Default)]
 pub struct GossipQueue {
-    waiting: BTreeMap<NodeId, Waiting>,
+    queued: BTreeMap<NodeId, QueuedUpdate>,
 }
 
 impl GossipQueue {
-    /// Queues `update` in place of older news of the same member.
+    /// Queues `update`, replacing an older one of the same member.
     pub fn push(&mut self, update: Update) {
-        self.waiting.insert(update.member.node, Waiting { update, sent: 0 });
+        self.queued.insert(update.member.node, QueuedUpdate { update, sent_count: 0 });
     }
 
-    /// Takes up to `count` updates for one message and drops those that have
-    /// then been sent `limit` times.
-    pub fn take(&mut self, count: usize, limit: u32) -> Vec<Update> {
+    /// Returns up to `count` updates for one message, and drops those that have then been sent
+    /// `limit` times.
+    pub fn take_updates(&mut self, count: usize, limit: u32) -> Vec<Update> {
         let mut order: Vec<(u32, NodeId)> =
-            self.waiting.iter().map(|(node, waiting)| (waiting.sent, *node)).collect();
+            self.queued.iter().map(|(node, queued)| (queued.sent_count, *node)).collect();
         order.sort_unstable();
         let mut updates = Vec::with_capacity(count.min(order.len()));
         for (_, node) in order.into_iter().take(count) {
-            let Some(waiting) = self.waiting.get_mut(&node) else { continue };
-            updates.push(waiting.update.clone());
-            waiting.sent += 1;
-            if waiting.sent >= limit {
-                self.waiting.remove(&node);
+            let Some(queued) = self.queued.get_mut(&node) else { continue };
+            updates.push(queued.update.clone());
+            queued.sent_count += 1;
+            if queued.sent_count >= limit {
+                self.queued.remove(&node);
             }
         }
         updates
     }
 
-    /// Drops everything: others know it already.
+    /// Drops all queued updates.
     pub fn clear(&mut self) {
-        self.waiting.clear();
+        self.queued.clear();
     }
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,10 +1,9 @@
-//! Failure detection and peer views from heartbeats.
+//! Group membership and failure detection.
 //!
-//! The protocol is SWIM (Das, Gupta, Motivala, 2002): every node probes one
-//! peer each period, asks others to probe it in its place when it doesn't
-//! answer, suspects it before it counts as dead, and lets it refute the
-//! suspicion. News travels on the probes themselves. The cost for one node is
-//! therefore the same at 3 members and at 340.
+//! The protocol is SWIM (Das, Gupta, Motivala, 2002): each period, every node probes one peer. If
+//! the peer doesn't answer, the node asks other members to probe it, then suspects it, and declares
+//! it dead unless it refutes the suspicion in time. Updates are piggybacked on the probes. The cost
+//! per node is therefore independent of the size of the group.
 //!
 //! [`Detector`] is a pure state machine: messages and ticks in, actions out.
 
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -1,11 +1,11 @@
-//! What is known of one member, and which of two reports is the newer one.
+//! Members and updates of their state.
 
 use std::net::SocketAddr;
 
 use juniper_types::{Incarnation, NodeId, ZoneName};
 use minicbor::{Decode, Encode};
 
-/// What a member does.
+/// Role of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum MemberRole {
     /// Control replica.
@@ -16,63 +16,63 @@
     Router,
 }
 
-/// Whether a member is up. The order is that in which a later state overrides
-/// an earlier one of the same incarnation.
+/// State of a member. The order is that in which a later state overrides an earlier one of the same
+/// version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub enum Liveness {
-    /// Answers probes.
+    /// The member answers probes.
     #[n(0)]
     Alive,
-    /// Did not answer; may still refute.
+    /// The member did not answer and may still refute the suspicion.
     #[n(1)]
     Suspect,
-    /// Did not refute in time.
+    /// The member did not refute the suspicion in time.
     #[n(2)]
     Dead,
-    /// Said itself that it leaves.
+    /// The member announced that it leaves the group.
     #[n(3)]
     Left,
 }
 
-/// A member of the group.
+/// Member of the group.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 #[cbor(map)]
 pub struct Member {
-    /// Its node number.
+    /// Node id.
     #[n(0)]
     pub node: NodeId,
-    /// Its zone.
+    /// Zone of the member.
     #[n(1)]
     pub zone: ZoneName,
-    /// Its role.
+    /// Role of the member.
     #[n(2)]
     pub role: MemberRole,
-    /// Where its messages go.
+    /// Address for messages.
     #[cbor(n(3), with = "crate::message::address")]
     pub address: SocketAddr,
-    /// Drawn at each start of the process.
+    /// Incarnation, drawn at random at each start of the process.
     #[n(4)]
     pub life: Incarnation,
 }
 
-/// News of one member.
+/// State of one member, as spread by gossip.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 #[cbor(map)]
 pub struct Update {
-    /// Who.
+    /// The member.
     #[n(0)]
     pub member: Member,
-    /// Raised by the member alone, to refute what others say of it.
+    /// Version of the state, incremented only by the member itself to refute what others report.
     #[n(1)]
     pub version: u64,
-    /// Its state.
+    /// State of the member.
     #[n(2)]
     pub liveness: Liveness,
 }
 
 impl Update {
-    /// Whether this news overrides `known`: a higher version always does; of
-    /// the same version, the worse state does.
+    /// Whether this update overrides `known`: a higher version does, and the worse state of the
+    /// same version.
     pub fn overrides(&self, known: &Update) -> bool {
         (self.version, self.liveness) > (known.version, known.liveness)
     }
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -1,64 +1,64 @@
-//! Messages between members. They are small enough for one datagram.
+//! Messages between members; each fits into one datagram.
 
 use juniper_types::NodeId;
 use minicbor::{Decode, Encode};
 
 use crate::member::Update;
 
-/// What a message is for.
+/// Purpose of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum Purpose {
-    /// Asks the receiver to acknowledge.
+    /// Asks the receiver for an acknowledgement.
     #[n(0)]
     Probe {
-        /// Number of the probe, chosen by the sender.
+        /// Sequence number of the probe, chosen by the sender.
         #[n(0)]
         sequence: u64,
     },
     /// Acknowledges a probe.
     #[n(1)]
     Acknowledge {
-        /// Number of the probe.
+        /// Sequence number of the acknowledged probe.
         #[n(0)]
         sequence: u64,
     },
-    /// Asks the receiver to probe `target` and to pass its acknowledgement on.
+    /// Asks the receiver to probe `target` and to relay the acknowledgement.
     #[n(2)]
     IndirectProbe {
-        /// Number of the probe that was not answered.
+        /// Sequence number of the unacknowledged probe.
         #[n(0)]
         sequence: u64,
-        /// Who did not answer.
+        /// Member to be probed.
         #[n(1)]
         target: NodeId,
     },
-    /// Asks for a list of members; sent by a node that joins.
+    /// Asks for the complete member list.
     #[n(3)]
     Join,
     /// Carries updates only.
     #[n(4)]
-    News,
+    Updates,
 }
 
-/// A message with the news that it carries.
+/// Message with piggybacked updates.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 #[cbor(map)]
 pub struct Message {
-    /// What the sender says of itself.
+    /// State of the sender.
     #[n(0)]
     pub sender: Update,
-    /// What the message is for.
+    /// Purpose of the message.
     #[n(1)]
     pub purpose: Purpose,
-    /// News of other members.
+    /// Updates of other members.
     #[n(2)]
     pub updates: Vec<Update>,
-    /// Digest of the members that the sender holds for present, itself included.
+    /// Digest of the members that the sender knows as present, itself included.
     #[n(3)]
     pub digest: u64,
 }
 
-/// CBOR form of socket addresses: six or eighteen bytes.
+/// CBOR encoding of socket addresses as 6 or 18 bytes.
 pub mod address {
     use std::net::{IpAddr, SocketAddr};
 
@@ -66,7 +66,7 @@
     use minicbor::encode::{Error as EncodeError, Write};
     use minicbor::{Decoder, Encoder};
 
-    /// Writes an address.
+    /// Encodes an address and its port.
     pub fn encode<C, W: Write>(
         address: &SocketAddr,
         encoder: &mut Encoder<W>,
@@ -81,13 +81,13 @@
         Ok(())
     }
 
-    /// Reads an address.
+    /// Decodes an address and its port.
     pub fn decode<C>(
         decoder: &mut Decoder<'_>,
         _context: &mut C,
     ) -> Result<SocketAddr, DecodeError> {
         let bytes = decoder.bytes()?;
-        let malformed = || DecodeError::message("an address has 6 or 18 bytes");
+        let malformed = || DecodeError::message("socket address must have 6 or 18 bytes");
         let (ip, port) = bytes.split_last_chunk::<2>().ok_or_else(malformed)?;
         let ip = match (<[u8; 4]>::try_from(ip), <[u8; 16]>::try_from(ip)) {
             (Ok(octets), _) => IpAddr::from(octets),
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -1,4 +1,4 @@
-//! Everything known of the other members.
+//! Table of the other members.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,50 +7,50 @@
 
 use crate::member::{Liveness, Update};
 
-/// A member and since when it has been in its state.
+/// Latest update of a member and the time of its state.
 #[derive(Clone, Debug)]
-pub struct Known {
-    /// The latest news.
+pub struct KnownMember {
+    /// Latest update.
     pub update: Update,
-    /// When the state was entered, as seen here.
+    /// Time at which this node learned of the state.
     pub since: Timestamp,
 }
 
-/// Members by node number.
+/// Other members by node id.
 #[derive(Debug, Default)]
 pub struct MemberTable {
-    members: BTreeMap<NodeId, Known>,
+    members: BTreeMap<NodeId, KnownMember>,
 }
 
 impl MemberTable {
-    /// Takes in `update`; true if it is news.
+    /// Applies `update`; returns whether it overrides what is known.
     pub fn merge(&mut self, update: Update, now: Timestamp) -> bool {
         let node = update.member.node;
         match self.members.get(&node) {
             Some(known) if !update.overrides(&known.update) => false,
             _ => {
-                self.members.insert(node, Known { update, since: now });
+                self.members.insert(node, KnownMember { update, since: now });
                 true
             }
         }
     }
 
-    /// What is known of `node`.
-    pub fn get(&self, node: NodeId) -> Option<&Known> {
+    /// Latest state of `node`.
+    pub fn get(&self, node: NodeId) -> Option<&KnownMember> {
         self.members.get(&node)
     }
 
-    /// Everything that is known.
-    pub fn iter(&self) -> impl Iterator<Item = &Known> {
+    /// All known members.
+    pub fn iter(&self) -> impl Iterator<Item = &KnownMember> {
         self.members.values()
     }
 
-    /// Members that may be up: alive or suspected.
-    pub fn present(&self) -> impl Iterator<Item = &Known> {
+    /// Members that may be up: alive or suspected ones.
+    pub fn present(&self) -> impl Iterator<Item = &KnownMember> {
         self.iter().filter(|known| known.update.liveness <= Liveness::Suspect)
     }
 
-    /// Suspected members whose time to refute has run out.
+    /// Suspected members whose suspicion timeout has passed.
     pub fn overdue_suspects(&self, now: Timestamp, timeout: Duration) -> Vec<Update> {
         self.iter()
             .filter(|known| known.update.liveness == Liveness::Suspect)
@@ -59,8 +59,8 @@
             .collect()
     }
 
-    /// Forgets members that have been gone for longer than `retention`.
-    pub fn forget_gone(&mut self, now: Timestamp, retention: Duration) {
+    /// Removes members that have been dead, or have left, for at least `retention`.
+    pub fn remove_expired(&mut self, now: Timestamp, retention: Duration) {
         self.members.retain(|_, known| {
             known.update.liveness <= Liveness::Suspect || now.since(known.since) < retention
         });
--- a/crates/membership/tests/hostile.rs
+++ b/crates/membership/tests/hostile.rs
@@ -1,4 +1,4 @@
-//! Datagrams that nobody should send.
+//! Decoding of arbitrary datagrams.
 
 use juniper_membership::Message;
 use quickcheck::{Gen, QuickCheck};
@@ -8,12 +8,12 @@
 const SEED: u64 = 0x3e3b;
 
 #[test]
-fn random_payloads_never_panic_and_read_back_the_same() {
+fn random_payloads_never_panic_and_decode_to_the_same_message_again() {
     fn property(bytes: Vec<u8>) -> bool {
         match minicbor::decode::<Message>(&bytes) {
             Ok(message) => {
-                let again = minicbor::to_vec(&message).expect("plain data");
-                minicbor::decode::<Message>(&again).is_ok_and(|read| read == message)
+                let encoded = minicbor::to_vec(&message).expect("plain data");
+                minicbor::decode::<Message>(&encoded).is_ok_and(|decoded| decoded == message)
             }
             Err(_) => true,
         }
