--- a/crates/crash-watch/src/lib.rs
+++ b/crates/crash-watch/src/lib.rs
@@ -1,8 +1,8 @@
-//! What a router does about requests that end the servers that run them.
+//! Detection and quarantine of requests that crash the servers executing them.
 //!
-//! The rules are in `juniper-quarantine`. A [`CrashWatch`] feeds them with what this router sees
-//! and what the others tell, tells the others in turn, and has quarantines recorded by the control
-//! replicas. Both routers of the product use it.
+//! The rules are in `juniper-quarantine`. A [`CrashWatch`] applies them to crashes that this router
+//! observes and that other routers report, publishes its own observations, and has quarantines
+//! recorded by the control replicas. Both routers of the product use this crate.
 
 mod metrics;
 mod outbox;
--- a/crates/crash-watch/src/metrics.rs
+++ b/crates/crash-watch/src/metrics.rs
@@ -1,38 +1,38 @@
-//! Counters of ends of servers and of quarantines.
+//! Metrics of server crashes and quarantines.
 
 use juniper_quarantine::CrashProof;
 use prometheus::{IntCounter, IntCounterVec, IntGauge, Opts, Registry};
 
-/// The counters of one router.
+/// Metrics of one router.
 #[derive(Clone)]
 pub struct CrashMetrics {
-    /// Servers that ended under requests, by what showed it.
-    servers_ended: IntCounterVec,
-    /// Requests that were under way on them.
-    requests_ended: IntCounter,
-    /// Requests that came into quarantine by this router's count.
+    /// Servers that crashed under requests of this router, by proof of the crash.
+    server_crashes: IntCounterVec,
+    /// Requests in flight on servers that crashed.
+    interrupted_requests: IntCounter,
+    /// Requests that this router quarantined by its own count.
     pub(crate) quarantined: IntCounter,
-    /// Requests in quarantine that the replicas have recorded.
+    /// Quarantined requests that the replicas have recorded.
     pub(crate) recorded: IntGauge,
-    /// Requests under which servers ended and that aren't forgotten.
+    /// Requests under which servers crashed recently.
     pub(crate) suspects: IntGauge,
 }
 
 impl CrashMetrics {
-    /// Registers the counters under names that begin with `prefix`.
+    /// Registers the metrics under names that begin with `prefix`.
     ///
     /// # Errors
-    /// Fails when one of the names is taken.
+    /// Fails when one of the names is already registered.
     pub fn new(prefix: &str, registry: &Registry) -> Result<Self, prometheus::Error> {
         let options = |name: &str, help: &str| Opts::new(format!("{prefix}_{name}"), help);
-        let servers_ended = IntCounterVec::new(
+        let server_crashes = IntCounterVec::new(
             options(
                 "servers_ended_total",
                 "Servers that ended under requests of this router, by what showed it.",
             ),
             &["proof"],
         )?;
-        let requests_ended = IntCounter::with_opts(options(
+        let interrupted_requests = IntCounter::with_opts(options(
             "requests_ended_with_server_total",
             "Requests that were under way on a server when it ended.",
         ))?;
@@ -48,16 +48,16 @@
             "suspects",
             "Requests under which servers ended of late.",
         ))?;
-        registry.register(Box::new(servers_ended.clone()))?;
-        registry.register(Box::new(requests_ended.clone()))?;
+        registry.register(Box::new(server_crashes.clone()))?;
+        registry.register(Box::new(interrupted_requests.clone()))?;
         registry.register(Box::new(quarantined.clone()))?;
         registry.register(Box::new(recorded.clone()))?;
         registry.register(Box::new(suspects.clone()))?;
-        Ok(CrashMetrics { servers_ended, requests_ended, quarantined, recorded, suspects })
+        Ok(CrashMetrics { server_crashes, interrupted_requests, quarantined, recorded, suspects })
     }
 
-    pub(crate) fn server_ended(&self, proof: CrashProof, requests: usize) {
-        self.servers_ended.with_label_values(&[proof.as_str()]).inc();
-        self.requests_ended.inc_by(requests as u64);
+    pub(crate) fn record_crash(&self, proof: CrashProof, requests: usize) {
+        self.server_crashes.with_label_values(&[proof.as_str()]).inc();
+        self.interrupted_requests.inc_by(requests as u64);
     }
 }
--- a/crates/crash-watch/src/outbox.rs
+++ b/crates/crash-watch/src/outbox.rs
@@ -1,4 +1,4 @@
-//! Reports that the other routers haven't been told yet.
+//! Queue of reports to be published to the other routers.
 
 use std::sync::Mutex;
 use std::time::Duration;
@@ -9,59 +9,59 @@
 
 use crate::watch::lock;
 
-/// Reports that wait to be told at most: those of some servers with all their slots taken. What
-/// finds no room is told when it is told again.
-const MAX_QUEUED: usize = 256;
+/// Maximum number of queued reports, enough for several servers with all slots in use. Reports
+/// beyond that are dropped and sent with the next rebroadcast.
+const MAX_QUEUED_REPORTS: usize = 256;
 
-/// Reports that the other routers haven't been told yet.
+/// Queue of reports to be published to the other routers.
 #[derive(Default)]
 pub(crate) struct Outbox {
-    news: Mutex<CrashNews>,
-    wake: Notify,
+    queued: Mutex<CrashNews>,
+    pushed: Notify,
 }
 
 impl Outbox {
     pub(crate) fn push(&self, report: &Report) {
-        let mut news = lock(&self.news);
-        if news.crashes.len() + news.cleared.len() >= MAX_QUEUED {
+        let mut update = lock(&self.queued);
+        if update.crashes.len() + update.cleared.len() >= MAX_QUEUED_REPORTS {
             return;
         }
         match report {
-            Report::Crash(report) => news.crashes.push(message(report)),
+            Report::Crash(report) => update.crashes.push(encode_report(report)),
             Report::Clear(Clearance { request, instances }) => {
-                news.cleared.push(Cleared::of(*request, instances));
+                update.cleared.push(Cleared::of(*request, instances));
             }
         }
-        drop(news);
-        self.wake.notify_one();
+        drop(update);
+        self.pushed.notify_one();
     }
 
-    /// Waits until there is something to tell, and takes it.
-    pub(crate) async fn next(&self) -> CrashNews {
+    /// Waits until reports are queued, and takes all of them.
+    pub(crate) async fn next_update(&self) -> CrashNews {
         loop {
-            let news = std::mem::take(&mut *lock(&self.news));
-            if news != CrashNews::default() {
-                return news;
+            let update = std::mem::take(&mut *lock(&self.queued));
+            if update != CrashNews::default() {
+                return update;
             }
-            self.wake.notified().await;
+            self.pushed.notified().await;
         }
     }
 }
 
-fn message(report: &CrashReport) -> Crash {
-    let milliseconds = |time: Duration| u64::try_from(time.as_millis()).unwrap_or(u64::MAX);
+fn encode_report(report: &CrashReport) -> Crash {
+    let as_millis = |time: Duration| u64::try_from(time.as_millis()).unwrap_or(u64::MAX);
     Crash {
         request: report.request,
         instance: report.instance.name().clone(),
         started: report.instance.started(),
-        age_ms: milliseconds(report.age),
-        under_way_ms: milliseconds(report.under_way),
+        age_ms: as_millis(report.age),
+        under_way_ms: as_millis(report.under_way),
         ended_well: report.ended_well,
     }
 }
 
-/// What a message of another router reports.
-pub(crate) fn read(crash: &Crash) -> CrashReport {
+/// Converts a crash message of another router to a report.
+pub(crate) fn decode_report(crash: &Crash) -> CrashReport {
     CrashReport {
         request: crash.request,
         instance: crash.id(),
--- a/crates/crash-watch/src/watch.rs
+++ b/crates/crash-watch/src/watch.rs
@@ -1,8 +1,8 @@
-//! The watch of one router.
+//! Crash watch of one router.
 //!
-//! Each router counts the ends that all routers report, so that every one of them stops within
-//! a relay's time of the third. The control replicas record the outcome, for routers that start
-//! later and for the time after a loss of power.
+//! Each router counts the crashes that all routers report, so that all of them stop dispatching a
+//! request shortly after the crash that quarantines it. The control replicas record quarantines for
+//! routers that start later and for the time after a power loss.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -22,64 +22,64 @@
 use tokio::time::{MissedTickBehavior, interval};
 
 use crate::metrics::CrashMetrics;
-use crate::outbox::{Outbox, read};
+use crate::outbox::{Outbox, decode_report};
 
-/// Pace at which reports are told again and the replicas are asked.
-const PACE: Duration = Duration::from_millis(200);
+/// Interval between checks for reports to be rebroadcast and for quarantines to be recorded.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Range of the time after which a router that saw none of the ends asks the replicas to record
-/// a quarantine, in milliseconds. One that saw an end asks at once; the others ask only if none
-/// of those could, and not all of them together.
-const OTHERS_RECORD_AFTER_MS: std::ops::Range<u64> = 1_000..3_000;
+/// Range of the delay, in milliseconds, after which a router that observed none of the crashes asks
+/// the replicas to record a quarantine. A router that observed a crash asks at once; the others ask
+/// only in case that request was lost, and at random times.
+const PEER_RECORD_DELAY_MS: std::ops::Range<u64> = 1_000..3_000;
 
-/// Locks. A panic elsewhere leaves plain data, which is whole after each call.
+/// Locks a mutex, ignoring poisoning: the data is consistent after each call.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// What a router knows of requests under which servers ended.
+/// Crashes and quarantined requests as known to one router.
 pub struct CrashWatch {
     feed: Feed,
     metrics: CrashMetrics,
-    cuts: Mutex<CutRequests>,
-    ended_well: Mutex<EndedWell>,
+    interrupted: Mutex<CutRequests>,
+    completed: Mutex<EndedWell>,
     counts: Mutex<CrashCounts>,
-    retelling: Mutex<Retelling>,
+    rebroadcast: Mutex<Retelling>,
     outbox: Outbox,
-    /// What the replicas have recorded.
+    /// Quarantined requests that the replicas have recorded.
     recorded: Mutex<Arc<BTreeSet<RequestFingerprint>>>,
 }
 
 impl CrashWatch {
-    /// Knows nothing yet. [`CrashWatch::run`] has to run beside it.
+    /// Creates a watch without state. [`CrashWatch::run`] has to run as a task.
     pub fn new(feed: Feed, metrics: CrashMetrics) -> Self {
         CrashWatch {
             feed,
             metrics,
-            cuts: Mutex::default(),
-            ended_well: Mutex::default(),
+            interrupted: Mutex::default(),
+            completed: Mutex::default(),
             counts: Mutex::default(),
-            retelling: Mutex::default(),
+            rebroadcast: Mutex::default(),
             outbox: Outbox::default(),
             recorded: Mutex::default(),
         }
     }
 
-    /// The time of the reports.
+    /// Current time on the clock of the reports.
     pub fn now(&self) -> Timestamp {
         Timestamp::ZERO.after(self.feed.started().elapsed())
     }
 
-    /// The request's name if it must be sent to no server. It is only worked out if there is
-    /// anything to compare it with.
+    /// Fingerprint of the request if it is quarantined. `fingerprint` is called only if any request
+    /// is suspected or quarantined.
     pub fn quarantined(
         &self,
-        name: impl FnOnce() -> RequestFingerprint,
+        fingerprint: impl FnOnce() -> RequestFingerprint,
     ) -> Option<RequestFingerprint> {
         if lock(&self.counts).is_empty() && lock(&self.recorded).is_empty() {
             return None;
         }
-        let request = name();
+        let request = fingerprint();
         let is_quarantined =
             self.is_recorded(&request) || lock(&self.counts).is_quarantined(&request);
         is_quarantined.then_some(request)
@@ -89,8 +89,8 @@
         lock(&self.recorded).contains(request)
     }
 
-    /// The connection of a request to a server that wasn't leaving broke before the answer was
-    /// whole.
+    /// Records that the connection of a request broke before its answer was complete, on a server
+    /// that wasn't departing.
     pub fn note_cut(
         &self,
         instance: &InstanceId,
@@ -98,39 +98,40 @@
         request: RequestFingerprint,
         sent_at: Timestamp,
     ) {
-        let cut = CutRequest { request, sent_at, cut_at: self.now() };
-        let crash = lock(&self.cuts).cut(instance, address, cut);
-        self.note_crash(crash);
+        let interrupted = CutRequest { request, sent_at, cut_at: self.now() };
+        let crash = lock(&self.interrupted).cut(instance, address, interrupted);
+        self.handle_crash(crash);
     }
 
-    /// Something shows that a server has ended.
+    /// Records proof that a server has crashed.
     pub fn note_ended(&self, instance: &InstanceId, proof: CrashProof) {
-        let crash = lock(&self.cuts).proved(instance, proof, self.now());
-        self.note_crash(crash);
+        let crash = lock(&self.interrupted).proved(instance, proof, self.now());
+        self.handle_crash(crash);
     }
 
-    fn note_crash(&self, crash: Option<ServerCrash>) {
+    fn handle_crash(&self, crash: Option<ServerCrash>) {
         let Some(ServerCrash { instance, proof, requests }) = crash else { return };
-        let names: Vec<String> = requests.iter().map(|cut| cut.request.to_string()).collect();
+        let fingerprints: Vec<String> =
+            requests.iter().map(|interrupted| interrupted.request.to_string()).collect();
         log::warn!(
             "event=server_ended instance={instance} proof={} requests={} fingerprints={}",
             proof.as_str(),
             requests.len(),
-            names.join(",")
+            fingerprints.join(",")
         );
-        self.metrics.server_ended(proof, requests.len());
+        self.metrics.record_crash(proof, requests.len());
         let now = self.now();
         for CutRequest { request, sent_at, cut_at } in requests {
             let (age, under_way) = (now.since(cut_at), cut_at.since(sent_at));
-            let ended_well = lock(&self.ended_well).has(&request);
+            let ended_well = lock(&self.completed).has(&request);
             let instance = instance.clone();
             let report = CrashReport { request, instance, age, under_way, ended_well };
-            self.count(&report, Duration::ZERO, "own");
-            self.tell(Report::Crash(report));
+            self.count_crash(&report, Duration::ZERO, "own");
+            self.publish_report(Report::Crash(report));
         }
     }
 
-    fn count(&self, report: &CrashReport, record_after: Duration, from: &str) {
+    fn count_crash(&self, report: &CrashReport, record_after: Duration, from: &str) {
         let CrashReport { request, instance, .. } = report;
         let counted = lock(&self.counts).crashed(report, self.now(), record_after);
         match counted {
@@ -152,9 +153,9 @@
         }
     }
 
-    /// A server has answered the request whole: the ends before were not its doing.
+    /// Records that a server completed the request, which clears it of earlier crashes.
     pub fn note_answered(&self, id: &str, request: RequestFingerprint) {
-        lock(&self.ended_well).note(&request);
+        lock(&self.completed).note(&request);
         let clearance = lock(&self.counts).answered(request, self.now());
         let Some(clearance) = clearance else { return };
         log::info!(
@@ -163,21 +164,21 @@
         );
         if self.is_recorded(&request) {
             let feed = self.feed.clone();
-            // The answer to the caller doesn't wait for it.
+            // Recorded in the background, so that the answer to the caller isn't delayed.
             tokio::spawn(async move { feed.record_release(request).await });
         }
-        self.tell(Report::Clear(clearance));
+        self.publish_report(Report::Clear(clearance));
     }
 
-    fn tell(&self, report: Report) {
+    fn publish_report(&self, report: Report) {
         self.outbox.push(&report);
-        lock(&self.retelling).told(report, self.now());
+        lock(&self.rebroadcast).told(report, self.now());
     }
 
-    /// Takes over what the replicas tell: lives of servers, and quarantines that are recorded. A
-    /// request that they have released starts anew.
+    /// Applies a view of the fleet: incarnations of servers, and recorded quarantines. The count of
+    /// a request that was released starts anew.
     pub fn take_over(&self, view: &FleetView) {
-        self.find_new_lives(view);
+        self.find_restarts(view);
         let mut recorded = lock(&self.recorded);
         if Arc::ptr_eq(&recorded, &view.quarantined) {
             return;
@@ -194,93 +195,94 @@
         self.metrics.recorded.set(view.quarantined.len() as i64);
     }
 
-    /// Looks for servers that have ended and are back in another life.
-    fn find_new_lives(&self, view: &FleetView) {
-        let mut cuts = lock(&self.cuts);
-        if cuts.is_empty() {
+    /// Looks for servers that have crashed and restarted.
+    fn find_restarts(&self, view: &FleetView) {
+        let mut interrupted = lock(&self.interrupted);
+        if interrupted.is_empty() {
             return;
         }
-        let life_at = |address| {
+        let incarnation_at = |address| {
             let mut servers = view.instances.iter();
             let known = servers.find(|known| SocketAddr::V4(known.report.address) == address);
             known.map(|known| &known.id)
         };
-        let crashes = cuts.find_new_lives(self.now(), life_at);
-        drop(cuts);
-        crashes.into_iter().for_each(|crash| self.note_crash(Some(crash)));
+        let crashes = interrupted.find_new_lives(self.now(), incarnation_at);
+        drop(interrupted);
+        crashes.into_iter().for_each(|crash| self.handle_crash(Some(crash)));
     }
 
-    /// Takes in what another router reports.
-    fn hear(&self, from: NodeId, news: &CrashNews) {
+    /// Applies an update of another router.
+    fn apply_peer_update(&self, from: NodeId, update: &CrashNews) {
         let from = from.to_string();
-        for crash in &news.crashes {
-            let after_ms = rand::rng().random_range(OTHERS_RECORD_AFTER_MS);
-            self.count(&read(crash), Duration::from_millis(after_ms), &from);
+        for crash in &update.crashes {
+            let delay_ms = rand::rng().random_range(PEER_RECORD_DELAY_MS);
+            self.count_crash(&decode_report(crash), Duration::from_millis(delay_ms), &from);
         }
-        for cleared in &news.cleared {
+        for cleared in &update.cleared {
             let clearance = Clearance { request: cleared.request, instances: cleared.ids() };
             lock(&self.counts).cleared(&clearance, self.now());
         }
     }
 
-    fn hear_batch(&self, batch: &RelayedBatch) {
+    fn apply_peer_updates(&self, batch: &RelayedBatch) {
         for RelayedNews { from, news, .. } in batch.iter() {
             if let Some(crashes) = &news.crashes {
-                self.hear(*from, crashes);
+                self.apply_peer_update(*from, crashes);
             }
         }
     }
 
-    /// Tells the other routers, hears from them and has quarantines recorded, for ever.
+    /// Exchanges reports with the other routers and has quarantines recorded. Runs forever.
     pub async fn run(self: Arc<Self>) {
         let mut received = self.feed.news();
-        let mut ticks = interval(PACE);
+        let mut ticks = interval(MAINTENANCE_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut turn = 0;
+        let mut round = 0;
         loop {
             tokio::select! {
                 batch = received.recv() => match batch {
-                    Ok(batch) => self.hear_batch(&batch),
+                    Ok(batch) => self.apply_peer_updates(&batch),
                     Err(RecvError::Lagged(missed)) => {
                         log::warn!("event=crash_news_missed batches={missed} reason=slow_router");
                     }
                     Err(RecvError::Closed) => return,
                 },
-                crashes = self.outbox.next() => {
-                    let news = RouterNews { crashes: Some(crashes), ..RouterNews::default() };
-                    self.feed.tell(news).await;
+                crashes = self.outbox.next_update() => {
+                    let update = RouterNews { crashes: Some(crashes), ..RouterNews::default() };
+                    self.feed.tell(update).await;
                 }
-                // Nearly always there is nothing to keep, and no reason to wake up.
-                _ = ticks.tick(), if self.has_work() => {
-                    turn += 1;
-                    self.keep(turn).await;
+                // The timer is polled only when there is work, so that an idle task doesn't wake
+                // up.
+                _ = ticks.tick(), if self.has_pending_work() => {
+                    round += 1;
+                    self.run_maintenance(round).await;
                 }
             }
         }
     }
 
-    /// Whether anything is suspected, or has to be told again.
-    fn has_work(&self) -> bool {
-        !lock(&self.counts).is_empty() || !lock(&self.retelling).is_empty()
+    /// Whether any request is suspected, or any report has to be rebroadcast.
+    fn has_pending_work(&self) -> bool {
+        !lock(&self.counts).is_empty() || !lock(&self.rebroadcast).is_empty()
     }
 
-    /// Tells again what is due, forgets what is old, and asks the replicas to record what isn't
-    /// recorded yet: another replica each time.
-    async fn keep(&self, turn: usize) {
+    /// Rebroadcasts due reports, removes expired state, and asks the replicas to record quarantines
+    /// that aren't recorded yet: another replica in each round.
+    async fn run_maintenance(&self, round: usize) {
         let now = self.now();
-        let again = lock(&self.retelling).due(now);
-        again.iter().for_each(|report| self.outbox.push(report));
+        let due_reports = lock(&self.rebroadcast).due(now);
+        due_reports.iter().for_each(|report| self.outbox.push(report));
         let recorded = Arc::clone(&lock(&self.recorded));
-        let due = {
+        let unrecorded_requests = {
             let mut counts = lock(&self.counts);
             counts.forget_old(now);
             self.metrics.suspects.set(counts.suspects() as i64);
             counts.due_records(now, |request| recorded.contains(request))
         };
-        for unrecorded in due {
+        for unrecorded in unrecorded_requests {
             let servers = unrecorded.servers.iter().map(|server| server.name().clone()).collect();
             let call = QuarantineCall { request: unrecorded.request, servers };
-            self.feed.record_quarantine(call, turn).await;
+            self.feed.record_quarantine(call, round).await;
         }
     }
 }
