--- a/crates/renewal/tests/plan.rs
+++ b/crates/renewal/tests/plan.rs
@@ -26,7 +26,7 @@
 
 fn wanted(named: &[(u64, u64)]) -> BTreeMap<String, WantedWeights> {
     let mut weights = WantedWeights::default();
-    named.iter().for_each(|(version, millis)| weights.name(*version, at(*millis)));
+    named.iter().for_each(|(version, millis)| weights.record_version(*version, at(*millis)));
     BTreeMap::from([("m".to_owned(), weights)])
 }
 
