--- a/crates/feed/src/follow.rs
+++ b/crates/feed/src/follow.rs
@@ -62,7 +62,7 @@
         self.members.len() <= MAX_FULLY_FOLLOWED
     }
 
-    /// Selects the replicas to follow, in order of preference. Unreachable replicas are chosen only
+    /// Selects the replicas to follow, in order of preference. Unreachable replicas are selected only
     /// if no others are left.
     pub fn select(&self) -> Vec<NodeId> {
         if self.follows_all() {
--- a/crates/registry/src/directory.rs
+++ b/crates/registry/src/directory.rs
@@ -29,13 +29,13 @@
     /// Whether all replicas that know the incarnation report it as silent.
     pub silent: bool,
     /// Whether the server is departing, by its own report or by the replicated log.
-    pub leaving: bool,
+    pub departing: bool,
 }
 
 impl Instance {
     /// Server with this heartbeat that is neither silent nor departing.
     pub fn of(report: InstanceReport) -> Self {
-        Instance { id: report.id(), report: Arc::new(report), silent: false, leaving: false }
+        Instance { id: report.id(), report: Arc::new(report), silent: false, departing: false }
     }
 }
 
@@ -209,9 +209,9 @@
         let began = of_latest.map(|observation| observation.began).min().unwrap_or(latest.began);
         let id = report.id();
         let draining = report.state == InstanceState::Draining;
-        let leaving = draining || self.departures.covers(&id);
+        let departing = draining || self.departures.covers(&id);
         self.by_address.entry(report.address).or_default().insert(name.clone());
-        let instance = Instance { id, report, silent, leaving };
+        let instance = Instance { id, report, silent, departing };
         let unchanged = earlier.filter(|earlier| *earlier.instance == instance);
         let instance =
             unchanged.map_or_else(|| Arc::new(instance), |earlier| Arc::clone(&earlier.instance));
@@ -222,7 +222,7 @@
     fn refresh_usable(&mut self, address: SocketAddrV4) {
         let newest = self.current_at(address).cloned();
         for name in self.by_address.get(&address).into_iter().flatten() {
-            let merged = self.merged.get(name).filter(|known| !known.instance.leaving);
+            let merged = self.merged.get(name).filter(|known| !known.instance.departing);
             match merged.filter(|_| newest.as_ref() == Some(name)) {
                 Some(known) => insert_if_changed(&mut self.usable, &known.instance),
                 None => self.usable.remove(name),
--- a/crates/registry/tests/registry.rs
+++ b/crates/registry/tests/registry.rs
@@ -87,7 +87,7 @@
     directory.apply_observations(NodeId(1), vec![observed("a", 1, false)], true, at(0));
     directory.record_departure(&departure("a"), at(0));
     directory.apply_observations(NodeId(2), vec![observed("a", 7, false)], true, at(0));
-    assert!(directory.instances().all(|instance| instance.leaving));
+    assert!(directory.instances().all(|instance| instance.departing));
 }
 
 #[test]
