--- a/crates/control/src/fleet_board.rs
+++ b/crates/control/src/fleet_board.rs
@@ -9,7 +9,7 @@
 use juniper_protocol::message::encode;
 use juniper_protocol::{Message, Push};
 use juniper_registry::{
-    HeardInstance, Instance, InstanceChanges, InstanceMap, InstanceName, InstanceReport,
+    Instance, InstanceChanges, InstanceMap, InstanceName, InstanceReport, ObservedInstance,
 };
 use tokio::sync::watch;
 
@@ -77,7 +77,7 @@
     whole: bool,
     gone: Vec<InstanceName>,
 ) -> SharedFrame {
-    let heard = |instance: &Arc<Instance>| HeardInstance {
+    let heard = |instance: &Arc<Instance>| ObservedInstance {
         report: InstanceReport::clone(&instance.report),
         silent: instance.silent,
         age_ms: 0,
--- a/crates/control/src/instances.rs
+++ b/crates/control/src/instances.rs
@@ -5,7 +5,7 @@
 
 use juniper_protocol::message::encode;
 use juniper_protocol::{Message, Push};
-use juniper_registry::{HeardInstances, InstanceName, InstanceReport, Intake, StartTime};
+use juniper_registry::{InstanceName, InstanceReport, Intake, ObservedInstances, StartTime};
 use juniper_types::Timestamp;
 use tokio::sync::{Notify, watch};
 use tokio::time::{MissedTickBehavior, interval, sleep};
@@ -38,7 +38,7 @@
 /// What this replica heard, and numbers that tell of changes.
 pub struct InstanceBoard {
     started: Instant,
-    heard: Mutex<HeardInstances>,
+    heard: Mutex<ObservedInstances>,
     renewals: Mutex<RenewalLog>,
     /// Something is to be published.
     wake: Notify,
@@ -54,7 +54,7 @@
     fn default() -> Self {
         InstanceBoard {
             started: Instant::now(),
-            heard: Mutex::new(HeardInstances::new(SILENT_AFTER)),
+            heard: Mutex::new(ObservedInstances::new(SILENT_AFTER)),
             renewals: Mutex::default(),
             wake: Notify::new(),
             instances_published: watch::Sender::new(0),
@@ -65,7 +65,7 @@
 }
 
 impl InstanceBoard {
-    fn lock(&self) -> MutexGuard<'_, HeardInstances> {
+    fn lock(&self) -> MutexGuard<'_, ObservedInstances> {
         self.heard.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
--- a/crates/feed/src/actor.rs
+++ b/crates/feed/src/actor.rs
@@ -8,7 +8,7 @@
 use juniper_clock::BootInstant;
 use juniper_protocol::message::{CatalogBody, FleetNews, RelayedNews, RenewalNews, RouterNews};
 use juniper_protocol::{ClusterKey, PeerIdentity};
-use juniper_registry::{HeardInstance, InstanceName};
+use juniper_registry::{InstanceName, ObservedInstance};
 use juniper_types::{NodeId, Timestamp, ZoneName};
 use kameo::Actor;
 use kameo::actor::ActorRef;
@@ -56,7 +56,7 @@
     RouterUpdates(Vec<RelayedNews>),
     Fleet(FleetNews),
     Instances {
-        observed: Vec<HeardInstance>,
+        observed: Vec<ObservedInstance>,
         is_complete: bool,
         removed: Vec<InstanceName>,
         /// Whether the servers are those that all replicas know, rather than those that this
--- a/crates/feed/src/view_builder.rs
+++ b/crates/feed/src/view_builder.rs
@@ -8,7 +8,7 @@
 use juniper_protocol::message::{
     CatalogBody, FleetNews, KnownVersion, QuarantineNews, RenewalNews,
 };
-use juniper_registry::{Departure, Directory, HeardInstance, InstanceId, InstanceName};
+use juniper_registry::{Departure, Directory, InstanceId, InstanceName, ObservedInstance};
 use juniper_types::{NodeId, RequestFingerprint, Timestamp, ZoneName};
 
 use crate::view::{FleetView, WantedWeights};
@@ -234,7 +234,7 @@
     pub fn apply_instances(
         &mut self,
         node: NodeId,
-        observed: Vec<HeardInstance>,
+        observed: Vec<ObservedInstance>,
         is_complete: bool,
         now: Timestamp,
     ) -> MergeOutcome {
--- a/crates/feed/tests/view_builder.rs
+++ b/crates/feed/tests/view_builder.rs
@@ -10,7 +10,8 @@
     CatalogBody, FleetNews, KnownVersion, QuarantineNews, RenewalNews,
 };
 use juniper_registry::{
-    HeardInstance, InstanceId, InstanceName, InstanceReport, InstanceState, ModelHolding, StartTime,
+    InstanceId, InstanceName, InstanceReport, InstanceState, ModelHolding, ObservedInstance,
+    StartTime,
 };
 use juniper_types::{NodeId, RequestFingerprint, Timestamp};
 
@@ -39,7 +40,7 @@
     Some(CatalogBody { version, body: minicbor::to_vec(&catalog).expect("encodes") })
 }
 
-fn observed(id: &str, sequence: u64) -> HeardInstance {
+fn observed(id: &str, sequence: u64) -> ObservedInstance {
     let report = InstanceReport {
         name: InstanceName::new(id),
         started: StartTime::UNKNOWN,
@@ -52,7 +53,7 @@
         models: vec![ModelHolding { model: "m".to_owned(), version: 1 }],
         sequence,
     };
-    HeardInstance { report, silent: false, age_ms: 0 }
+    ObservedInstance { report, silent: false, age_ms: 0 }
 }
 
 fn connected() -> FleetViewBuilder {
--- a/crates/gateway/tests/paths/support/control.rs
+++ b/crates/gateway/tests/paths/support/control.rs
@@ -12,7 +12,7 @@
 use juniper_protocol::{
     ClusterKey, Connection, Message, PeerRole, Push, Refusal, Reply, Request, accept,
 };
-use juniper_registry::{HeardInstance, InstanceName, InstanceReport};
+use juniper_registry::{InstanceName, InstanceReport, ObservedInstance};
 use juniper_types::{NodeId, ZoneName};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{broadcast, mpsc};
@@ -307,7 +307,7 @@
 
 fn instances(said: &Said) -> Message {
     let heard = said.reports.lock().expect("no panic").clone().into_iter();
-    let heard = heard.map(|report| HeardInstance { report, silent: false, age_ms: 0 }).collect();
+    let heard = heard.map(|report| ObservedInstance { report, silent: false, age_ms: 0 }).collect();
     Message::Push(Push::Instances { heard, whole: true, gone: Vec::new() })
 }
 
--- a/crates/protocol/src/push.rs
+++ b/crates/protocol/src/push.rs
@@ -1,6 +1,6 @@
 //! What a replica tells without being asked.
 
-use juniper_registry::{HeardInstance, InstanceName};
+use juniper_registry::{InstanceName, ObservedInstance};
 use juniper_settings::{ChangeSet, SettingsTree};
 use juniper_types::Revision;
 use minicbor::{Decode, Encode};
@@ -41,7 +41,7 @@
     Instances {
         /// The servers.
         #[n(0)]
-        heard: Vec<HeardInstance>,
+        heard: Vec<ObservedInstance>,
         /// Whether these are all that the replica knows.
         #[n(1)]
         whole: bool,
--- a/crates/registry/src/directory.rs
+++ b/crates/registry/src/directory.rs
@@ -11,7 +11,7 @@
 use crate::departure::{Departure, Departures};
 use crate::incarnation::{InstanceId, InstanceName};
 use crate::instance_map::InstanceMap;
-use crate::observed::HeardInstance;
+use crate::observed::ObservedInstance;
 use crate::report::{InstanceReport, InstanceState};
 
 /// Time after which a server that a replica reports as silent is removed. By then the replica has
@@ -79,7 +79,7 @@
     pub fn apply_observations(
         &mut self,
         source: NodeId,
-        observed: Vec<HeardInstance>,
+        observed: Vec<ObservedInstance>,
         is_complete: bool,
         now: Timestamp,
     ) {
@@ -89,7 +89,7 @@
             touched.extend(std::mem::take(known).into_keys());
         }
         for instance in observed {
-            let HeardInstance { report, silent, age_ms } = instance;
+            let ObservedInstance { report, silent, age_ms } = instance;
             let name = report.name.clone();
             let began = signed_micros(now).saturating_sub_unsigned(age_ms.saturating_mul(1_000));
             let report = Arc::new(report);
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -4,7 +4,7 @@
 //! known of a server applies to one incarnation: a later one replaces it, and late messages of an
 //! earlier one are ignored.
 //!
-//! Each control replica keeps the heartbeats that it observed itself ([`HeardInstances`]), in
+//! Each control replica keeps the heartbeats that it observed itself ([`ObservedInstances`]), in
 //! memory only, since servers repeat them within seconds. A router merges the observations of
 //! several replicas ([`Directory`]). Departures must survive restarts and go through the replicated
 //! log instead; the directory excludes departed incarnations for good.
@@ -22,5 +22,5 @@
 pub use directory::{Directory, Instance};
 pub use incarnation::{InstanceId, InstanceName, StartTime, incarnations, names_and_starts};
 pub use instance_map::{InstanceChanges, InstanceMap};
-pub use observed::{HeardInstance, HeardInstances, Intake};
+pub use observed::{Intake, ObservedInstance, ObservedInstances};
 pub use report::{InstanceReport, InstanceState, ModelHolding};
--- a/crates/registry/src/observed.rs
+++ b/crates/registry/src/observed.rs
@@ -18,7 +18,7 @@
 
 /// Server as observed by one replica.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct HeardInstance {
+pub struct ObservedInstance {
     /// Latest heartbeat.
     #[n(0)]
     pub report: InstanceReport,
@@ -53,7 +53,7 @@
 
 #[derive(Clone, Debug)]
 struct Entry {
-    instance: HeardInstance,
+    instance: ObservedInstance,
     observed_at: Timestamp,
     changed_at: u64,
     age_bound: AgeBound,
@@ -88,17 +88,17 @@
 
 /// Servers whose heartbeats this replica received.
 #[derive(Clone, Debug)]
-pub struct HeardInstances {
+pub struct ObservedInstances {
     entries: BTreeMap<InstanceName, Entry>,
     /// Number of changes.
     revision: u64,
     silent_after: Duration,
 }
 
-impl HeardInstances {
+impl ObservedInstances {
     /// Creates an empty set; a server counts as silent after `silent_after` without a heartbeat.
     pub fn new(silent_after: Duration) -> Self {
-        HeardInstances { entries: BTreeMap::new(), revision: 0, silent_after }
+        ObservedInstances { entries: BTreeMap::new(), revision: 0, silent_after }
     }
 
     /// Records a heartbeat.
@@ -134,7 +134,7 @@
     fn insert(&mut self, report: InstanceReport, age_bound: AgeBound, now: Timestamp) {
         self.revision += 1;
         let name = report.name.clone();
-        let instance = HeardInstance { report, silent: false, age_ms: 0 };
+        let instance = ObservedInstance { report, silent: false, age_ms: 0 };
         let changed_at = self.revision;
         self.entries.insert(name, Entry { instance, observed_at: now, changed_at, age_bound });
     }
@@ -167,11 +167,11 @@
     }
 
     /// Servers that changed after `revision`; all for zero.
-    pub fn changes_after(&self, revision: u64, now: Timestamp) -> Vec<HeardInstance> {
+    pub fn changes_after(&self, revision: u64, now: Timestamp) -> Vec<ObservedInstance> {
         let changed = self.entries.values().filter(|entry| entry.changed_at > revision);
         let with_age = |entry: &Entry| {
             let age_ms = u64::try_from(entry.age_bound.age(now).as_millis()).unwrap_or(u64::MAX);
-            HeardInstance { age_ms, ..entry.instance.clone() }
+            ObservedInstance { age_ms, ..entry.instance.clone() }
         };
         changed.map(with_age).collect()
     }
--- a/crates/registry/tests/incarnations.rs
+++ b/crates/registry/tests/incarnations.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use juniper_registry::{
-    Departure, Directory, HeardInstance, HeardInstances, InstanceId, InstanceName, InstanceReport,
-    InstanceState, Intake, StartTime,
+    Departure, Directory, InstanceId, InstanceName, InstanceReport, InstanceState, Intake,
+    ObservedInstance, ObservedInstances, StartTime,
 };
 use juniper_types::{NodeId, Timestamp};
 use quickcheck::quickcheck;
@@ -33,8 +33,8 @@
     }
 }
 
-fn observed(started: u64, sequence: u64) -> HeardInstance {
-    HeardInstance { report: report(started, sequence), silent: false, age_ms: 0 }
+fn observed(started: u64, sequence: u64) -> ObservedInstance {
+    ObservedInstance { report: report(started, sequence), silent: false, age_ms: 0 }
 }
 
 fn id(started: u64) -> InstanceId {
@@ -47,7 +47,7 @@
 
 #[test]
 fn a_later_start_supersedes_an_earlier_one_whatever_the_sequence_numbers() {
-    let mut known = HeardInstances::new(SILENT_AFTER);
+    let mut known = ObservedInstances::new(SILENT_AFTER);
     assert_eq!(known.hear(report(100, 40), at(0)), Intake::News);
     let former = StartTime::from_unix_ms(100);
     assert_eq!(known.hear(report(200, 1), at(1)), Intake::Restarted { former });
@@ -56,19 +56,19 @@
     assert_eq!(known.hear(last, at(2)), Intake::Overtaken);
     assert_eq!(
         known.changes_after(0, at(2)),
-        [HeardInstance { age_ms: 1_000, ..observed(200, 1) }]
+        [ObservedInstance { age_ms: 1_000, ..observed(200, 1) }]
     );
     assert_eq!(known.hear(report(200, 2), at(3)), Intake::Known);
 }
 
 #[test]
 fn a_heartbeat_without_a_start_time_is_rejected_if_the_server_has_reported_one() {
-    let mut known = HeardInstances::new(SILENT_AFTER);
+    let mut known = ObservedInstances::new(SILENT_AFTER);
     known.hear(report(100, 1), at(0));
     assert_eq!(known.hear(report(0, 99), at(1)), Intake::OtherWriter);
     assert_eq!(known.start_of(&InstanceName::new("a")), Some(StartTime::from_unix_ms(100)));
     // A server that has never reported a start time is unaffected.
-    let mut without_start = HeardInstances::new(SILENT_AFTER);
+    let mut without_start = ObservedInstances::new(SILENT_AFTER);
     without_start.hear(report(0, 1), at(0));
     assert_eq!(without_start.hear(report(0, 2), at(1)), Intake::Known);
 }
@@ -90,7 +90,7 @@
 
 #[test]
 fn observations_of_different_incarnations_are_merged_to_the_latest() {
-    let silent = |started| HeardInstance { silent: true, ..observed(started, 90) };
+    let silent = |started| ObservedInstance { silent: true, ..observed(started, 90) };
     let mut directory = Directory::default();
     directory.apply_observations(NodeId(1), vec![silent(100)], true, at(0));
     directory.apply_observations(NodeId(2), vec![observed(200, 1)], true, at(0));
@@ -120,7 +120,7 @@
 /// replicas that receive them.
 fn the_latest_heartbeat_wins(order: Vec<(u8, u8, u8)>) -> bool {
     let mut directory = Directory::default();
-    let mut replicas: Vec<HeardInstances> = vec![HeardInstances::new(SILENT_AFTER); 3];
+    let mut replicas: Vec<ObservedInstances> = vec![ObservedInstances::new(SILENT_AFTER); 3];
     for (replica, started, sequence) in &order {
         let index = usize::from(*replica) % replicas.len();
         let report = report(u64::from(*started) + 1, u64::from(*sequence));
--- a/crates/registry/tests/registry.rs
+++ b/crates/registry/tests/registry.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use juniper_registry::{
-    Departure, Directory, HeardInstance, HeardInstances, InstanceId, InstanceName, InstanceReport,
-    InstanceState, Intake, ModelHolding, StartTime,
+    Departure, Directory, InstanceId, InstanceName, InstanceReport, InstanceState, Intake,
+    ModelHolding, ObservedInstance, ObservedInstances, StartTime,
 };
 use juniper_types::{NodeId, Timestamp};
 
@@ -36,18 +36,18 @@
     Departure::of(&InstanceId::new(id))
 }
 
-fn observed(id: &str, sequence: u64, silent: bool) -> HeardInstance {
-    HeardInstance { report: report(id, sequence), silent, age_ms: 0 }
+fn observed(id: &str, sequence: u64, silent: bool) -> ObservedInstance {
+    ObservedInstance { report: report(id, sequence), silent, age_ms: 0 }
 }
 
 /// Clears the ages, which a separate test checks.
-fn without_age(observed: Vec<HeardInstance>) -> Vec<HeardInstance> {
-    observed.into_iter().map(|instance| HeardInstance { age_ms: 0, ..instance }).collect()
+fn without_age(observed: Vec<ObservedInstance>) -> Vec<ObservedInstance> {
+    observed.into_iter().map(|instance| ObservedInstance { age_ms: 0, ..instance }).collect()
 }
 
 #[test]
 fn an_outdated_heartbeat_changes_nothing() {
-    let mut known = HeardInstances::new(SILENT_AFTER);
+    let mut known = ObservedInstances::new(SILENT_AFTER);
     assert_eq!(known.hear(report("a", 3), at(0)), Intake::News);
     let late = InstanceReport { state: InstanceState::Draining, ..report("a", 2) };
     assert_eq!(known.hear(late, at(1)), Intake::Overtaken);
@@ -60,7 +60,7 @@
 
 #[test]
 fn silence_is_reported_once_and_ends_with_the_next_heartbeat() {
-    let mut known = HeardInstances::new(SILENT_AFTER);
+    let mut known = ObservedInstances::new(SILENT_AFTER);
     known.hear(report("a", 1), at(0));
     assert_eq!(known.expire(at(4)), []);
     let before = known.revision();
@@ -113,7 +113,7 @@
 
 #[test]
 fn the_age_of_an_incarnation_follows_from_its_first_heartbeat_and_sequence_number() {
-    let mut known = HeardInstances::new(SILENT_AFTER);
+    let mut known = ObservedInstances::new(SILENT_AFTER);
     known.hear(report("young", 1), at(10));
     known.hear(report("old", 21), at(12));
     let ages: Vec<u64> =
@@ -130,8 +130,8 @@
 #[test]
 fn a_late_heartbeat_of_a_crashed_server_does_not_replace_its_successor() {
     let address = report("new", 1).address;
-    let aged = |id, sequence, age_ms| HeardInstance { age_ms, ..observed(id, sequence, false) };
-    let orders: [&[(u64, HeardInstance)]; 2] = [
+    let aged = |id, sequence, age_ms| ObservedInstance { age_ms, ..observed(id, sequence, false) };
+    let orders: [&[(u64, ObservedInstance)]; 2] = [
         &[(1, aged("new", 2, 2_000)), (2, aged("old", 21, 20_000))],
         &[(2, aged("old", 21, 20_000)), (1, aged("new", 2, 2_000))],
     ];
