--- a/crates/control/src/instances.rs
+++ b/crates/control/src/instances.rs
@@ -86,7 +86,7 @@
             report.models.iter().map(|held| held.version).collect::<Vec<_>>(),
             report.sequence
         );
-        let intake = self.lock().hear(report, self.now());
+        let intake = self.lock().observe(report, self.now());
         match intake {
             Intake::News => log::info!("event=instance_heard {described}"),
             Intake::Restarted { former } => {
--- a/crates/registry/src/observed.rs
+++ b/crates/registry/src/observed.rs
@@ -102,7 +102,7 @@
     }
 
     /// Records a heartbeat.
-    pub fn hear(&mut self, report: InstanceReport, now: Timestamp) -> Intake {
+    pub fn observe(&mut self, report: InstanceReport, now: Timestamp) -> Intake {
         let from_heartbeat = AgeBound::from_report(&report, now);
         let Some(entry) = self.entries.get_mut(&report.name) else {
             self.insert(report, from_heartbeat, now);
--- a/crates/registry/tests/incarnations.rs
+++ b/crates/registry/tests/incarnations.rs
@@ -48,29 +48,29 @@
 #[test]
 fn a_later_start_supersedes_an_earlier_one_whatever_the_sequence_numbers() {
     let mut known = ObservedInstances::new(SILENT_AFTER);
-    assert_eq!(known.hear(report(100, 40), at(0)), Intake::News);
+    assert_eq!(known.observe(report(100, 40), at(0)), Intake::News);
     let former = StartTime::from_unix_ms(100);
-    assert_eq!(known.hear(report(200, 1), at(1)), Intake::Restarted { former });
+    assert_eq!(known.observe(report(200, 1), at(1)), Intake::Restarted { former });
     // The last heartbeat of the earlier incarnation arrives late.
     let last = InstanceReport { state: InstanceState::Draining, ..report(100, 41) };
-    assert_eq!(known.hear(last, at(2)), Intake::Overtaken);
+    assert_eq!(known.observe(last, at(2)), Intake::Overtaken);
     assert_eq!(
         known.changes_after(0, at(2)),
         [ObservedInstance { age_ms: 1_000, ..observed(200, 1) }]
     );
-    assert_eq!(known.hear(report(200, 2), at(3)), Intake::Known);
+    assert_eq!(known.observe(report(200, 2), at(3)), Intake::Known);
 }
 
 #[test]
 fn a_heartbeat_without_a_start_time_is_rejected_if_the_server_has_reported_one() {
     let mut known = ObservedInstances::new(SILENT_AFTER);
-    known.hear(report(100, 1), at(0));
-    assert_eq!(known.hear(report(0, 99), at(1)), Intake::OtherWriter);
+    known.observe(report(100, 1), at(0));
+    assert_eq!(known.observe(report(0, 99), at(1)), Intake::OtherWriter);
     assert_eq!(known.start_of(&InstanceName::new("a")), Some(StartTime::from_unix_ms(100)));
     // A server that has never reported a start time is unaffected.
     let mut without_start = ObservedInstances::new(SILENT_AFTER);
-    without_start.hear(report(0, 1), at(0));
-    assert_eq!(without_start.hear(report(0, 2), at(1)), Intake::Known);
+    without_start.observe(report(0, 1), at(0));
+    assert_eq!(without_start.observe(report(0, 2), at(1)), Intake::Known);
 }
 
 #[test]
@@ -124,7 +124,7 @@
     for (replica, started, sequence) in &order {
         let index = usize::from(*replica) % replicas.len();
         let report = report(u64::from(*started) + 1, u64::from(*sequence));
-        replicas[index].hear(report, at(0));
+        replicas[index].observe(report, at(0));
         let source = NodeId(index as u64);
         directory.apply_observations(source, replicas[index].changes_after(0, at(0)), true, at(0));
     }
--- a/crates/registry/tests/registry.rs
+++ b/crates/registry/tests/registry.rs
@@ -48,26 +48,26 @@
 #[test]
 fn an_outdated_heartbeat_changes_nothing() {
     let mut known = ObservedInstances::new(SILENT_AFTER);
-    assert_eq!(known.hear(report("a", 3), at(0)), Intake::News);
+    assert_eq!(known.observe(report("a", 3), at(0)), Intake::News);
     let late = InstanceReport { state: InstanceState::Draining, ..report("a", 2) };
-    assert_eq!(known.hear(late, at(1)), Intake::Overtaken);
+    assert_eq!(known.observe(late, at(1)), Intake::Overtaken);
     assert_eq!(without_age(known.changes_after(0, at(7))), [observed("a", 3, false)]);
-    assert_eq!(known.hear(report("a", 4), at(1)), Intake::Known);
+    assert_eq!(known.observe(report("a", 4), at(1)), Intake::Known);
     let renewed = ModelHolding { model: "m".to_owned(), version: 2 };
     let renewed = InstanceReport { models: vec![renewed], ..report("a", 5) };
-    assert_eq!(known.hear(renewed, at(2)), Intake::News);
+    assert_eq!(known.observe(renewed, at(2)), Intake::News);
 }
 
 #[test]
 fn silence_is_reported_once_and_ends_with_the_next_heartbeat() {
     let mut known = ObservedInstances::new(SILENT_AFTER);
-    known.hear(report("a", 1), at(0));
+    known.observe(report("a", 1), at(0));
     assert_eq!(known.expire(at(4)), []);
     let before = known.revision();
     assert_eq!(known.expire(at(5)), [InstanceId::new("a")]);
     assert_eq!(known.expire(at(6)), []);
     assert_eq!(without_age(known.changes_after(before, at(7))), [observed("a", 1, true)]);
-    assert_eq!(known.hear(report("a", 2), at(7)), Intake::News);
+    assert_eq!(known.observe(report("a", 2), at(7)), Intake::News);
     assert_eq!(without_age(known.changes_after(before, at(7))), [observed("a", 2, false)]);
 }
 
@@ -114,14 +114,14 @@
 #[test]
 fn the_age_of_an_incarnation_follows_from_its_first_heartbeat_and_sequence_number() {
     let mut known = ObservedInstances::new(SILENT_AFTER);
-    known.hear(report("young", 1), at(10));
-    known.hear(report("old", 21), at(12));
+    known.observe(report("young", 1), at(10));
+    known.observe(report("old", 21), at(12));
     let ages: Vec<u64> =
         known.changes_after(0, at(13)).iter().map(|server| server.age_ms).collect();
     // "old" sorts first: 20 earlier heartbeats of a second each, and a second since.
     assert_eq!(ages, [21_000, 3_000]);
     // Later heartbeats don't lower the age.
-    known.hear(report("young", 2), at(15));
+    known.observe(report("young", 2), at(15));
     assert_eq!(known.changes_after(0, at(15))[1].age_ms, 5_000);
 }
 
