--- a/crates/control/src/fleet.rs
+++ b/crates/control/src/fleet.rs
@@ -9,8 +9,8 @@
 use juniper_control_state::{AcceptedCatalog, Answer, CatalogAnswer, Command, to_bytes};
 use juniper_protocol::Refusal;
 use juniper_registry::{
-    Departure, InstanceId, InstanceMap, InstanceName, InstanceReport, InstanceState, Intake,
-    StartTime,
+    Departure, HeartbeatOutcome, InstanceId, InstanceMap, InstanceName, InstanceReport,
+    InstanceState, StartTime,
 };
 use juniper_types::NodeId;
 
@@ -95,7 +95,7 @@
     pub async fn heartbeat(&self, report: InstanceReport) -> Result<(), Refusal> {
         let leaving = (report.state == InstanceState::Draining).then(|| report.id());
         let intake = self.board.hear(report);
-        if intake == Intake::OtherWriter {
+        if intake == HeartbeatOutcome::NameConflict {
             self.metrics.heartbeats_refused.inc();
             return Ok(());
         }
--- a/crates/control/src/instances.rs
+++ b/crates/control/src/instances.rs
@@ -5,7 +5,9 @@
 
 use juniper_protocol::message::encode;
 use juniper_protocol::{Message, Push};
-use juniper_registry::{InstanceName, InstanceReport, Intake, ObservedInstances, StartTime};
+use juniper_registry::{
+    HeartbeatOutcome, InstanceName, InstanceReport, ObservedInstances, StartTime,
+};
 use juniper_types::Timestamp;
 use tokio::sync::{Notify, watch};
 use tokio::time::{MissedTickBehavior, interval, sleep};
@@ -74,7 +76,7 @@
     }
 
     /// Takes a heartbeat in.
-    pub fn hear(&self, report: InstanceReport) -> Intake {
+    pub fn hear(&self, report: InstanceReport) -> HeartbeatOutcome {
         let described = format!(
             "instance={} started={} service={} address={} zone={} state={:?} models={:?} sequence={}",
             report.name,
@@ -88,16 +90,16 @@
         );
         let intake = self.lock().observe(report, self.now());
         match intake {
-            Intake::News => log::info!("event=instance_heard {described}"),
-            Intake::Restarted { former } => {
+            HeartbeatOutcome::Changed => log::info!("event=instance_heard {described}"),
+            HeartbeatOutcome::Restarted { former } => {
                 log::info!("event=instance_restarted {described} former={}", former.unix_ms());
             }
-            Intake::OtherWriter => {
+            HeartbeatOutcome::NameConflict => {
                 log::warn!("event=heartbeat_refused reason=no_start_time {described}");
             }
-            Intake::Known | Intake::Overtaken => {}
+            HeartbeatOutcome::Unchanged | HeartbeatOutcome::Outdated => {}
         }
-        if matches!(intake, Intake::News | Intake::Restarted { .. }) {
+        if matches!(intake, HeartbeatOutcome::Changed | HeartbeatOutcome::Restarted { .. }) {
             self.wake.notify_one();
         }
         intake
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -22,5 +22,5 @@
 pub use directory::{Directory, Instance};
 pub use incarnation::{InstanceId, InstanceName, StartTime, incarnations, names_and_starts};
 pub use instance_map::{InstanceChanges, InstanceMap};
-pub use observed::{Intake, ObservedInstance, ObservedInstances};
+pub use observed::{HeartbeatOutcome, ObservedInstance, ObservedInstances};
 pub use report::{InstanceReport, InstanceState, ModelHolding};
--- a/crates/registry/src/observed.rs
+++ b/crates/registry/src/observed.rs
@@ -34,21 +34,21 @@
 
 /// Effect of a heartbeat on the known servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Intake {
+pub enum HeartbeatOutcome {
     /// The server is new or its report has changed.
-    News,
+    Changed,
     /// The report has not changed.
-    Known,
+    Unchanged,
     /// The server has restarted: all that was known of its former incarnation is void.
     Restarted {
         /// Start time of the former incarnation.
         former: StartTime,
     },
     /// A later heartbeat or incarnation is already known.
-    Overtaken,
+    Outdated,
     /// The heartbeat has no start time although the server has reported one: another process uses
     /// the server's name.
-    OtherWriter,
+    NameConflict,
 }
 
 #[derive(Clone, Debug)]
@@ -102,33 +102,33 @@
     }
 
     /// Records a heartbeat.
-    pub fn observe(&mut self, report: InstanceReport, now: Timestamp) -> Intake {
+    pub fn observe(&mut self, report: InstanceReport, now: Timestamp) -> HeartbeatOutcome {
         let from_heartbeat = AgeBound::from_report(&report, now);
         let Some(entry) = self.entries.get_mut(&report.name) else {
             self.insert(report, from_heartbeat, now);
-            return Intake::News;
+            return HeartbeatOutcome::Changed;
         };
         let known = &entry.instance.report;
         if known.started.is_known() && !report.started.is_known() {
-            return Intake::OtherWriter;
+            return HeartbeatOutcome::NameConflict;
         }
         if report.is_superseded_by(known) {
-            return Intake::Overtaken;
+            return HeartbeatOutcome::Outdated;
         }
         if report.started != known.started {
             let former = known.started;
             self.insert(report, from_heartbeat, now);
-            return Intake::Restarted { former };
+            return HeartbeatOutcome::Restarted { former };
         }
         entry.observed_at = now;
         entry.age_bound = entry.age_bound.greater(from_heartbeat, now);
         if !entry.instance.silent && known.has_same_content(&report) {
             entry.instance.report = report;
-            return Intake::Known;
+            return HeartbeatOutcome::Unchanged;
         }
         let age_bound = entry.age_bound;
         self.insert(report, age_bound, now);
-        Intake::News
+        HeartbeatOutcome::Changed
     }
 
     fn insert(&mut self, report: InstanceReport, age_bound: AgeBound, now: Timestamp) {
--- a/crates/registry/tests/incarnations.rs
+++ b/crates/registry/tests/incarnations.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use juniper_registry::{
-    Departure, Directory, InstanceId, InstanceName, InstanceReport, InstanceState, Intake,
-    ObservedInstance, ObservedInstances, StartTime,
+    Departure, Directory, HeartbeatOutcome, InstanceId, InstanceName, InstanceReport,
+    InstanceState, ObservedInstance, ObservedInstances, StartTime,
 };
 use juniper_types::{NodeId, Timestamp};
 use quickcheck::quickcheck;
@@ -48,29 +48,29 @@
 #[test]
 fn a_later_start_supersedes_an_earlier_one_whatever_the_sequence_numbers() {
     let mut known = ObservedInstances::new(SILENT_AFTER);
-    assert_eq!(known.observe(report(100, 40), at(0)), Intake::News);
+    assert_eq!(known.observe(report(100, 40), at(0)), HeartbeatOutcome::Changed);
     let former = StartTime::from_unix_ms(100);
-    assert_eq!(known.observe(report(200, 1), at(1)), Intake::Restarted { former });
+    assert_eq!(known.observe(report(200, 1), at(1)), HeartbeatOutcome::Restarted { former });
     // The last heartbeat of the earlier incarnation arrives late.
     let last = InstanceReport { state: InstanceState::Draining, ..report(100, 41) };
-    assert_eq!(known.observe(last, at(2)), Intake::Overtaken);
+    assert_eq!(known.observe(last, at(2)), HeartbeatOutcome::Outdated);
     assert_eq!(
         known.changes_after(0, at(2)),
         [ObservedInstance { age_ms: 1_000, ..observed(200, 1) }]
     );
-    assert_eq!(known.observe(report(200, 2), at(3)), Intake::Known);
+    assert_eq!(known.observe(report(200, 2), at(3)), HeartbeatOutcome::Unchanged);
 }
 
 #[test]
 fn a_heartbeat_without_a_start_time_is_rejected_if_the_server_has_reported_one() {
     let mut known = ObservedInstances::new(SILENT_AFTER);
     known.observe(report(100, 1), at(0));
-    assert_eq!(known.observe(report(0, 99), at(1)), Intake::OtherWriter);
+    assert_eq!(known.observe(report(0, 99), at(1)), HeartbeatOutcome::NameConflict);
     assert_eq!(known.start_of(&InstanceName::new("a")), Some(StartTime::from_unix_ms(100)));
     // A server that has never reported a start time is unaffected.
     let mut without_start = ObservedInstances::new(SILENT_AFTER);
     without_start.observe(report(0, 1), at(0));
-    assert_eq!(without_start.observe(report(0, 2), at(1)), Intake::Known);
+    assert_eq!(without_start.observe(report(0, 2), at(1)), HeartbeatOutcome::Unchanged);
 }
 
 #[test]
--- a/crates/registry/tests/registry.rs
+++ b/crates/registry/tests/registry.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use juniper_registry::{
-    Departure, Directory, InstanceId, InstanceName, InstanceReport, InstanceState, Intake,
-    ModelHolding, ObservedInstance, ObservedInstances, StartTime,
+    Departure, Directory, HeartbeatOutcome, InstanceId, InstanceName, InstanceReport,
+    InstanceState, ModelHolding, ObservedInstance, ObservedInstances, StartTime,
 };
 use juniper_types::{NodeId, Timestamp};
 
@@ -48,14 +48,14 @@
 #[test]
 fn an_outdated_heartbeat_changes_nothing() {
     let mut known = ObservedInstances::new(SILENT_AFTER);
-    assert_eq!(known.observe(report("a", 3), at(0)), Intake::News);
+    assert_eq!(known.observe(report("a", 3), at(0)), HeartbeatOutcome::Changed);
     let late = InstanceReport { state: InstanceState::Draining, ..report("a", 2) };
-    assert_eq!(known.observe(late, at(1)), Intake::Overtaken);
+    assert_eq!(known.observe(late, at(1)), HeartbeatOutcome::Outdated);
     assert_eq!(without_age(known.changes_after(0, at(7))), [observed("a", 3, false)]);
-    assert_eq!(known.observe(report("a", 4), at(1)), Intake::Known);
+    assert_eq!(known.observe(report("a", 4), at(1)), HeartbeatOutcome::Unchanged);
     let renewed = ModelHolding { model: "m".to_owned(), version: 2 };
     let renewed = InstanceReport { models: vec![renewed], ..report("a", 5) };
-    assert_eq!(known.observe(renewed, at(2)), Intake::News);
+    assert_eq!(known.observe(renewed, at(2)), HeartbeatOutcome::Changed);
 }
 
 #[test]
@@ -67,7 +67,7 @@
     assert_eq!(known.expire(at(5)), [InstanceId::new("a")]);
     assert_eq!(known.expire(at(6)), []);
     assert_eq!(without_age(known.changes_after(before, at(7))), [observed("a", 1, true)]);
-    assert_eq!(known.observe(report("a", 2), at(7)), Intake::News);
+    assert_eq!(known.observe(report("a", 2), at(7)), HeartbeatOutcome::Changed);
     assert_eq!(without_age(known.changes_after(before, at(7))), [observed("a", 2, false)]);
 }
 
