--- a/crates/control/src/instances.rs
+++ b/crates/control/src/instances.rs
@@ -107,7 +107,7 @@
 
     /// When the incarnation started that this replica heard last under a name, if it tells.
     pub fn start_of(&self, name: &InstanceName) -> Option<StartTime> {
-        self.lock().start_of(name)
+        self.lock().latest_start(name)
     }
 
     /// A push of what changed after `after`, or of everything, with the number of the latest
--- a/crates/registry/src/observed.rs
+++ b/crates/registry/src/observed.rs
@@ -140,7 +140,7 @@
     }
 
     /// Start time of the latest known incarnation of a server, if it reported one.
-    pub fn start_of(&self, name: &InstanceName) -> Option<StartTime> {
+    pub fn latest_start(&self, name: &InstanceName) -> Option<StartTime> {
         let entry = self.entries.get(name)?;
         Some(entry.instance.report.started).filter(|started| started.is_known())
     }
--- a/crates/registry/tests/incarnations.rs
+++ b/crates/registry/tests/incarnations.rs
@@ -66,7 +66,7 @@
     let mut known = ObservedInstances::new(SILENT_AFTER);
     known.observe(report(100, 1), at(0));
     assert_eq!(known.observe(report(0, 99), at(1)), HeartbeatOutcome::NameConflict);
-    assert_eq!(known.start_of(&InstanceName::new("a")), Some(StartTime::from_unix_ms(100)));
+    assert_eq!(known.latest_start(&InstanceName::new("a")), Some(StartTime::from_unix_ms(100)));
     // A server that has never reported a start time is unaffected.
     let mut without_start = ObservedInstances::new(SILENT_AFTER);
     without_start.observe(report(0, 1), at(0));
