--- a/crates/control/src/instances.rs
+++ b/crates/control/src/instances.rs
@@ -170,7 +170,7 @@
 
     fn expire(&self) {
         let mut heard = self.lock();
-        let expired = heard.expire(self.now());
+        let expired = heard.mark_silent(self.now());
         for id in &expired {
             log::warn!("event=instance_silent instance={id} after_ms={}", SILENT_AFTER.as_millis());
         }
--- a/crates/registry/src/observed.rs
+++ b/crates/registry/src/observed.rs
@@ -146,7 +146,7 @@
     }
 
     /// Marks servers as silent whose heartbeats are overdue, and returns the newly marked ones.
-    pub fn expire(&mut self, now: Timestamp) -> Vec<InstanceId> {
+    pub fn mark_silent(&mut self, now: Timestamp) -> Vec<InstanceId> {
         let mut expired = Vec::new();
         self.entries.retain(|_, entry| now.since(entry.observed_at) < RETENTION);
         for entry in self.entries.values_mut() {
--- a/crates/registry/tests/registry.rs
+++ b/crates/registry/tests/registry.rs
@@ -62,10 +62,10 @@
 fn silence_is_reported_once_and_ends_with_the_next_heartbeat() {
     let mut known = ObservedInstances::new(SILENT_AFTER);
     known.observe(report("a", 1), at(0));
-    assert_eq!(known.expire(at(4)), []);
+    assert_eq!(known.mark_silent(at(4)), []);
     let before = known.revision();
-    assert_eq!(known.expire(at(5)), [InstanceId::new("a")]);
-    assert_eq!(known.expire(at(6)), []);
+    assert_eq!(known.mark_silent(at(5)), [InstanceId::new("a")]);
+    assert_eq!(known.mark_silent(at(6)), []);
     assert_eq!(without_age(known.changes_after(before, at(7))), [observed("a", 1, true)]);
     assert_eq!(known.observe(report("a", 2), at(7)), HeartbeatOutcome::Changed);
     assert_eq!(without_age(known.changes_after(before, at(7))), [observed("a", 2, false)]);
