--- a/crates/placement/src/notices.rs
+++ b/crates/placement/src/notices.rs
@@ -47,7 +47,7 @@
         self.mark(server, |server| server.is_leaving = true);
         self.departures.add(&Departure::of(server), now);
         let servers = &self.servers;
-        self.departures.forget(now, |name| servers.contains_key(name));
+        self.departures.expire(now, |name| servers.contains_key(name));
         true
     }
 
--- a/crates/registry/src/departure.rs
+++ b/crates/registry/src/departure.rs
@@ -69,7 +69,7 @@
     }
 
     /// Removes departures of servers that have left no trace for the retention time.
-    pub fn forget(&mut self, now: Timestamp, is_known: impl Fn(&InstanceName) -> bool) {
+    pub fn expire(&mut self, now: Timestamp, is_known: impl Fn(&InstanceName) -> bool) {
         if self.known.len() < self.next_expiry_count.max(MIN_EXPIRY_COUNT) {
             return;
         }
--- a/crates/registry/src/directory.rs
+++ b/crates/registry/src/directory.rs
@@ -123,7 +123,7 @@
         self.departures.add(departure, now);
         self.update_merged(&departure.name);
         let merged = &self.merged;
-        self.departures.forget(now, |name| merged.contains_key(name));
+        self.departures.expire(now, |name| merged.contains_key(name));
     }
 
     /// Removes servers that have been silent for the retention time, so that memory use depends on
--- a/crates/renewal/src/giver.rs
+++ b/crates/renewal/src/giver.rs
@@ -271,7 +271,7 @@
             known.map(|known| &known.report)
         };
         self.orders.retain(|instance, _| report(instance).is_some());
-        self.departures.forget(self.now(), |name| view.instances.get(name).is_some());
+        self.departures.expire(self.now(), |name| view.instances.get(name).is_some());
         self.versions.retain(|(instance, model), version| {
             report(instance).is_some_and(|report| report.version_of(model) < Some(*version))
         });
