--- a/crates/protocol/src/fleet.rs
+++ b/crates/protocol/src/fleet.rs
@@ -2,7 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use juniper_registry::{InstanceId, InstanceName, StartTime, incarnations, names_and_starts};
+use juniper_registry::{
+    InstanceId, InstanceName, StartTime, join_incarnations, split_incarnations,
+};
 use juniper_types::{NodeId, RequestFingerprint, ZoneName};
 use minicbor::{Decode, Encode};
 
@@ -115,13 +117,13 @@
 impl Cleared {
     /// Ends of these incarnations don't count against the request.
     pub fn of(request: RequestFingerprint, cleared: &[InstanceId]) -> Self {
-        let (instances, starts) = names_and_starts(cleared);
+        let (instances, starts) = split_incarnations(cleared);
         Cleared { request, instances, starts }
     }
 
     /// The incarnations whose ends don't count any more.
     pub fn ids(&self) -> Vec<InstanceId> {
-        incarnations(self.instances.clone(), &self.starts)
+        join_incarnations(self.instances.clone(), &self.starts)
     }
 }
 
@@ -267,7 +269,7 @@
 impl FleetNews {
     /// The departures, each with the incarnations that it covers.
     pub fn departed(&self) -> Vec<InstanceId> {
-        incarnations(self.departures.clone(), &self.departed_through)
+        join_incarnations(self.departures.clone(), &self.departed_through)
     }
 }
 
@@ -308,19 +310,19 @@
         under_way: impl IntoIterator<Item = &'a InstanceId>,
         ended: impl IntoIterator<Item = &'a InstanceId>,
     ) -> Self {
-        let (under_way, under_way_starts) = names_and_starts(under_way);
-        let (ended, ended_starts) = names_and_starts(ended);
+        let (under_way, under_way_starts) = split_incarnations(under_way);
+        let (ended, ended_starts) = split_incarnations(ended);
         RenewalNews { under_way, under_way_starts, ended, ended_starts, ..self }
     }
 
     /// Incarnations that take no new requests.
     pub fn ids_under_way(&self) -> Vec<InstanceId> {
-        incarnations(self.under_way.clone(), &self.under_way_starts)
+        join_incarnations(self.under_way.clone(), &self.under_way_starts)
     }
 
     /// Incarnations that take new requests again.
     pub fn ids_ended(&self) -> Vec<InstanceId> {
-        incarnations(self.ended.clone(), &self.ended_starts)
+        join_incarnations(self.ended.clone(), &self.ended_starts)
     }
 }
 
--- a/crates/registry/src/incarnation.rs
+++ b/crates/registry/src/incarnation.rs
@@ -125,13 +125,13 @@
 
 /// Joins the names and start times of a message to incarnations. Earlier builds send no start
 /// times; missing ones are unknown.
-pub fn incarnations(names: Vec<InstanceName>, starts: &[StartTime]) -> Vec<InstanceId> {
+pub fn join_incarnations(names: Vec<InstanceName>, starts: &[StartTime]) -> Vec<InstanceId> {
     let starts = starts.iter().copied().chain(std::iter::repeat(StartTime::UNKNOWN));
     names.into_iter().zip(starts).map(|(name, start)| InstanceId::started_at(name, start)).collect()
 }
 
 /// Splits incarnations into the names and start times of a message.
-pub fn names_and_starts<'a>(
+pub fn split_incarnations<'a>(
     instances: impl IntoIterator<Item = &'a InstanceId>,
 ) -> (Vec<InstanceName>, Vec<StartTime>) {
     instances.into_iter().map(|id| (id.name.clone(), id.started)).unzip()
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -20,7 +20,7 @@
 
 pub use departure::{Departure, Departures};
 pub use directory::{Directory, Instance};
-pub use incarnation::{InstanceId, InstanceName, StartTime, incarnations, names_and_starts};
+pub use incarnation::{InstanceId, InstanceName, StartTime, join_incarnations, split_incarnations};
 pub use instance_map::{InstanceChanges, InstanceMap};
 pub use observed::{HeartbeatOutcome, ObservedInstance, ObservedInstances};
 pub use report::{InstanceReport, InstanceState, ModelHolding};
