--- a/crates/feed/tests/view_builder.rs
+++ b/crates/feed/tests/view_builder.rs
@@ -10,7 +10,7 @@
     CatalogBody, FleetNews, KnownVersion, QuarantineNews, RenewalNews,
 };
 use juniper_registry::{
-    InstanceId, InstanceName, InstanceReport, InstanceState, ModelHolding, ObservedInstance,
+    InstanceId, InstanceName, InstanceReport, InstanceState, LoadedModel, ObservedInstance,
     StartTime,
 };
 use juniper_types::{NodeId, RequestFingerprint, Timestamp};
@@ -50,7 +50,7 @@
         slots: 4,
         state: InstanceState::Ready,
         cold_remaining_ms: 0,
-        models: vec![ModelHolding { model: "m".to_owned(), version: 1 }],
+        models: vec![LoadedModel { model: "m".to_owned(), version: 1 }],
         sequence,
     };
     ObservedInstance { report, silent: false, age_ms: 0 }
@@ -177,7 +177,7 @@
     builder.apply_instances(FIRST, vec![observed("a", 1), observed("b", 1)], true, Timestamp::ZERO);
     builder.apply_renewals(FIRST, renewing(&[], &[], &[("a", 2)]));
     let mut reported = observed("a", 2);
-    reported.report.models = vec![ModelHolding { model: "m".to_owned(), version: 2 }];
+    reported.report.models = vec![LoadedModel { model: "m".to_owned(), version: 2 }];
     builder.apply_instances(FIRST, vec![reported], false, Timestamp::ZERO);
     builder.apply_renewals(FIRST, renewing(&[], &[], &[("b", 2), ("gone", 2)]));
     let versions = builder.view().versions.iter();
--- a/crates/placement/tests/support/mod.rs
+++ b/crates/placement/tests/support/mod.rs
@@ -12,7 +12,7 @@
     Choice, Outcome, Placement, Prompt, PromptPart, ServerRequest, ServiceProfile,
 };
 use juniper_registry::{
-    Instance, InstanceId, InstanceMap, InstanceName, InstanceReport, InstanceState, ModelHolding,
+    Instance, InstanceId, InstanceMap, InstanceName, InstanceReport, InstanceState, LoadedModel,
     StartTime,
 };
 use juniper_types::Timestamp;
@@ -37,7 +37,7 @@
         slots: 32,
         state: InstanceState::Ready,
         cold_remaining_ms: 0,
-        models: vec![ModelHolding { model: "m".to_owned(), version }],
+        models: vec![LoadedModel { model: "m".to_owned(), version }],
         sequence: 1,
     };
     Instance::of(report)
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -23,4 +23,4 @@
 pub use incarnation::{InstanceId, InstanceName, StartTime, join_incarnations, split_incarnations};
 pub use instance_map::{InstanceChanges, InstanceMap};
 pub use observed::{HeartbeatOutcome, ObservedInstance, ObservedInstances};
-pub use report::{InstanceReport, InstanceState, ModelHolding};
+pub use report::{InstanceReport, InstanceState, LoadedModel};
--- a/crates/registry/src/report.rs
+++ b/crates/registry/src/report.rs
@@ -19,7 +19,7 @@
 
 /// Model that a server has loaded.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct ModelHolding {
+pub struct LoadedModel {
     /// Name of the model.
     #[n(0)]
     pub model: String,
@@ -54,7 +54,7 @@
     pub cold_remaining_ms: u64,
     /// Loaded models.
     #[n(7)]
-    pub models: Vec<ModelHolding>,
+    pub models: Vec<LoadedModel>,
     /// Sequence number of the heartbeat within its incarnation.
     #[n(8)]
     pub sequence: u64,
--- a/crates/registry/tests/registry.rs
+++ b/crates/registry/tests/registry.rs
@@ -6,7 +6,7 @@
 
 use juniper_registry::{
     Departure, Directory, HeartbeatOutcome, InstanceId, InstanceName, InstanceReport,
-    InstanceState, ModelHolding, ObservedInstance, ObservedInstances, StartTime,
+    InstanceState, LoadedModel, ObservedInstance, ObservedInstances, StartTime,
 };
 use juniper_types::{NodeId, Timestamp};
 
@@ -26,7 +26,7 @@
         slots: 6,
         state: InstanceState::Ready,
         cold_remaining_ms: 0,
-        models: vec![ModelHolding { model: "m".to_owned(), version: 1 }],
+        models: vec![LoadedModel { model: "m".to_owned(), version: 1 }],
         sequence,
     }
 }
@@ -53,7 +53,7 @@
     assert_eq!(known.observe(late, at(1)), HeartbeatOutcome::Outdated);
     assert_eq!(without_age(known.changes_after(0, at(7))), [observed("a", 3, false)]);
     assert_eq!(known.observe(report("a", 4), at(1)), HeartbeatOutcome::Unchanged);
-    let renewed = ModelHolding { model: "m".to_owned(), version: 2 };
+    let renewed = LoadedModel { model: "m".to_owned(), version: 2 };
     let renewed = InstanceReport { models: vec![renewed], ..report("a", 5) };
     assert_eq!(known.observe(renewed, at(2)), HeartbeatOutcome::Changed);
 }
