--- a/crates/crash-watch/src/watch.rs
+++ b/crates/crash-watch/src/watch.rs
@@ -91,7 +91,7 @@
 
     /// Records that the connection of a request broke before its answer was complete, on a server
     /// that wasn't departing.
-    pub fn note_cut(
+    pub fn record_interrupted_request(
         &self,
         instance: &InstanceId,
         address: SocketAddr,
--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -22,7 +22,7 @@
         // One that isn't known is leaving or has left: its end says nothing of the request.
         if let Some(known) = known {
             let address = SocketAddr::V4(known.report.address);
-            self.crashes.note_cut(instance, address, fingerprint, sent_at);
+            self.crashes.record_interrupted_request(instance, address, fingerprint, sent_at);
         }
     }
 
--- a/crates/router/src/crashes.rs
+++ b/crates/router/src/crashes.rs
@@ -129,7 +129,7 @@
             // Its end is planned, and says nothing of the request.
             return;
         }
-        self.watch.note_cut(&life, sent.address, fingerprint, sent.sent_at);
+        self.watch.record_interrupted_request(&life, sent.address, fingerprint, sent.sent_at);
         if lock(&self.looked_at).insert(life.clone()) {
             let crashes = Arc::clone(self);
             tokio::spawn(async move {
