--- a/crates/crash-watch/src/watch.rs
+++ b/crates/crash-watch/src/watch.rs
@@ -104,7 +104,7 @@
     }
 
     /// Records proof that a server has crashed.
-    pub fn note_ended(&self, instance: &InstanceId, proof: CrashProof) {
+    pub fn record_server_crash(&self, instance: &InstanceId, proof: CrashProof) {
         let crash = lock(&self.interrupted).proved(instance, proof, self.now());
         self.handle_crash(crash);
     }
--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -28,7 +28,7 @@
 
     /// Nobody listens at the server's address any more.
     pub(crate) fn note_refused(&self, instance: &InstanceId) {
-        self.crashes.note_ended(instance, CrashProof::Refused);
+        self.crashes.record_server_crash(instance, CrashProof::Refused);
     }
 
     /// A server has answered the request whole.
--- a/crates/router/src/crashes.rs
+++ b/crates/router/src/crashes.rs
@@ -163,7 +163,7 @@
         while begun.elapsed() < LOOK_FOR {
             if let Some(proof) = self.proof(&sent).await {
                 *lock(&self.ends_seen).entry(sent.back_end).or_default() += 1;
-                return self.watch.note_ended(life, proof);
+                return self.watch.record_server_crash(life, proof);
             }
             sleep(LOOK_PAUSE).await;
         }
