--- a/crates/crash-watch/src/watch.rs
+++ b/crates/crash-watch/src/watch.rs
@@ -154,7 +154,7 @@
     }
 
     /// Records that a server completed the request, which clears it of earlier crashes.
-    pub fn note_answered(&self, id: &str, request: RequestFingerprint) {
+    pub fn record_completed_request(&self, id: &str, request: RequestFingerprint) {
         lock(&self.completed).note(&request);
         let clearance = lock(&self.counts).answered(request, self.now());
         let Some(clearance) = clearance else { return };
--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -34,7 +34,7 @@
     /// A server has answered the request whole.
     pub(crate) fn note_answered(&self, call: &Call) {
         let fingerprint = call.fingerprint(&self.settings.fingerprint_key);
-        self.crashes.note_answered(call.id(), fingerprint);
+        self.crashes.record_completed_request(call.id(), fingerprint);
     }
 
     /// Whether the request must be sent to no server.
--- a/crates/router/src/crashes.rs
+++ b/crates/router/src/crashes.rs
@@ -116,7 +116,7 @@
 
     /// A back end has answered the request whole.
     pub fn note_answered(&self, id: &str, asked: &AskedRequest<'_>) {
-        self.watch.note_answered(id, self.name(asked));
+        self.watch.record_completed_request(id, self.name(asked));
     }
 
     /// The connection broke before the answer was whole. Whether the back end has ended is found
