--- a/crates/crash-watch/src/watch.rs
+++ b/crates/crash-watch/src/watch.rs
@@ -177,7 +177,7 @@
 
     /// Applies a view of the fleet: incarnations of servers, and recorded quarantines. The count of
     /// a request that was released starts anew.
-    pub fn take_over(&self, view: &FleetView) {
+    pub fn apply_view(&self, view: &FleetView) {
         self.find_restarts(view);
         let mut recorded = lock(&self.recorded);
         if Arc::ptr_eq(&recorded, &view.quarantined) {
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -164,7 +164,7 @@
             placement.saw_version(&known.id(), known.version);
         }
         drop(placement);
-        self.crashes.take_over(view);
+        self.crashes.apply_view(view);
         self.views_taken.send_modify(|taken| *taken += 1);
     }
 
--- a/crates/router/src/crashes.rs
+++ b/crates/router/src/crashes.rs
@@ -186,7 +186,7 @@
     let mut view = feed.view();
     loop {
         let latest = Arc::clone(&view.borrow_and_update());
-        watch.take_over(&latest);
+        watch.apply_view(&latest);
         if view.changed().await.is_err() {
             return;
         }
