--- a/crates/crash-watch/src/watch.rs
+++ b/crates/crash-watch/src/watch.rs
@@ -249,7 +249,7 @@
                 },
                 crashes = self.outbox.next_update() => {
                     let update = RouterNews { crashes: Some(crashes), ..RouterNews::default() };
-                    self.feed.tell(update).await;
+                    self.feed.publish(update).await;
                 }
                 // The timer is polled only when there is work, so that an idle task doesn't wake
                 // up.
--- a/crates/feed/src/feed.rs
+++ b/crates/feed/src/feed.rs
@@ -96,9 +96,9 @@
     }
 
     /// Publishes an update to the other routers.
-    pub async fn tell(&self, news: RouterNews) {
+    pub async fn publish(&self, update: RouterNews) {
         // Sending fails only if the actor has stopped.
-        let _ = self.actor.tell(PublishToRouters(news)).await;
+        let _ = self.actor.tell(PublishToRouters(update)).await;
     }
 
     /// Asks a replica to record a request as quarantined. `rank` selects the replica; callers retry
--- a/crates/gateway/src/news.rs
+++ b/crates/gateway/src/news.rs
@@ -142,7 +142,7 @@
     gateway.metrics.sightings_left_out.inc_by(left_out as u64);
     if !told.is_empty() {
         budget.spend(told.sightings.len());
-        gateway.feed.tell(told).await;
+        gateway.feed.publish(told).await;
     }
 }
 
