--- a/crates/crash-watch/src/watch.rs
+++ b/crates/crash-watch/src/watch.rs
@@ -234,7 +234,7 @@
 
     /// Exchanges reports with the other routers and has quarantines recorded. Runs forever.
     pub async fn run(self: Arc<Self>) {
-        let mut received = self.feed.news();
+        let mut received = self.feed.subscribe_router_updates();
         let mut ticks = interval(MAINTENANCE_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut round = 0;
--- a/crates/feed/src/feed.rs
+++ b/crates/feed/src/feed.rs
@@ -91,7 +91,7 @@
     }
 
     /// Subscribes to the updates of other routers.
-    pub fn news(&self) -> broadcast::Receiver<RelayedBatch> {
+    pub fn subscribe_router_updates(&self) -> broadcast::Receiver<RelayedBatch> {
         self.router_updates.subscribe()
     }
 
--- a/crates/gateway/src/news.rs
+++ b/crates/gateway/src/news.rs
@@ -118,7 +118,7 @@
 
 /// Tells the other routers what they should know, and learns it from them, for ever.
 pub(crate) async fn share(gateway: Arc<Gateway>) {
-    let mut received = gateway.feed.news();
+    let mut received = gateway.feed.subscribe_router_updates();
     let mut budget = SightingBudget::default();
     loop {
         tokio::select! {
