--- a/crates/feed/src/feed.rs
+++ b/crates/feed/src/feed.rs
@@ -81,7 +81,7 @@
     }
 
     /// Number of routers that follow the replicas.
-    pub fn routers(&self) -> u32 {
+    pub fn router_count(&self) -> u32 {
         *self.router_count.borrow()
     }
 
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -132,7 +132,7 @@
         }
         // One at least; a higher floor would add up to more than the server accepts.
         let for_requests = (f64::from(stated) * CONNECTION_PART) as u32;
-        FleetShare::even(self.feed.routers()).of_count(for_requests)
+        FleetShare::even(self.feed.router_count()).of_count(for_requests)
     }
 
     /// Takes over what the feed publishes, and closes idle connections, for ever.
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -144,7 +144,7 @@
                 (verdict, DecidedBy::Owner)
             }
             None => {
-                let routers = self.feed.routers();
+                let routers = self.feed.router_count();
                 let verdict = local.decide(&request(charge), routers, now, rand::random());
                 (verdict, DecidedBy::Share)
             }
--- a/crates/gateway/src/news.rs
+++ b/crates/gateway/src/news.rs
@@ -137,7 +137,7 @@
 
 /// Tells the others as much as the budget allows.
 async fn tell(gateway: &Gateway, budget: &mut SightingBudget) {
-    let allowed = budget.allowed(gateway.feed.routers(), gateway.now());
+    let allowed = budget.allowed(gateway.feed.router_count(), gateway.now());
     let (told, left_out) = gateway.news.take(allowed);
     gateway.metrics.sightings_left_out.inc_by(left_out as u64);
     if !told.is_empty() {
--- a/crates/gateway/src/search.rs
+++ b/crates/gateway/src/search.rs
@@ -146,7 +146,7 @@
             return true;
         }
         let now = self.gateway.now();
-        let routers = self.gateway.feed.routers();
+        let routers = self.gateway.feed.router_count();
         let taken = self.gateway.budget().take(&self.call.service, routers, now);
         if !taken {
             self.gateway.metrics.budget_spent.inc();
