--- a/crates/feed/src/feed.rs
+++ b/crates/feed/src/feed.rs
@@ -133,7 +133,7 @@
 
     /// Refunds units at the owner of the account because no server executed the request. If the
     /// owner can't be reached, later requests are admitted somewhat later.
-    pub async fn give_back(&self, account: String, units: f64) {
+    pub async fn refund_charge(&self, account: String, units: f64) {
         // Sending fails only if the actor has stopped.
         let _ = self.actor.tell(RefundCharge { account, units }).await;
     }
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -194,7 +194,7 @@
         let LimitCharge { account, units, .. } = charged.0.clone();
         let feed = self.feed.clone();
         // The answer to the caller doesn't wait for it.
-        tokio::spawn(async move { feed.give_back(account, units).await });
+        tokio::spawn(async move { feed.refund_charge(account, units).await });
     }
 }
 
