--- a/crates/crash-watch/src/watch.rs
+++ b/crates/crash-watch/src/watch.rs
@@ -67,7 +67,7 @@
 
     /// Current time on the clock of the reports.
     pub fn now(&self) -> Timestamp {
-        Timestamp::ZERO.after(self.feed.started().elapsed())
+        Timestamp::ZERO.after(self.feed.time_origin().elapsed())
     }
 
     /// Fingerprint of the request if it is quarantined. `fingerprint` is called only if any request
--- a/crates/feed/src/feed.rs
+++ b/crates/feed/src/feed.rs
@@ -86,7 +86,7 @@
     }
 
     /// Origin of the timestamps in the view.
-    pub fn started(&self) -> Instant {
+    pub fn time_origin(&self) -> Instant {
         self.started
     }
 
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -93,7 +93,7 @@
 
     /// The time as the pure crates see it.
     pub(crate) fn now(&self) -> Timestamp {
-        Timestamp::ZERO.after(self.feed.started().elapsed())
+        Timestamp::ZERO.after(self.feed.time_origin().elapsed())
     }
 
     /// The servers. The guard must not be held across an await.
--- a/crates/renewal/src/giver.rs
+++ b/crates/renewal/src/giver.rs
@@ -146,7 +146,7 @@
     }
 
     fn now(&self) -> Timestamp {
-        Timestamp::ZERO.after(self.feed.started().elapsed())
+        Timestamp::ZERO.after(self.feed.time_origin().elapsed())
     }
 
     async fn take_lease(&mut self) {
