--- a/crates/membership/src/digest.rs
+++ b/crates/membership/src/digest.rs
@@ -16,7 +16,7 @@
 fn hash(update: &Update) -> u64 {
     let words = [
         update.member.node.0,
-        update.member.life.0,
+        update.member.incarnation.0,
         update.version,
         u64::from(update.liveness == Liveness::Suspect),
     ];
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -52,7 +52,7 @@
     pub address: SocketAddr,
     /// Incarnation, drawn at random at each start of the process.
     #[n(4)]
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
 }
 
 /// State of one member, as spread by gossip.
--- a/crates/membership/tests/group.rs
+++ b/crates/membership/tests/group.rs
@@ -39,7 +39,7 @@
         zone: ZoneName::new("hartford").expect("valid zone"),
         role: MemberRole::Router,
         address: address(node),
-        life: Incarnation(incarnation),
+        incarnation: Incarnation(incarnation),
     };
     Detector::new(
         DetectorConfig::default(),
@@ -159,7 +159,7 @@
             .iter()
             .filter(|(node, _)| **node != 7)
             .filter_map(|(_, detector)| detector.table().get(NodeId(7)))
-            .map(|known| known.update.member.life.0)
+            .map(|known| known.update.member.incarnation.0)
             .collect();
         assert_eq!(incarnations, BTreeSet::from([2]), "seed {seed}");
     }
--- a/crates/router/src/sharing/mod.rs
+++ b/crates/router/src/sharing/mod.rs
@@ -103,7 +103,7 @@
         let zone = &self.identity.zone;
         let near = peers.routers.iter().filter(|peer| peer.zone == *zone);
         let members: Vec<(RouterLife, SocketAddr)> = near
-            .map(|peer| (RouterLife { node: peer.node, life: peer.life }, peer.address))
+            .map(|peer| (RouterLife { node: peer.node, life: peer.incarnation }, peer.address))
             .collect();
         let mut state = self.lock();
         state.links.retain(|life, _| members.iter().any(|(member, _)| member == life));
