--- a/crates/feed/src/feed.rs
+++ b/crates/feed/src/feed.rs
@@ -71,7 +71,7 @@
 
     /// Time since a quorum confirmed that the view was complete, including time in which the host
     /// was suspended; `None` if it has never been confirmed.
-    pub fn age(&self) -> Option<Duration> {
+    pub fn confirmation_age(&self) -> Option<Duration> {
         self.confirmed_at.borrow().map(|at| at.elapsed())
     }
 
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -164,7 +164,7 @@
         Err(own) => {
             let shown = id.to_str().unwrap_or("-");
             let (reason, status) = (own.reason(), own.status().as_u16());
-            let age_ms = gateway.feed.age().map_or(-1, |age| age.as_millis() as i64);
+            let age_ms = gateway.feed.confirmation_age().map_or(-1, |age| age.as_millis() as i64);
             log::info!(
                 "event=request_refused request={shown} reason={reason} status={status} \
                  catalog={} age_ms={age_ms}",
@@ -194,7 +194,7 @@
         },
     };
     let view = gateway.feed.latest();
-    let (Some(index), Some(age)) = (view.catalog.clone(), gateway.feed.age()) else {
+    let (Some(index), Some(age)) = (view.catalog.clone(), gateway.feed.confirmation_age()) else {
         return Err(OwnAnswer::Starting);
     };
     let is_certain = age < gateway.settings.certain_age_limit();
--- a/crates/gateway/src/face.rs
+++ b/crates/gateway/src/face.rs
@@ -138,7 +138,7 @@
 pub(crate) async fn serve_metrics(gateway: Arc<Gateway>, listener: TcpListener) {
     serve_plain(listener, move || {
         let metrics = &gateway.metrics;
-        let age = gateway.feed.age().map_or(-1, |age| age.as_millis() as i64);
+        let age = gateway.feed.confirmation_age().map_or(-1, |age| age.as_millis() as i64);
         metrics.catalog_age_ms.set(age);
         let limited = gateway.placement().limited_servers();
         let resting = gateway.placement().resting_servers(gateway.now());
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -108,7 +108,7 @@
 
     /// Whether callers may be sent here.
     pub(crate) fn is_ready(&self) -> bool {
-        let age = self.feed.age();
+        let age = self.feed.confirmation_age();
         let is_current = age.is_some_and(|age| age < self.settings.ready_age_limit());
         *self.stop.borrow() == Stop::Running && self.has_started() && is_current
     }
--- a/crates/gateway/src/life.rs
+++ b/crates/gateway/src/life.rs
@@ -183,7 +183,7 @@
     loop {
         if gateway.is_ready() != ready {
             ready = !ready;
-            let age_ms = gateway.feed.age().map_or(-1, |age| age.as_millis() as i64);
+            let age_ms = gateway.feed.confirmation_age().map_or(-1, |age| age.as_millis() as i64);
             let version = gateway.feed.latest().catalog_version();
             log::info!("event=readiness ready={ready} catalog={version} age_ms={age_ms}");
         }
--- a/crates/gateway/src/starting.rs
+++ b/crates/gateway/src/starting.rs
@@ -66,7 +66,8 @@
 impl Gateway {
     /// Whether a configuration is known that a quorum has confirmed.
     pub(crate) fn has_started(&self) -> bool {
-        let has_started = self.feed.age().is_some() && self.feed.latest().catalog.is_some();
+        let has_started =
+            self.feed.confirmation_age().is_some() && self.feed.latest().catalog.is_some();
         if has_started {
             self.starting.started_at.get_or_init(Instant::now);
         }
