--- a/crates/crash-watch/src/outbox.rs
+++ b/crates/crash-watch/src/outbox.rs
@@ -49,13 +49,13 @@
 }
 
 fn encode_report(report: &CrashReport) -> Crash {
-    let as_millis = |time: Duration| u64::try_from(time.as_millis()).unwrap_or(u64::MAX);
+    let to_millis = |time: Duration| u64::try_from(time.as_millis()).unwrap_or(u64::MAX);
     Crash {
         request: report.request,
         instance: report.instance.name().clone(),
         started: report.instance.started(),
-        age_ms: as_millis(report.age),
-        under_way_ms: as_millis(report.under_way),
+        age_ms: to_millis(report.age),
+        under_way_ms: to_millis(report.under_way),
         ended_well: report.ended_well,
     }
 }
--- a/crates/feed/src/actor.rs
+++ b/crates/feed/src/actor.rs
@@ -75,7 +75,7 @@
 /// Actor behind [`Feed`](crate::Feed).
 pub(crate) struct FeedActor {
     pub(crate) settings: FeedSettings,
-    pub(crate) own_ref: ActorRef<FeedActor>,
+    pub(crate) self_ref: ActorRef<FeedActor>,
     started: Instant,
     /// Origin of the timestamps of confirmations; confirmation ages include time in which the host
     /// was suspended.
@@ -92,7 +92,7 @@
     pub(crate) relay: Option<NodeId>,
     /// Replicas to follow, in order of preference.
     pub(crate) followed: Vec<NodeId>,
-    /// Unreachable replicas, with the time of the latest attempt to connect.
+    /// Unreachable replicas, with the time of the latest connection loss or failed attempt.
     pub(crate) unreachable: BTreeMap<NodeId, Instant>,
 }
 
@@ -122,7 +122,7 @@
         let FeedArguments { settings, started, published } = arguments;
         let mut feed = FeedActor {
             settings,
-            own_ref: actor.clone(),
+            self_ref: actor.clone(),
             started,
             booted: BootInstant::now(),
             view_builder: FleetViewBuilder::default(),
--- a/crates/feed/src/links.rs
+++ b/crates/feed/src/links.rs
@@ -201,7 +201,7 @@
             address: self.settings.addresses.get(&node).copied(),
             key: self.settings.key.clone(),
             own: self.settings.own.clone(),
-            feed: self.own_ref.clone(),
+            feed: self.self_ref.clone(),
             confirmed_at: self.confirmed_at.subscribe(),
             commands: receiver,
         };
--- a/crates/feed/src/view.rs
+++ b/crates/feed/src/view.rs
@@ -35,7 +35,7 @@
         self.announced.back().map_or(0, |(version, _)| *version)
     }
 
-    /// Time at which the latest version was learned of.
+    /// Time at which this node learned of the latest version.
     pub fn since(&self) -> Option<Timestamp> {
         self.announced.back().map(|(_, since)| *since)
     }
--- a/crates/feed/tests/follow.rs
+++ b/crates/feed/tests/follow.rs
@@ -64,8 +64,7 @@
     assert_eq!(followed(3, &members, &all, false).len(), FOLLOWED_REPLICAS);
 }
 
-/// All followed replicas may be partitioned from the quorum; they stay followed, since they may not
-/// be.
+/// If all followed replicas may be partitioned from the quorum, more are followed besides them.
 #[test]
 fn without_confirmations_more_replicas_are_followed_and_none_is_dropped() {
     let members = group(25);
--- a/crates/registry/src/instance_map.rs
+++ b/crates/registry/src/instance_map.rs
@@ -6,15 +6,15 @@
 use crate::directory::Instance;
 use crate::incarnation::InstanceName;
 
-/// Number of buckets. A change copies one bucket and the list of buckets; with thousands of servers
-/// both are about as long as the square root of the number of servers. So is the comparison of two
-/// maps.
+/// Number of buckets. A change copies the list of buckets and one bucket; a comparison of two maps
+/// visits the list and the changed buckets. With thousands of servers both are far fewer entries
+/// than the whole map has.
 const BUCKETS: usize = 256;
 
 type Bucket = Vec<Arc<Instance>>;
 
-/// Map of servers by name. A copy costs one reference; two copies share all servers, and all
-/// buckets that are unchanged between them.
+/// Map of servers by name. A clone costs one reference; clones share all servers and buckets that
+/// are unchanged between them.
 #[derive(Clone, Debug)]
 pub struct InstanceMap {
     buckets: Arc<Vec<Arc<Bucket>>>,
