--- a/crates/control/src/fleet_calls.rs
+++ b/crates/control/src/fleet_calls.rs
@@ -9,8 +9,8 @@
 use juniper_control_state::{AcceptedCatalog, Answer, CatalogAnswer, Command, to_bytes};
 use juniper_protocol::Refusal;
 use juniper_registry::{
-    Departure, InstanceId, InstanceMap, InstanceName, InstanceReport, InstanceState, Intake,
-    StartTime,
+    Departure, HeartbeatOutcome, InstanceId, InstanceMap, InstanceName, InstanceReport,
+    InstanceState, StartTime,
 };
 use juniper_types::NodeId;
 
--- a/crates/control/src/instances.rs
+++ b/crates/control/src/instances.rs
@@ -86,18 +86,18 @@
             report.models.iter().map(|model| model.version).collect::<Vec<_>>(),
             report.sequence
         );
-        let intake = self.lock().hear(report, self.now());
+        let intake = self.lock().observe(report, self.now());
         match intake {
-            Intake::News => log::info!("event=instance_heard {described}"),
-            Intake::Restarted { former } => {
+            HeartbeatOutcome::Changed => log::info!("event=instance_heard {described}"),
+            HeartbeatOutcome::Restarted { former } => {
                 log::info!("event=instance_restarted {described} former={}", former.unix_ms());
             }
-            Intake::OtherWriter => {
+            HeartbeatOutcome::NameConflict => {
                 log::warn!("event=heartbeat_refused reason=no_start_time {described}");
             }
-            Intake::Known | Intake::Overtaken => {}
+            HeartbeatOutcome::Unchanged | HeartbeatOutcome::Outdated => {}
         }
-        if matches!(intake, Intake::News | Intake::Restarted { .. }) {
+        if matches!(intake, HeartbeatOutcome::Changed | HeartbeatOutcome::Restarted { .. }) {
             self.wake.notify_one();
         }
         intake
@@ -105,7 +105,7 @@
 
     /// Start time of the incarnation last observed under a name, if it reports one.
     pub fn start_of(&self, name: &InstanceName) -> Option<StartTime> {
-        self.lock().start_of(name)
+        self.lock().latest_start(name)
     }
 
     /// Returns the latest revision and a push of the changes after revision `after`, or of all
--- a/crates/feed/src/feed.rs
+++ b/crates/feed/src/feed.rs
@@ -71,7 +71,7 @@
 
     /// Time since a quorum confirmed that the view was complete, including time in which the host
     /// was suspended; `None` if it has never been confirmed.
-    pub fn age(&self) -> Option<Duration> {
+    pub fn confirmation_age(&self) -> Option<Duration> {
         self.confirmed_at.borrow().map(|at| at.elapsed())
     }
 
@@ -81,24 +81,24 @@
     }
 
     /// Number of routers that follow the replicas.
-    pub fn routers(&self) -> u32 {
+    pub fn router_count(&self) -> u32 {
         *self.router_count.borrow()
     }
 
     /// Origin of the timestamps in the view.
-    pub fn started(&self) -> Instant {
+    pub fn time_origin(&self) -> Instant {
         self.started
     }
 
     /// Subscribes to the updates of other routers.
-    pub fn news(&self) -> broadcast::Receiver<RelayedBatch> {
+    pub fn subscribe_router_updates(&self) -> broadcast::Receiver<RelayedBatch> {
         self.router_updates.subscribe()
     }
 
     /// Publishes an update to the other routers.
-    pub async fn tell(&self, news: RouterUpdate) {
+    pub async fn publish(&self, update: RouterUpdate) {
         // Sending fails only if the actor has stopped.
-        let _ = self.actor.tell(PublishToRouters(news)).await;
+        let _ = self.actor.tell(PublishToRouters(update)).await;
     }
 
     /// Asks a replica to record a request as quarantined. `rank` selects the replica; callers retry
@@ -133,7 +133,7 @@
 
     /// Refunds units at the owner of the account because no server executed the request. If the
     /// owner can't be reached, later requests are admitted somewhat later.
-    pub async fn give_back(&self, account: String, units: f64) {
+    pub async fn refund_charge(&self, account: String, units: f64) {
         // Sending fails only if the actor has stopped.
         let _ = self.actor.tell(RefundCharge { account, units }).await;
     }
--- a/crates/feed/src/links.rs
+++ b/crates/feed/src/links.rs
@@ -11,9 +11,9 @@
 use tokio::time::Instant;
 
 use crate::actor::FeedActor;
+use crate::follow::{FollowRequest, FollowScope, MAX_FULLY_FOLLOWED};
 use crate::link::{self, LinkCommand, LinkContext};
 use crate::relay::select_relay;
-use crate::selection::{FollowRequest, FollowScope, MAX_FULLY_FOLLOWED};
 
 /// Time for which an unreachable replica is followed only if no others are left.
 const UNREACHABLE_RETENTION: Duration = Duration::from_secs(5);
@@ -201,7 +201,7 @@
             address: self.settings.addresses.get(&node).copied(),
             key: self.settings.key.clone(),
             own: self.settings.own.clone(),
-            feed: self.own_ref.clone(),
+            feed: self.self_ref.clone(),
             confirmed_at: self.confirmed_at.subscribe(),
             commands: receiver,
         };
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -194,7 +194,7 @@
         },
     };
     let view = gateway.feed.latest();
-    let (Some(index), Some(age)) = (view.catalog.clone(), gateway.feed.age()) else {
+    let (Some(index), Some(age)) = (view.catalog.clone(), gateway.feed.confirmation_age()) else {
         return Err(OwnAnswer::Starting);
     };
     let may_reject = age < gateway.settings.rejection_age_limit();
--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -28,7 +28,7 @@
         // request.
         if let Some(known) = known {
             let address = SocketAddr::V4(known.report.address);
-            self.crashes.note_cut(instance, address, fingerprint, sent_at);
+            self.crashes.record_interrupted_request(instance, address, fingerprint, sent_at);
         }
     }
 
@@ -40,7 +40,7 @@
     /// Records that a server has answered the request completely.
     pub(crate) fn record_completed(&self, call: &Call) {
         let fingerprint = call.fingerprint(&self.settings.fingerprint_key);
-        self.crashes.note_answered(call.id(), fingerprint);
+        self.crashes.record_completed_request(call.id(), fingerprint);
     }
 
     /// Whether the request is quarantined and must not be sent to any server.
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -93,7 +93,7 @@
 
     /// Time since the feed was started, as `Timestamp`.
     pub(crate) fn now(&self) -> Timestamp {
-        Timestamp::ZERO.after(self.feed.started().elapsed())
+        Timestamp::ZERO.after(self.feed.time_origin().elapsed())
     }
 
     /// Locks the placement. The guard must not be held across an await.
@@ -108,7 +108,7 @@
 
     /// Whether the gateway accepts new callers.
     pub(crate) fn is_ready(&self) -> bool {
-        let age = self.feed.age();
+        let age = self.feed.confirmation_age();
         let is_current = age.is_some_and(|age| age < self.settings.ready_age_limit());
         *self.shutdown.borrow() == ShutdownPhase::Running && self.has_started() && is_current
     }
--- a/crates/gateway/src/listener.rs
+++ b/crates/gateway/src/listener.rs
@@ -141,7 +141,7 @@
 pub(crate) async fn serve_metrics(gateway: Arc<Gateway>, listener: TcpListener) {
     serve_internal(listener, move || {
         let metrics = &gateway.metrics;
-        let age = gateway.feed.age().map_or(-1, |age| age.as_millis() as i64);
+        let age = gateway.feed.confirmation_age().map_or(-1, |age| age.as_millis() as i64);
         metrics.catalog_age_ms.set(age);
         let limited = gateway.placement().limited_servers();
         let backing_off = gateway.placement().resting_servers(gateway.now());
--- a/crates/gateway/src/startup.rs
+++ b/crates/gateway/src/startup.rs
@@ -65,7 +65,8 @@
 impl Gateway {
     /// Whether a configuration confirmed by a quorum is known.
     pub(crate) fn has_started(&self) -> bool {
-        let has_started = self.feed.age().is_some() && self.feed.latest().catalog.is_some();
+        let has_started =
+            self.feed.confirmation_age().is_some() && self.feed.latest().catalog.is_some();
         if has_started {
             self.startup.started_at.get_or_init(Instant::now);
         }
--- a/crates/placement/src/notices.rs
+++ b/crates/placement/src/notices.rs
@@ -53,7 +53,7 @@
         self.mark_noticed(server, |server| server.is_departing = true);
         self.departures.add(&Departure::of(server), now);
         let servers = &self.servers;
-        self.departures.forget(now, |name| servers.contains_key(name));
+        self.departures.expire(now, |name| servers.contains_key(name));
         true
     }
 
--- a/crates/protocol/src/fleet.rs
+++ b/crates/protocol/src/fleet.rs
@@ -121,7 +121,7 @@
 
     /// Incarnations whose crashes no longer count.
     pub fn ids(&self) -> Vec<InstanceId> {
-        incarnations(self.instances.clone(), &self.starts)
+        join_incarnations(self.instances.clone(), &self.starts)
     }
 }
 
@@ -267,7 +267,7 @@
 impl FleetUpdate {
     /// Latest departed incarnation of each departed server.
     pub fn departed(&self) -> Vec<InstanceId> {
-        incarnations(self.departures.clone(), &self.departed_through)
+        join_incarnations(self.departures.clone(), &self.departed_through)
     }
 }
 
--- a/crates/renewal/src/order_dispatcher.rs
+++ b/crates/renewal/src/order_dispatcher.rs
@@ -147,7 +147,7 @@
     }
 
     fn now(&self) -> Timestamp {
-        Timestamp::ZERO.after(self.feed.started().elapsed())
+        Timestamp::ZERO.after(self.feed.time_origin().elapsed())
     }
 
     async fn acquire_lease(&mut self) {
@@ -272,7 +272,7 @@
             known.map(|known| &known.report)
         };
         self.orders.retain(|instance, _| report(instance).is_some());
-        self.departures.forget(self.now(), |name| view.instances.get(name).is_some());
+        self.departures.expire(self.now(), |name| view.instances.get(name).is_some());
         self.versions.retain(|(instance, model), version| {
             report(instance).is_some_and(|report| report.version_of(model) < Some(*version))
         });
--- a/crates/router/src/crashes.rs
+++ b/crates/router/src/crashes.rs
@@ -116,7 +116,7 @@
 
     /// A back end has answered the request whole.
     pub fn note_answered(&self, id: &str, asked: &AskedRequest<'_>) {
-        self.watch.note_answered(id, self.name(asked));
+        self.watch.record_completed_request(id, self.name(asked));
     }
 
     /// The connection broke before the answer was whole. Whether the back end has ended is found
@@ -129,7 +129,7 @@
             // Its end is planned, and says nothing of the request.
             return;
         }
-        self.watch.note_cut(&life, sent.address, fingerprint, sent.sent_at);
+        self.watch.record_interrupted_request(&life, sent.address, fingerprint, sent.sent_at);
         if lock(&self.looked_at).insert(life.clone()) {
             let crashes = Arc::clone(self);
             tokio::spawn(async move {
@@ -163,7 +163,7 @@
         while begun.elapsed() < LOOK_FOR {
             if let Some(proof) = self.proof(&sent).await {
                 *lock(&self.ends_seen).entry(sent.back_end).or_default() += 1;
-                return self.watch.note_ended(life, proof);
+                return self.watch.record_server_crash(life, proof);
             }
             sleep(LOOK_PAUSE).await;
         }
@@ -186,7 +186,7 @@
     let mut view = feed.view();
     loop {
         let latest = Arc::clone(&view.borrow_and_update());
-        watch.take_over(&latest);
+        watch.apply_view(&latest);
         if view.changed().await.is_err() {
             return;
         }
