--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -238,7 +238,7 @@
     attempt.is_reusable = !requests_close(response.headers());
     strip_hop_headers(response.headers_mut());
     let (head, body) = response.into_parts();
-    let facts = gateway.dialect.read_answer(&head, &call.facts.id, &choice.instance);
+    let facts = gateway.dialect.read_answer(&head, &call.info.id, &choice.instance);
     if let Some(version) = facts.version {
         gateway.placement().saw_version(&choice.instance, version);
     }
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -18,7 +18,7 @@
 use crate::answer::OwnAnswer;
 use crate::attempt::strip_hop_headers;
 use crate::body::AnswerBody;
-use crate::dialect::CallFacts;
+use crate::dialect::CallInfo;
 use crate::finish::own_answer;
 use crate::gateway::Gateway;
 use crate::limits::GrantedCharge;
@@ -53,7 +53,7 @@
 /// A caller's request that was matched with a route.
 pub(crate) struct Call {
     pub view: Arc<FleetView>,
-    pub facts: CallFacts,
+    pub info: CallInfo,
     pub route: Route,
     pub service: String,
     pub tenant: Option<String>,
@@ -79,7 +79,7 @@
 
 impl Call {
     pub(crate) fn has_prompt(&self) -> bool {
-        self.facts.prompt.is_some()
+        self.info.prompt.is_some()
     }
 
     pub(crate) fn objective(&self) -> Duration {
@@ -87,8 +87,8 @@
     }
 
     /// Tokens of the prompt and maximum of tokens generated, for limits; `None` without a prompt.
-    fn tokens(facts: &CallFacts) -> Option<u64> {
-        let prompt = facts.prompt.as_ref()?;
+    fn tokens(info: &CallInfo) -> Option<u64> {
+        let prompt = info.prompt.as_ref()?;
         Some(u64::from(prompt.tokens) + u64::from(prompt.output_tokens))
     }
 
@@ -108,7 +108,7 @@
 
     /// Request id for logs.
     pub(crate) fn id(&self) -> &str {
-        self.facts.id.to_str().unwrap_or("-")
+        self.info.id.to_str().unwrap_or("-")
     }
 
     /// Time left to the caller, also correct after a suspension.
@@ -149,16 +149,16 @@
 ) -> Option<Response<AnswerBody>> {
     let arrived = Instant::now();
     let (head, body) = request.into_parts();
-    let facts = match gateway.dialect.read_call(&head) {
-        Ok(facts) => facts,
+    let info = match gateway.dialect.read_call(&head) {
+        Ok(info) => info,
         Err(error) => {
             log::warn!("event=request_refused request=- reason=malformed fault=\"{error}\"");
             gateway.metrics.count_own_answer(None, OwnAnswer::Malformed);
             return Some(OwnAnswer::Malformed.response(&*gateway.dialect, None));
         }
     };
-    let id = facts.id.clone();
-    match admit(gateway, head, body, facts, arrived).await {
+    let id = info.id.clone();
+    match admit(gateway, head, body, info, arrived).await {
         Ok(Some(call)) => Some(serve(gateway, call).await),
         Ok(None) => None,
         Err(answer) => {
@@ -182,10 +182,10 @@
     gateway: &Arc<Gateway>,
     head: Parts,
     body: Incoming,
-    facts: CallFacts,
+    info: CallInfo,
     arrived: Instant,
 ) -> Result<Option<Call>, OwnAnswer> {
-    let timeout = facts.deadline.unwrap_or(DEFAULT_DEADLINE);
+    let timeout = info.timeout.unwrap_or(DEFAULT_DEADLINE);
     let body = match gateway.has_started() {
         true => RequestBody::Unread(body),
         false => match wait_for_start(gateway, &head.headers, body, arrived, timeout).await? {
@@ -202,7 +202,7 @@
     let Some(route) = position.and_then(|position| index.route(position)) else {
         return Err(if may_reject { OwnAnswer::NoRoute } else { OwnAnswer::Unconfirmed });
     };
-    let tenant = match index.access(route, facts.key.as_deref()) {
+    let tenant = match index.access(route, info.key.as_deref()) {
         KeyAccess::Tenant(tenant) if age < gateway.settings.key_age_limit() => Some(tenant),
         KeyAccess::Tenant(_) => return Err(OwnAnswer::Unconfirmed),
         KeyAccess::Open => None,
@@ -227,15 +227,15 @@
     headers.remove(CONTENT_LENGTH);
     let granted_charge = match tenant {
         Some(tenant) => {
-            let request_id = facts.id.to_str().unwrap_or("-");
-            let (version, tokens) = (index.catalog().version, Call::tokens(&facts));
+            let request_id = info.id.to_str().unwrap_or("-");
+            let (version, tokens) = (index.catalog().version, Call::tokens(&info));
             gateway.charge(request_id, tenant, version, tokens).await?
         }
         None => None,
     };
     let service = gateway.pick_service(route).ok_or(OwnAnswer::NoServer(NO_SERVER_RETRY_AFTER))?;
     Ok(Some(Call {
-        facts,
+        info,
         service,
         tenant: tenant.map(|tenant| tenant.name.clone()),
         granted_charge,
@@ -318,7 +318,7 @@
     let now = gateway.now();
     gateway.retry_budget().record_request(&call.service, now);
     let mut search = ServerSearch::new(gateway, &call);
-    match search.run(call.facts.last_event).await {
+    match search.run(call.info.last_event).await {
         Ok(answered) => {
             let progress = search.progress;
             relay::relay_answer(Arc::clone(gateway), call, answered, progress).await
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -11,11 +11,11 @@
 
 /// Contents of the head of a caller's request.
 #[derive(Clone, Debug)]
-pub struct CallFacts {
+pub struct CallInfo {
     /// The caller's id of the request, passed on unchanged.
     pub id: HeaderValue,
     /// Time for which the caller waits for the answer.
-    pub deadline: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// API key that the caller presents.
     pub key: Option<String>,
     /// The prompt, if the request describes one.
@@ -88,7 +88,7 @@
     ///
     /// # Errors
     /// Fails when a required header is missing or invalid.
-    fn read_call(&self, head: &request::Parts) -> Result<CallFacts, CallFault>;
+    fn read_call(&self, head: &request::Parts) -> Result<CallInfo, CallFault>;
 
     /// Turns the caller's headers into those of a request to a server.
     fn write_attempt(&self, headers: &mut HeaderMap, facts: &AttemptFacts<'_>);
--- a/crates/gateway/src/finish.rs
+++ b/crates/gateway/src/finish.rs
@@ -35,7 +35,7 @@
         gateway.refund(granted_charge);
     }
     gateway.metrics.count_own_answer(Some(call.route.kind), answer);
-    answer.response(&*gateway.dialect, Some(&call.facts.id))
+    answer.response(&*gateway.dialect, Some(&call.info.id))
 }
 
 /// Logs the end of a request that was sent to a server.
--- a/crates/gateway/src/search.rs
+++ b/crates/gateway/src/search.rs
@@ -170,12 +170,12 @@
     fn choose(&self, spares_limited: bool) -> Result<Choice, NoChoice> {
         let request = ServerRequest {
             service: &self.call.service,
-            prompt: self.call.facts.prompt.as_ref(),
+            prompt: self.call.info.prompt.as_ref(),
             sharing: hash_sharing_scope(&self.call.sharing_scope),
             excluded: &self.excluded,
             spares_limited,
             rank: self.call.priority,
-            may_be_refused: self.progress.sent == 0 && self.call.facts.last_event.is_none(),
+            may_be_refused: self.progress.sent == 0 && self.call.info.last_event.is_none(),
             min_version: self.min_version(),
             objective: self.call.objective(),
             time_left: self.call.objective().saturating_sub(self.call.arrived.elapsed()),
@@ -186,7 +186,7 @@
     }
 
     fn min_version(&self) -> u64 {
-        let Some(prompt) = &self.call.facts.prompt else { return 0 };
+        let Some(prompt) = &self.call.info.prompt else { return 0 };
         let view = self.gateway.feed.latest();
         let strict_after = self.gateway.settings.strict_weights_after();
         let wanted = view.weights.get(&prompt.model);
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -40,7 +40,7 @@
     let (chunks, body) = AnswerBody::chunks();
     let status = head.status;
     let relay = StreamRelay {
-        last_event: call.facts.last_event,
+        last_event: call.info.last_event,
         gateway,
         call,
         progress,
--- a/crates/gateway/tests/paths/support/dialect.rs
+++ b/crates/gateway/tests/paths/support/dialect.rs
@@ -4,7 +4,7 @@
 
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::http::{request, response};
-use juniper_gateway::{AnswerFacts, AttemptFacts, CallFacts, CallFault, Dialect};
+use juniper_gateway::{AnswerFacts, AttemptFacts, CallFault, CallInfo, Dialect};
 use juniper_limits::{ServerNotice, StatedDeparture, StatedLimit, StatedPause};
 use juniper_registry::InstanceId;
 
@@ -15,12 +15,12 @@
 }
 
 impl Dialect for TestDialect {
-    fn read_call(&self, head: &request::Parts) -> Result<CallFacts, CallFault> {
+    fn read_call(&self, head: &request::Parts) -> Result<CallInfo, CallFault> {
         let headers = &head.headers;
         let key = headers.get("x-key").and_then(|key| key.to_str().ok());
-        Ok(CallFacts {
+        Ok(CallInfo {
             id: headers.get("x-id").cloned().ok_or(CallFault::NoId)?,
-            deadline: number(headers, "x-deadline").map(Duration::from_millis),
+            timeout: number(headers, "x-deadline").map(Duration::from_millis),
             key: key.map(str::to_owned),
             prompt: None,
             last_event: number(headers, "x-last"),
