--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -26,13 +26,13 @@
 
 /// Why the head of a request can't be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum CallFault {
+pub enum CallError {
     /// The id is missing.
     #[error("the request has no id")]
-    NoId,
+    MissingId,
     /// The header with this name has no valid value.
     #[error("header {0} has no valid value")]
-    Header(&'static str),
+    InvalidHeader(&'static str),
 }
 
 /// Contents of the headers that the gateway adds to a request to a server.
@@ -88,7 +88,7 @@
     ///
     /// # Errors
     /// Fails when a required header is missing or invalid.
-    fn read_call(&self, head: &request::Parts) -> Result<CallInfo, CallFault>;
+    fn read_call(&self, head: &request::Parts) -> Result<CallInfo, CallError>;
 
     /// Turns the caller's headers into those of a request to a server.
     fn write_attempt(&self, headers: &mut HeaderMap, facts: &AttemptFacts<'_>);
--- a/crates/gateway/tests/paths/support/dialect.rs
+++ b/crates/gateway/tests/paths/support/dialect.rs
@@ -4,7 +4,7 @@
 
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::http::{request, response};
-use juniper_gateway::{AnswerFacts, AttemptFacts, CallFault, CallInfo, Dialect};
+use juniper_gateway::{AnswerFacts, AttemptFacts, CallError, CallInfo, Dialect};
 use juniper_limits::{ServerNotice, StatedDeparture, StatedLimit, StatedPause};
 use juniper_registry::InstanceId;
 
@@ -15,11 +15,11 @@
 }
 
 impl Dialect for TestDialect {
-    fn read_call(&self, head: &request::Parts) -> Result<CallInfo, CallFault> {
+    fn read_call(&self, head: &request::Parts) -> Result<CallInfo, CallError> {
         let headers = &head.headers;
         let key = headers.get("x-key").and_then(|key| key.to_str().ok());
         Ok(CallInfo {
-            id: headers.get("x-id").cloned().ok_or(CallFault::NoId)?,
+            id: headers.get("x-id").cloned().ok_or(CallError::MissingId)?,
             timeout: number(headers, "x-deadline").map(Duration::from_millis),
             key: key.map(str::to_owned),
             prompt: None,
