--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -14,7 +14,7 @@
 
 use crate::body::WholeBody;
 use crate::call::Call;
-use crate::dialect::{AnswerFacts, AttemptFacts};
+use crate::dialect::{AnswerFacts, AttemptInfo};
 use crate::gateway::Gateway;
 use crate::pool::{ConnectError, ServerConnection, is_refused};
 
@@ -291,20 +291,20 @@
 ) -> Request<WholeBody> {
     let mut headers = call.headers.clone();
     // Cache entries computed with other weights must not match.
-    let sharing = format!("{}.w{}", call.sharing_scope, choice.version);
-    let facts = AttemptFacts {
+    let sharing_scope = format!("{}.w{}", call.sharing_scope, choice.version);
+    let info = AttemptInfo {
         instance: &choice.instance,
-        deadline: call.time_left(),
+        time_left: call.time_left(),
         tenant: call.tenant.as_deref(),
         priority: effective_priority(call, choice),
-        sharing: &sharing,
+        sharing_scope: &sharing_scope,
         last_event,
         has_prompt: call.has_prompt(),
         version: choice.version,
         source: choice.source,
         store: choice.store,
     };
-    gateway.dialect.write_attempt(&mut headers, &facts);
+    gateway.dialect.write_attempt(&mut headers, &info);
     let mut request = Request::new(WholeBody(call.body.clone()));
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = call.uri.clone();
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -37,17 +37,17 @@
 
 /// Contents of the headers that the gateway adds to a request to a server.
 #[derive(Clone, Copy, Debug)]
-pub struct AttemptFacts<'a> {
+pub struct AttemptInfo<'a> {
     /// Incarnation of the chosen server.
     pub instance: &'a InstanceId,
     /// Time left for the answer.
-    pub deadline: Duration,
+    pub time_left: Duration,
     /// The caller's tenant.
     pub tenant: Option<&'a str>,
     /// Priority; 0 is the most urgent.
     pub priority: u8,
     /// Name of the group of callers that share cached prefixes.
-    pub sharing: &'a str,
+    pub sharing_scope: &'a str,
     /// Number of the last event that the caller has received, after which the stream has to
     /// continue.
     pub last_event: Option<u64>,
@@ -91,7 +91,7 @@
     fn read_call(&self, head: &request::Parts) -> Result<CallInfo, CallError>;
 
     /// Turns the caller's headers into those of a request to a server.
-    fn write_attempt(&self, headers: &mut HeaderMap, facts: &AttemptFacts<'_>);
+    fn write_attempt(&self, headers: &mut HeaderMap, info: &AttemptInfo<'_>);
 
     /// Parses the head of the answer of `instance` to the request with this id.
     fn read_answer(
--- a/crates/gateway/tests/paths/support/dialect.rs
+++ b/crates/gateway/tests/paths/support/dialect.rs
@@ -4,7 +4,7 @@
 
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::http::{request, response};
-use juniper_gateway::{AnswerFacts, AttemptFacts, CallError, CallInfo, Dialect};
+use juniper_gateway::{AnswerFacts, AttemptInfo, CallError, CallInfo, Dialect};
 use juniper_limits::{ServerNotice, StatedDeparture, StatedLimit, StatedPause};
 use juniper_registry::InstanceId;
 
@@ -27,17 +27,17 @@
         })
     }
 
-    fn write_attempt(&self, headers: &mut HeaderMap, facts: &AttemptFacts<'_>) {
+    fn write_attempt(&self, headers: &mut HeaderMap, info: &AttemptInfo<'_>) {
         headers.remove("x-key");
         let mut set = |name: &'static str, value: &str| {
             headers.insert(name, HeaderValue::from_str(value).expect("visible"));
         };
-        set("x-deadline", &facts.deadline.as_millis().to_string());
-        set("x-instance", facts.instance.as_str());
-        if let Some(tenant) = facts.tenant {
+        set("x-deadline", &info.time_left.as_millis().to_string());
+        set("x-instance", info.instance.as_str());
+        if let Some(tenant) = info.tenant {
             set("x-tenant", tenant);
         }
-        if let Some(last) = facts.last_event {
+        if let Some(last) = info.last_event {
             set("x-last", &last.to_string());
         }
     }
