--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -14,7 +14,7 @@
 
 use crate::body::WholeBody;
 use crate::call::Call;
-use crate::dialect::{AnswerFacts, AttemptInfo};
+use crate::dialect::{AnswerInfo, AttemptInfo};
 use crate::gateway::Gateway;
 use crate::pool::{ConnectError, ServerConnection, is_refused};
 
@@ -238,13 +238,13 @@
     attempt.is_reusable = !requests_close(response.headers());
     strip_hop_headers(response.headers_mut());
     let (head, body) = response.into_parts();
-    let facts = gateway.dialect.read_answer(&head, &call.info.id, &choice.instance);
-    if let Some(version) = facts.version {
+    let info = gateway.dialect.read_answer(&head, &call.info.id, &choice.instance);
+    if let Some(version) = info.version {
         gateway.placement().saw_version(&choice.instance, version);
     }
-    gateway.observe_limit(&choice.instance, &facts, attempt.sent_at, call.id());
-    gateway.observe_notice(&choice.instance, &facts, call.id());
-    check_answer(&facts, head.status, choice.version)?;
+    gateway.observe_limit(&choice.instance, &info, attempt.sent_at, call.id());
+    gateway.observe_notice(&choice.instance, &info, call.id());
+    check_answer(&info, head.status, choice.version)?;
     Ok(Response::from_parts(head, body))
 }
 
@@ -258,20 +258,20 @@
 
 /// Checks whether the answer may be relayed to the caller.
 fn check_answer(
-    facts: &AnswerFacts,
+    info: &AnswerInfo,
     status: StatusCode,
     expected_version: u64,
 ) -> Result<(), AttemptError> {
-    if facts.is_other_server {
+    if info.is_wrong_server {
         return Err(AttemptError::WrongServer);
     }
-    if facts.is_other_version {
+    if info.is_wrong_version {
         return Err(AttemptError::WrongVersion(expected_version));
     }
-    if facts.not_run && !status.is_success() {
+    if info.not_run && !status.is_success() {
         return Err(AttemptError::NotRun);
     }
-    if !facts.is_own || (status.is_success() && !facts.is_sealed) {
+    if !info.matches_request || (status.is_success() && !info.is_sealed) {
         return Err(AttemptError::InvalidAnswer);
     }
     Ok(())
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -63,21 +63,21 @@
 
 /// Contents of the head of a server's answer.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct AnswerFacts {
+pub struct AnswerInfo {
     /// Whether the answer belongs to this request.
-    pub is_own: bool,
+    pub matches_request: bool,
     /// Whether the server's seal (authentication tag) is valid.
     pub is_sealed: bool,
     /// Whether the server states that it has not run the request.
     pub not_run: bool,
     /// Whether the server states that it isn't the one that was meant.
-    pub is_other_server: bool,
+    pub is_wrong_server: bool,
     /// Whether the server states that its weights are of another version than expected.
-    pub is_other_version: bool,
+    pub is_wrong_version: bool,
     /// Version of the weights that produced the answer.
     pub version: Option<u64>,
     /// Limit that the server advertises for all routers together.
-    pub stated_limit: StatedLimit,
+    pub advertised_limit: StatedLimit,
     /// Backoff or departure that the server announces to this router.
     pub notice: ServerNotice,
 }
@@ -99,7 +99,7 @@
         head: &response::Parts,
         id: &HeaderValue,
         instance: &InstanceId,
-    ) -> AnswerFacts;
+    ) -> AnswerInfo;
 
     /// Adds the headers of a response that the gateway generates itself for the request with this
     /// id.
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -43,7 +43,7 @@
 mod stream;
 mod updates;
 
-pub use dialect::{AnswerFacts, AttemptInfo, CallError, CallInfo, Dialect};
+pub use dialect::{AnswerInfo, AttemptInfo, CallError, CallInfo, Dialect};
 pub use events::{Event, EventSplitter, EventTooLong};
 pub use lifecycle::{GatewayError, Listeners, ShutdownPhase, run};
 pub use settings::GatewaySettings;
--- a/crates/gateway/src/notices.rs
+++ b/crates/gateway/src/notices.rs
@@ -5,7 +5,7 @@
 use juniper_registry::InstanceId;
 
 use crate::call::Call;
-use crate::dialect::AnswerFacts;
+use crate::dialect::AnswerInfo;
 use crate::gateway::Gateway;
 
 /// Maximum number of servers named in one log line.
@@ -14,11 +14,11 @@
 impl Gateway {
     /// Records the notices in an answer of `instance`, also if the answer belongs to another
     /// request, but not if it is of another server.
-    pub(crate) fn observe_notice(&self, instance: &InstanceId, facts: &AnswerFacts, request: &str) {
-        if facts.is_other_server {
+    pub(crate) fn observe_notice(&self, instance: &InstanceId, info: &AnswerInfo, request: &str) {
+        if info.is_wrong_server {
             return;
         }
-        let ServerNotice { pause, departure } = facts.notice;
+        let ServerNotice { pause, departure } = info.notice;
         let pause_ms = self.observe_backoff(instance, pause, request);
         let is_leaving = self.observe_departure(instance, departure, request);
         if pause_ms > 0 || is_leaving {
--- a/crates/gateway/src/server_limits.rs
+++ b/crates/gateway/src/server_limits.rs
@@ -11,7 +11,7 @@
 
 use crate::attempt::effective_priority;
 use crate::call::Call;
-use crate::dialect::AnswerFacts;
+use crate::dialect::AnswerInfo;
 use crate::gateway::Gateway;
 use crate::limits::{DecidedBy, GrantedCharge, OWNER_TIMEOUT};
 
@@ -50,15 +50,15 @@
     pub(crate) fn observe_limit(
         &self,
         instance: &InstanceId,
-        facts: &AnswerFacts,
+        info: &AnswerInfo,
         sent_at: Timestamp,
         request: &str,
     ) {
-        if facts.is_other_server || !facts.is_own {
+        if info.is_wrong_server || !info.matches_request {
             return;
         }
         let at = self.observed_at();
-        let change = match facts.stated_limit {
+        let change = match info.advertised_limit {
             StatedLimit::Nothing => self.placement().heard_no_limit(instance, sent_at, at),
             StatedLimit::Rate(rate) => {
                 self.metrics.advertised_limits.with_label_values(&["yes"]).inc();
--- a/crates/gateway/tests/paths/support/dialect.rs
+++ b/crates/gateway/tests/paths/support/dialect.rs
@@ -4,7 +4,7 @@
 
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::http::{request, response};
-use juniper_gateway::{AnswerFacts, AttemptInfo, CallError, CallInfo, Dialect};
+use juniper_gateway::{AnswerInfo, AttemptInfo, CallError, CallInfo, Dialect};
 use juniper_limits::{ServerNotice, StatedDeparture, StatedLimit, StatedPause};
 use juniper_registry::InstanceId;
 
@@ -47,19 +47,19 @@
         head: &response::Parts,
         id: &HeaderValue,
         _instance: &InstanceId,
-    ) -> AnswerFacts {
+    ) -> AnswerInfo {
         let stated = head.headers.get_all("x-limit").iter();
         let pauses = head.headers.get_all("x-pause").iter();
         let is_misdirected = head.status.as_u16() == 421;
         let has_other_weights = head.headers.contains_key("x-other-weights");
-        AnswerFacts {
-            is_own: head.headers.get("x-id") == Some(id),
+        AnswerInfo {
+            matches_request: head.headers.get("x-id") == Some(id),
             is_sealed: head.headers.contains_key("x-seal"),
             not_run: head.headers.contains_key("x-not-run"),
-            is_other_server: is_misdirected && !has_other_weights,
-            is_other_version: is_misdirected && has_other_weights,
+            is_wrong_server: is_misdirected && !has_other_weights,
+            is_wrong_version: is_misdirected && has_other_weights,
             version: None,
-            stated_limit: StatedLimit::read(stated.map(|value| value.to_str().ok())),
+            advertised_limit: StatedLimit::read(stated.map(|value| value.to_str().ok())),
             notice: ServerNotice {
                 pause: StatedPause::read(pauses.map(|value| value.to_str().ok())),
                 departure: match head.headers.contains_key("x-leaving") {
