--- a/crates/gateway/src/lifecycle.rs
+++ b/crates/gateway/src/lifecycle.rs
@@ -130,7 +130,7 @@
     listeners: Listeners,
     stop: impl Future<Output = ()>,
 ) -> Result<(), GatewayError> {
-    let grace = settings.grace;
+    let grace_period = settings.grace_period;
     let (phase, phase_receiver) = watch::channel(ShutdownPhase::Running);
     let node = settings.node.clone();
     let gateway = Gateway::new(settings, Box::new(dialect), feed, Metrics::new()?, phase_receiver);
@@ -147,7 +147,7 @@
     phase.send_replace(ShutdownPhase::ClosingConnections);
     // From here on no connection is accepted. The task also holds a tracker.
     accepting.abort();
-    let remaining = grace.mul_f64(GRACE_SHARE).saturating_sub(DRAIN_TIME);
+    let remaining = grace_period.mul_f64(GRACE_SHARE).saturating_sub(DRAIN_TIME);
     let is_drained = timeout(remaining, open.recv()).await.is_ok();
     log::info!("event=gateway_stopped node={node} drained={is_drained}");
     background_tasks.iter().for_each(JoinHandle::abort);
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -25,7 +25,7 @@
     /// Key of the fingerprints of requests' contents; the same at all routers.
     pub fingerprint_key: FingerprintKey,
     /// Grace period of a planned shutdown.
-    pub grace: Duration,
+    pub grace_period: Duration,
 }
 
 impl GatewaySettings {
--- a/crates/gateway/tests/paths/support/mod.rs
+++ b/crates/gateway/tests/paths/support/mod.rs
@@ -146,7 +146,7 @@
             revoke_within: Duration::from_secs(5),
             renew_within: Duration::from_secs(8),
             fingerprint_key: FingerprintKey::new([7; 32]),
-            grace: Duration::from_secs(8),
+            grace_period: Duration::from_secs(8),
         };
         let (stop, stop_requested) = oneshot::channel::<()>();
         let stop_requested = async {
--- a/crates/gateway/tests/settings.rs
+++ b/crates/gateway/tests/settings.rs
@@ -14,7 +14,7 @@
         revoke_within: Duration::from_secs(5),
         renew_within,
         fingerprint_key: FingerprintKey::new([7; 32]),
-        grace: Duration::from_secs(8),
+        grace_period: Duration::from_secs(8),
     }
 }
 
