--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -56,7 +56,7 @@
     #[error("the connection to the server broke: {0}")]
     Broken(hyper::Error),
     /// The answer doesn't belong to this request, which may have run.
-    #[error("the answer has a wrong request id or no valid seal")]
+    #[error("the answer has a wrong request id or no seal")]
     InvalidAnswer,
     /// The server didn't answer within the timeout; the request may have run.
     #[error("no answer in time")]
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -66,7 +66,7 @@
 pub struct AnswerInfo {
     /// Whether the answer belongs to this request.
     pub matches_request: bool,
-    /// Whether the server's seal (authentication tag) is valid.
+    /// Whether the answer carries the server's seal (authentication tag).
     pub is_sealed: bool,
     /// Whether the server states that it has not run the request.
     pub not_run: bool,
