--- a/crates/gateway/tests/paths/server_limits.rs
+++ b/crates/gateway/tests/paths/server_limits.rs
@@ -115,7 +115,7 @@
     assert!(server.requests().is_empty());
 }
 
-/// Without a replica the router assumes that it is the only one, and keeps to 0.6 of the limit.
+/// The only router admits 0.6 of the limit on average while no owner answers.
 #[tokio::test]
 async fn without_an_owner_the_router_keeps_to_its_share_of_the_server_limit() {
     let (server, _) = limited_server("a", "2.5").await;
