--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -56,7 +56,7 @@
     #[error("the connection to the server broke: {0}")]
     Broken(hyper::Error),
     /// The answer doesn't belong to this request, which may have run.
-    #[error("the answer has a wrong request id or no valid seal")]
+    #[error("the answer has a wrong request id or no seal")]
     InvalidAnswer,
     /// The server didn't answer within the timeout; the request may have run.
     #[error("no answer in time")]
@@ -238,13 +238,13 @@
     attempt.is_reusable = !requests_close(response.headers());
     strip_hop_headers(response.headers_mut());
     let (head, body) = response.into_parts();
-    let facts = gateway.dialect.read_answer(&head, &call.facts.id, &choice.instance);
-    if let Some(version) = facts.version {
+    let info = gateway.dialect.read_answer(&head, &call.info.id, &choice.instance);
+    if let Some(version) = info.version {
         gateway.placement().observe_version(&choice.instance, version);
     }
-    gateway.observe_limit(&choice.instance, &facts, attempt.sent_at, call.id());
-    gateway.observe_notice(&choice.instance, &facts, call.id());
-    check_answer(&facts, head.status, choice.version)?;
+    gateway.observe_limit(&choice.instance, &info, attempt.sent_at, call.id());
+    gateway.observe_notice(&choice.instance, &info, call.id());
+    check_answer(&info, head.status, choice.version)?;
     Ok(Response::from_parts(head, body))
 }
 
@@ -258,20 +258,20 @@
 
 /// Checks whether the answer may be relayed to the caller.
 fn check_answer(
-    facts: &AnswerInfo,
+    info: &AnswerInfo,
     status: StatusCode,
     expected_version: u64,
 ) -> Result<(), AttemptError> {
-    if facts.is_other_server {
+    if info.is_wrong_server {
         return Err(AttemptError::WrongServer);
     }
-    if facts.is_other_version {
+    if info.is_wrong_version {
         return Err(AttemptError::WrongVersion(expected_version));
     }
-    if facts.not_run && !status.is_success() {
+    if info.not_run && !status.is_success() {
         return Err(AttemptError::NotRun);
     }
-    if !facts.is_own || (status.is_success() && !facts.is_sealed) {
+    if !info.matches_request || (status.is_success() && !info.is_sealed) {
         return Err(AttemptError::InvalidAnswer);
     }
     Ok(())
@@ -291,20 +291,20 @@
 ) -> Request<WholeBody> {
     let mut headers = call.headers.clone();
     // Cache entries computed with other weights must not match.
-    let sharing = format!("{}.w{}", call.sharing_scope, choice.version);
-    let facts = AttemptInfo {
+    let sharing_scope = format!("{}.w{}", call.sharing_scope, choice.version);
+    let info = AttemptInfo {
         instance: &choice.instance,
-        deadline: call.time_left(),
+        time_left: call.time_left(),
         tenant: call.tenant.as_deref(),
         priority: effective_priority(call, choice),
-        sharing: &sharing,
+        sharing_scope: &sharing_scope,
         last_event,
         has_prompt: call.has_prompt(),
         version: choice.version,
         source: choice.source,
         store: choice.store,
     };
-    gateway.dialect.write_attempt(&mut headers, &facts);
+    gateway.dialect.write_attempt(&mut headers, &info);
     let mut request = Request::new(WholeBody(call.body.clone()));
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = call.uri.clone();
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -15,7 +15,7 @@
     /// The caller's id of the request, passed on unchanged.
     pub id: HeaderValue,
     /// Time for which the caller waits for the answer.
-    pub deadline: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// API key that the caller presents.
     pub key: Option<String>,
     /// The prompt, if the request describes one.
@@ -29,10 +29,10 @@
 pub enum CallError {
     /// The id is missing.
     #[error("the request has no id")]
-    NoId,
+    MissingId,
     /// The header with this name has no valid value.
     #[error("header {0} has no valid value")]
-    Header(&'static str),
+    InvalidHeader(&'static str),
 }
 
 /// Contents of the headers that the gateway adds to a request to a server.
@@ -41,13 +41,13 @@
     /// Incarnation of the chosen server.
     pub instance: &'a InstanceId,
     /// Time left for the answer.
-    pub deadline: Duration,
+    pub time_left: Duration,
     /// The caller's tenant.
     pub tenant: Option<&'a str>,
     /// Priority; 0 is the most urgent.
     pub priority: u8,
     /// Name of the group of callers that share cached prefixes.
-    pub sharing: &'a str,
+    pub sharing_scope: &'a str,
     /// Number of the last event that the caller has received, after which the stream has to
     /// continue.
     pub last_event: Option<u64>,
@@ -65,19 +65,19 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AnswerInfo {
     /// Whether the answer belongs to this request.
-    pub is_own: bool,
-    /// Whether the server's seal (authentication tag) is valid.
+    pub matches_request: bool,
+    /// Whether the answer carries the server's seal (authentication tag).
     pub is_sealed: bool,
     /// Whether the server states that it has not run the request.
     pub not_run: bool,
     /// Whether the server states that it isn't the one that was meant.
-    pub is_other_server: bool,
+    pub is_wrong_server: bool,
     /// Whether the server states that its weights are of another version than expected.
-    pub is_other_version: bool,
+    pub is_wrong_version: bool,
     /// Version of the weights that produced the answer.
     pub version: Option<u64>,
     /// Limit that the server advertises for all routers together.
-    pub stated_limit: AdvertisedLimit,
+    pub advertised_limit: AdvertisedLimit,
     /// Backoff or departure that the server announces to this router.
     pub notice: ServerNotice,
 }
@@ -91,7 +91,7 @@
     fn read_call(&self, head: &request::Parts) -> Result<CallInfo, CallError>;
 
     /// Turns the caller's headers into those of a request to a server.
-    fn write_attempt(&self, headers: &mut HeaderMap, facts: &AttemptInfo<'_>);
+    fn write_attempt(&self, headers: &mut HeaderMap, info: &AttemptInfo<'_>);
 
     /// Parses the head of the answer of `instance` to the request with this id.
     fn read_answer(
--- a/crates/gateway/src/server_limits.rs
+++ b/crates/gateway/src/server_limits.rs
@@ -50,15 +50,15 @@
     pub(crate) fn observe_limit(
         &self,
         instance: &InstanceId,
-        facts: &AnswerInfo,
+        info: &AnswerInfo,
         sent_at: Timestamp,
         request: &str,
     ) {
-        if facts.is_other_server || !facts.is_own {
+        if info.is_wrong_server || !info.matches_request {
             return;
         }
         let at = self.observed_at();
-        let change = match facts.stated_limit {
+        let change = match info.advertised_limit {
             AdvertisedLimit::Nothing => self.placement().observe_no_limit(instance, sent_at, at),
             AdvertisedLimit::Rate(rate) => {
                 self.metrics.advertised_limits.with_label_values(&["yes"]).inc();
--- a/crates/gateway/tests/paths/support/dialect.rs
+++ b/crates/gateway/tests/paths/support/dialect.rs
@@ -19,25 +19,25 @@
         let headers = &head.headers;
         let key = headers.get("x-key").and_then(|key| key.to_str().ok());
         Ok(CallInfo {
-            id: headers.get("x-id").cloned().ok_or(CallError::NoId)?,
-            deadline: number(headers, "x-deadline").map(Duration::from_millis),
+            id: headers.get("x-id").cloned().ok_or(CallError::MissingId)?,
+            timeout: number(headers, "x-deadline").map(Duration::from_millis),
             key: key.map(str::to_owned),
             prompt: None,
             last_event: number(headers, "x-last"),
         })
     }
 
-    fn write_attempt(&self, headers: &mut HeaderMap, facts: &AttemptInfo<'_>) {
+    fn write_attempt(&self, headers: &mut HeaderMap, info: &AttemptInfo<'_>) {
         headers.remove("x-key");
         let mut set = |name: &'static str, value: &str| {
             headers.insert(name, HeaderValue::from_str(value).expect("visible"));
         };
-        set("x-deadline", &facts.deadline.as_millis().to_string());
-        set("x-instance", facts.instance.as_str());
-        if let Some(tenant) = facts.tenant {
+        set("x-deadline", &info.time_left.as_millis().to_string());
+        set("x-instance", info.instance.as_str());
+        if let Some(tenant) = info.tenant {
             set("x-tenant", tenant);
         }
-        if let Some(last) = facts.last_event {
+        if let Some(last) = info.last_event {
             set("x-last", &last.to_string());
         }
     }
@@ -53,13 +53,13 @@
         let is_misdirected = head.status.as_u16() == 421;
         let has_other_weights = head.headers.contains_key("x-other-weights");
         AnswerInfo {
-            is_own: head.headers.get("x-id") == Some(id),
+            matches_request: head.headers.get("x-id") == Some(id),
             is_sealed: head.headers.contains_key("x-seal"),
             not_run: head.headers.contains_key("x-not-run"),
-            is_other_server: is_misdirected && !has_other_weights,
-            is_other_version: is_misdirected && has_other_weights,
+            is_wrong_server: is_misdirected && !has_other_weights,
+            is_wrong_version: is_misdirected && has_other_weights,
             version: None,
-            stated_limit: AdvertisedLimit::read(stated.map(|value| value.to_str().ok())),
+            advertised_limit: AdvertisedLimit::read(stated.map(|value| value.to_str().ok())),
             notice: ServerNotice {
                 pause: RequestedBackoff::read(pauses.map(|value| value.to_str().ok())),
                 departure: match head.headers.contains_key("x-leaving") {
