--- a/crates/control/src/fleet_calls.rs
+++ b/crates/control/src/fleet_calls.rs
@@ -95,7 +95,7 @@
     pub async fn handle_heartbeat(&self, report: InstanceReport) -> Result<(), Refusal> {
         let departing = (report.state == InstanceState::Draining).then(|| report.id());
         let intake = self.instance_publisher.observe(report);
-        if intake == Intake::OtherWriter {
+        if intake == HeartbeatOutcome::NameConflict {
             self.metrics.heartbeats_refused.inc();
             return Ok(());
         }
--- a/crates/control/src/instances.rs
+++ b/crates/control/src/instances.rs
@@ -5,7 +5,9 @@
 
 use juniper_protocol::message::encode;
 use juniper_protocol::{Message, Push};
-use juniper_registry::{InstanceName, InstanceReport, Intake, ObservedInstances, StartTime};
+use juniper_registry::{
+    HeartbeatOutcome, InstanceName, InstanceReport, ObservedInstances, StartTime,
+};
 use juniper_types::Timestamp;
 use tokio::sync::{Notify, watch};
 use tokio::time::{MissedTickBehavior, interval, sleep};
@@ -74,7 +76,7 @@
     }
 
     /// Records a heartbeat.
-    pub fn observe(&self, report: InstanceReport) -> Intake {
+    pub fn observe(&self, report: InstanceReport) -> HeartbeatOutcome {
         let described = format!(
             "instance={} started={} service={} address={} zone={} state={:?} models={:?} sequence={}",
             report.name,
@@ -170,7 +172,7 @@
 
     fn expire_silent(&self) {
         let mut instances = self.lock();
-        let expired = instances.expire(self.now());
+        let expired = instances.mark_silent(self.now());
         for id in &expired {
             log::warn!("event=instance_silent instance={id} after_ms={}", SILENT_AFTER.as_millis());
         }
--- a/crates/control/src/limits.rs
+++ b/crates/control/src/limits.rs
@@ -44,8 +44,8 @@
             Verdict::Admitted { fleet_per_second } => {
                 ChargeAnswer { retry_after_ms: None, fleet_per_second }
             }
-            Verdict::Refused { pause, fleet_per_second } => {
-                let retry_after_ms = u64::try_from(pause.as_millis()).unwrap_or(u64::MAX);
+            Verdict::Refused { retry_after, fleet_per_second } => {
+                let retry_after_ms = u64::try_from(retry_after.as_millis()).unwrap_or(u64::MAX);
                 ChargeAnswer { retry_after_ms: Some(retry_after_ms), fleet_per_second }
             }
         }
--- a/crates/crash-watch/src/outbox.rs
+++ b/crates/crash-watch/src/outbox.rs
@@ -29,7 +29,7 @@
         match report {
             Report::Crash(report) => update.crashes.push(encode_report(report)),
             Report::Clear(Clearance { request, instances }) => {
-                update.cleared.push(CrashClearance::of(*request, instances));
+                update.cleared.push(CrashClearance::new(*request, instances));
             }
         }
         drop(update);
@@ -55,8 +55,8 @@
         instance: report.instance.name().clone(),
         started: report.instance.started(),
         age_ms: to_millis(report.age),
-        under_way_ms: to_millis(report.under_way),
-        ended_well: report.ended_well,
+        in_flight_ms: to_millis(report.in_flight_for),
+        completed_before: report.completed_before,
     }
 }
 
@@ -66,7 +66,7 @@
         request: crash.request,
         instance: crash.id(),
         age: Duration::from_millis(crash.age_ms),
-        under_way: Duration::from_millis(crash.in_flight_ms),
-        ended_well: crash.completed_before,
+        in_flight_for: Duration::from_millis(crash.in_flight_ms),
+        completed_before: crash.completed_before,
     }
 }
--- a/crates/crash-watch/src/watch.rs
+++ b/crates/crash-watch/src/watch.rs
@@ -12,7 +12,7 @@
 use juniper_feed::{Feed, FleetView, RelayedBatch};
 use juniper_protocol::message::{CrashUpdate, QuarantineRequest, RelayedUpdate, RouterUpdate};
 use juniper_quarantine::{
-    Clearance, CompletedRequests, Counted, CrashCounts, CrashProof, CrashReport,
+    Clearance, CompletedRequests, CountOutcome, CrashCounts, CrashProof, CrashReport,
     InterruptedRequest, InterruptedRequests, Rebroadcast, Report, ServerCrash,
 };
 use juniper_registry::InstanceId;
@@ -98,14 +98,14 @@
         request: RequestFingerprint,
         sent_at: Timestamp,
     ) {
-        let interrupted = InterruptedRequest { request, sent_at, cut_at: self.now() };
-        let crash = lock(&self.interrupted).cut(instance, address, interrupted);
+        let interrupted = InterruptedRequest { request, sent_at, interrupted_at: self.now() };
+        let crash = lock(&self.interrupted).record(instance, address, interrupted);
         self.handle_crash(crash);
     }
 
     /// Records proof that a server has crashed.
     pub fn record_server_crash(&self, instance: &InstanceId, proof: CrashProof) {
-        let crash = lock(&self.interrupted).proved(instance, proof, self.now());
+        let crash = lock(&self.interrupted).record_proof(instance, proof, self.now());
         self.handle_crash(crash);
     }
 
@@ -121,11 +121,11 @@
         );
         self.metrics.record_crash(proof, requests.len());
         let now = self.now();
-        for InterruptedRequest { request, sent_at, cut_at } in requests {
-            let (age, under_way) = (now.since(cut_at), cut_at.since(sent_at));
-            let ended_well = lock(&self.completed).has(&request);
+        for InterruptedRequest { request, sent_at, interrupted_at } in requests {
+            let (age, in_flight_for) = (now.since(interrupted_at), interrupted_at.since(sent_at));
+            let completed_before = lock(&self.completed).contains(&request);
             let instance = instance.clone();
-            let report = CrashReport { request, instance, age, under_way, ended_well };
+            let report = CrashReport { request, instance, age, in_flight_for, completed_before };
             self.count_crash(&report, Duration::ZERO, "own");
             self.publish_report(Report::Crash(report));
         }
@@ -155,8 +155,8 @@
 
     /// Records that a server completed the request, which clears it of earlier crashes.
     pub fn record_completed_request(&self, id: &str, request: RequestFingerprint) {
-        lock(&self.completed).note(&request);
-        let clearance = lock(&self.counts).answered(request, self.now());
+        lock(&self.completed).record(&request);
+        let clearance = lock(&self.counts).record_completion(request, self.now());
         let Some(clearance) = clearance else { return };
         log::info!(
             "event=suspect_cleared request={id} fingerprint={request} crashes={}",
@@ -172,7 +172,7 @@
 
     fn publish_report(&self, report: Report) {
         self.outbox.push(&report);
-        lock(&self.rebroadcast).told(report, self.now());
+        lock(&self.rebroadcast).schedule(report, self.now());
     }
 
     /// Applies a view of the fleet: incarnations of servers, and recorded quarantines. The count of
@@ -206,7 +206,7 @@
             let known = servers.find(|known| SocketAddr::V4(known.report.address) == address);
             known.map(|known| &known.id)
         };
-        let crashes = interrupted.find_new_lives(self.now(), incarnation_at);
+        let crashes = interrupted.find_new_incarnations(self.now(), incarnation_at);
         drop(interrupted);
         crashes.into_iter().for_each(|crash| self.handle_crash(Some(crash)));
     }
@@ -225,8 +225,8 @@
     }
 
     fn apply_peer_updates(&self, batch: &RelayedBatch) {
-        for RelayedUpdate { from, news, .. } in batch.iter() {
-            if let Some(crashes) = &news.crashes {
+        for RelayedUpdate { from, update, .. } in batch.iter() {
+            if let Some(crashes) = &update.crashes {
                 self.apply_peer_update(*from, crashes);
             }
         }
--- a/crates/feed/src/link.rs
+++ b/crates/feed/src/link.rs
@@ -226,7 +226,7 @@
         match command {
             LinkCommand::Publish(update) => self.write(&Message::RouterUpdate(update)).await,
             LinkCommand::SubscribeRouters(wanted) => {
-                self.call(Request::ListenToRouters { wanted }).await.map(|_| ())
+                self.call(Request::RelayRouterUpdates { enabled: wanted }).await.map(|_| ())
             }
             LinkCommand::Charge(PendingCharge { charge, answer }) => {
                 self.pending_charges.retain(|_, waiting| !waiting.is_closed());
@@ -235,7 +235,7 @@
                 Ok(())
             }
             LinkCommand::Refund { account, units } => {
-                self.call(Request::GiveBack { account, units }).await.map(|_| ())
+                self.call(Request::Refund { account, units }).await.map(|_| ())
             }
             LinkCommand::Quarantine(request) => {
                 self.call(Request::Quarantine(request)).await.map(|_| ())
@@ -257,14 +257,9 @@
     fn event_of(&mut self, message: Message) -> Option<LinkEvent> {
         match message {
             Message::Push(Push::Fleet(update)) => Some(LinkEvent::Fleet(update)),
-            Message::Push(Push::Instances { heard, whole, gone }) => {
+            Message::Push(Push::Instances { observed, is_complete, removed }) => {
                 let is_fleet_wide = self.is_fleet_wide;
-                Some(LinkEvent::Instances {
-                    observed: heard,
-                    is_complete: whole,
-                    removed: gone,
-                    is_fleet_wide,
-                })
+                Some(LinkEvent::Instances { observed, is_complete, removed, is_fleet_wide })
             }
             Message::Unknown { .. } => {
                 log::warn!("event=message_unknown from=replica");
--- a/crates/feed/src/view_builder.rs
+++ b/crates/feed/src/view_builder.rs
@@ -38,7 +38,7 @@
 impl ReplicaState {
     fn apply_quarantine(&mut self, update: QuarantineUpdate) {
         let quarantined = Arc::make_mut(&mut self.quarantined);
-        if update.is_whole {
+        if update.is_complete {
             quarantined.clear();
         }
         quarantined.extend(update.added);
@@ -128,12 +128,12 @@
     /// Applies the servers in rollout and the known weight versions that a replica pushed.
     pub fn apply_renewals(&mut self, node: NodeId, update: RenewalUpdate) -> MergeOutcome {
         let replica = self.replicas.entry(node).or_default();
-        if update.is_whole {
+        if update.is_complete {
             replica.renewing.clear();
         }
-        let ended: BTreeSet<InstanceId> = update.ids_ended().into_iter().collect();
+        let ended: BTreeSet<InstanceId> = update.ended_ids().into_iter().collect();
         replica.renewing.retain(|instance| !ended.contains(instance));
-        replica.renewing.extend(update.ids_under_way());
+        replica.renewing.extend(update.renewing_ids());
         let changed = self.merge_versions(update.versions);
         MergeOutcome { changed: self.refresh_renewing() || changed, fetch: None }
     }
--- a/crates/feed/tests/view_builder.rs
+++ b/crates/feed/tests/view_builder.rs
@@ -166,7 +166,8 @@
     builder.apply_renewals(FIRST, renewing(&["a", "b"], &[], &[]));
     builder.apply_renewals(FIRST, renewing(&["c"], &["a"], &[]));
     assert_eq!(ids(&builder), ["b", "c"].map(InstanceId::new));
-    builder.apply_renewals(FIRST, RenewalUpdate { is_whole: true, ..renewing(&["d"], &[], &[]) });
+    builder
+        .apply_renewals(FIRST, RenewalUpdate { is_complete: true, ..renewing(&["d"], &[], &[]) });
     assert_eq!(ids(&builder), ["d"].map(InstanceId::new));
 }
 
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -85,13 +85,13 @@
         match self {
             AttemptError::NotSent(ConnectError::Exhausted) | AttemptError::NotRun => Outcome::Full,
             // A reused connection that the server has closed doesn't show that new ones fail.
-            AttemptError::NotSent(ConnectError::Handshake(_)) => Outcome::Broken,
+            AttemptError::NotSent(ConnectError::Handshake(_)) => Outcome::Interrupted,
             AttemptError::NotSent(_) => Outcome::Unreachable,
             AttemptError::BackingOff(_) => Outcome::Cancelled,
             AttemptError::WrongServer => Outcome::Replaced,
-            AttemptError::WrongVersion(version) => Outcome::OtherWeights(*version),
+            AttemptError::WrongVersion(version) => Outcome::VersionMismatch(*version),
             AttemptError::Broken(_) | AttemptError::InvalidAnswer | AttemptError::Timeout => {
-                Outcome::Broken
+                Outcome::Interrupted
             }
         }
     }
@@ -122,7 +122,7 @@
     /// counts as failing, since it may not answer the next requests either.
     fn drop(&mut self) {
         let is_silent = !self.has_head && self.started.elapsed() >= self.answer_timeout;
-        self.close(if is_silent { Outcome::Broken } else { Outcome::Cancelled });
+        self.close(if is_silent { Outcome::Interrupted } else { Outcome::Cancelled });
     }
 }
 
@@ -131,7 +131,7 @@
         self.connection = None;
         if let Some(ticket) = self.ticket.take() {
             let now = self.gateway.now();
-            self.gateway.placement().end(ticket, outcome, now);
+            self.gateway.placement().end_request(ticket, outcome, now);
             if let Some(number) = self.report_number.take() {
                 self.gateway.updates.push_completion(number);
             }
@@ -179,7 +179,7 @@
     deadline: Instant,
 ) -> Result<Answered, AttemptError> {
     let now = gateway.now();
-    let ticket = gateway.placement().begin(choice, call.has_prompt(), now);
+    let ticket = gateway.placement().begin_request(choice, call.has_prompt(), now);
     let report_number = gateway.updates.push_dispatch(choice);
     if report_number.is_none() {
         gateway.metrics.dropped_dispatch_reports.inc();
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -164,7 +164,7 @@
         Err(answer) => {
             let request_id = id.to_str().unwrap_or("-");
             let (reason, status) = (answer.reason(), answer.status().as_u16());
-            let age_ms = gateway.feed.age().map_or(-1, |age| age.as_millis() as i64);
+            let age_ms = gateway.feed.confirmation_age().map_or(-1, |age| age.as_millis() as i64);
             log::info!(
                 "event=request_refused request={request_id} reason={reason} status={status} \
                  catalog={} age_ms={age_ms}",
--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -34,7 +34,7 @@
 
     /// Records that the server's address refuses connections.
     pub(crate) fn record_refused(&self, instance: &InstanceId) {
-        self.crashes.note_ended(instance, CrashProof::Refused);
+        self.crashes.record_server_crash(instance, CrashProof::Refused);
     }
 
     /// Records that a server has answered the request completely.
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -132,7 +132,7 @@
         }
         // At least one; a higher minimum would let routers together exceed what the server accepts.
         let for_requests = (f64::from(configured) * CONNECTION_SHARE) as u32;
-        FleetShare::even(self.feed.routers()).of_count(for_requests)
+        FleetShare::even(self.feed.router_count()).of_count(for_requests)
     }
 
     /// Applies each view that the feed publishes, and sweeps idle connections. Runs until the feed
@@ -165,7 +165,7 @@
             placement.observe_version(&known.id(), known.version);
         }
         drop(placement);
-        self.crashes.take_over(view);
+        self.crashes.apply_view(view);
         self.applied_views.send_modify(|count| *count += 1);
     }
 
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -111,7 +111,7 @@
         let charge = charge_of(tenant, limit, version, tokens);
         let wait = self.owner_timeout(&charge.account);
         let (verdict, by) = self.decide(&charge, wait).await;
-        let Verdict::Refused { pause, fleet_per_second } = verdict else {
+        let Verdict::Refused { retry_after, fleet_per_second } = verdict else {
             return Ok(Some(GrantedCharge(charge)));
         };
         log::info!(
@@ -124,7 +124,7 @@
             retry_after.as_millis()
         );
         self.metrics.count_over_limit(&tenant.name, by);
-        Err(OwnAnswer::OverLimit(pause))
+        Err(OwnAnswer::OverLimit(retry_after))
     }
 
     /// Decides on a charge: the owner does if it answers within `wait`, otherwise this router.
@@ -142,11 +142,11 @@
         match answered {
             Some(answer) => {
                 let verdict = to_verdict(answer);
-                local.heard(&charge_request(charge), &verdict, now);
+                local.record_verdict(&charge_request(charge), &verdict, now);
                 (verdict, DecidedBy::Owner)
             }
             None => {
-                let routers = self.feed.routers();
+                let routers = self.feed.router_count();
                 let verdict = local.decide(&charge_request(charge), routers, now, rand::random());
                 (verdict, DecidedBy::Share)
             }
@@ -155,7 +155,7 @@
 
     /// Timeout for the owner's answer.
     fn owner_timeout(&self, account: &str) -> Duration {
-        match lock(&self.limits.local).knows(account, self.now()) {
+        match lock(&self.limits.local).has_recent_verdict(account, self.now()) {
             true => OWNER_TIMEOUT,
             false => FIRST_OWNER_TIMEOUT,
         }
@@ -197,7 +197,7 @@
         let LimitCharge { account, units, .. } = granted_charge.0.clone();
         let feed = self.feed.clone();
         // The caller's answer doesn't wait for the refund.
-        tokio::spawn(async move { feed.give_back(account, units).await });
+        tokio::spawn(async move { feed.refund_charge(account, units).await });
     }
 }
 
--- a/crates/gateway/src/listener.rs
+++ b/crates/gateway/src/listener.rs
@@ -143,8 +143,8 @@
         let metrics = &gateway.metrics;
         let age = gateway.feed.confirmation_age().map_or(-1, |age| age.as_millis() as i64);
         metrics.catalog_age_ms.set(age);
-        let limited = gateway.placement().limited_servers();
-        let backing_off = gateway.placement().resting_servers(gateway.now());
+        let limited = gateway.placement().count_limited_servers();
+        let backing_off = gateway.placement().count_backing_off_servers(gateway.now());
         metrics.backing_off_servers.set(i64::try_from(backing_off).unwrap_or(i64::MAX));
         metrics.limited_servers.set(i64::try_from(limited).unwrap_or(i64::MAX));
         metrics.catalog_version.set(gateway.feed.latest().catalog_version() as i64);
--- a/crates/gateway/src/notices.rs
+++ b/crates/gateway/src/notices.rs
@@ -18,16 +18,16 @@
         if info.is_wrong_server {
             return;
         }
-        let ServerNotice { pause, departure } = info.notice;
-        let pause_ms = self.observe_backoff(instance, pause, request);
-        let is_leaving = self.observe_departure(instance, departure, request);
-        if pause_ms > 0 || is_leaving {
+        let ServerNotice { backoff, departure } = info.notice;
+        let backoff_ms = self.observe_backoff(instance, backoff, request);
+        let is_departing = self.observe_departure(instance, departure, request);
+        if backoff_ms > 0 || is_departing {
             let (instance, started) = (instance.name().clone(), instance.started());
             self.updates.push_notice(ServerNoticeUpdate {
                 instance,
                 started,
-                pause_ms,
-                is_leaving,
+                backoff_ms,
+                is_departing,
             });
         }
     }
@@ -51,7 +51,7 @@
                 );
                 if is_longer { pause_ms } else { 0 }
             }
-            RequestedBackoff::Unreadable(error) => {
+            RequestedBackoff::Invalid(error) => {
                 self.metrics.count_notice("pause", false);
                 log::warn!(
                     "event=server_pause_unreadable request={request} instance={instance} \
@@ -72,7 +72,7 @@
     ) -> bool {
         match departure {
             DepartureNotice::Nothing => false,
-            DepartureNotice::Leaving => {
+            DepartureNotice::Departing => {
                 self.metrics.count_notice("departure", true);
                 let is_new = self.placement().record_departure(instance, self.now());
                 if is_new {
@@ -80,7 +80,7 @@
                 }
                 is_new
             }
-            DepartureNotice::Unreadable => {
+            DepartureNotice::Invalid => {
                 self.metrics.count_notice("departure", false);
                 log::warn!("event=server_leaving_unreadable request={request} instance={instance}");
                 false
@@ -90,7 +90,7 @@
 
     /// Logs which servers are excluded from the choice for a request, and why.
     pub(crate) fn log_excluded_servers(&self, call: &Call) {
-        let excluded = self.placement().passed_over(&call.service, self.now());
+        let excluded = self.placement().excluded_servers(&call.service, self.now());
         if excluded.is_empty() {
             return;
         }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -94,7 +94,7 @@
                     call.id()
                 );
                 let sent_at = attempt.sent_at;
-                attempt.fail(Outcome::Broken);
+                attempt.fail(Outcome::Interrupted);
                 if error == BodyError::Broken {
                     gateway.record_interrupted(&call, &instance, sent_at);
                 }
--- a/crates/gateway/src/search.rs
+++ b/crates/gateway/src/search.rs
@@ -146,8 +146,8 @@
             return true;
         }
         let now = self.gateway.now();
-        let routers = self.gateway.feed.routers();
-        let is_allowed = self.gateway.retry_budget().take(&self.call.service, routers, now);
+        let routers = self.gateway.feed.router_count();
+        let is_allowed = self.gateway.retry_budget().take_retry(&self.call.service, routers, now);
         if !is_allowed {
             self.gateway.metrics.budget_spent.inc();
         }
@@ -167,11 +167,11 @@
         unreachable!("only servers without limits are chosen after {MAX_LIMIT_REFUSALS} refusals")
     }
 
-    fn choose(&self, spares_limited: bool) -> Result<Choice, ChoiceError> {
+    fn choose(&self, excludes_limited: bool) -> Result<Choice, ChoiceError> {
         let request = ServerRequest {
             service: &self.call.service,
             prompt: self.call.info.prompt.as_ref(),
-            sharing: hash_sharing_scope(&self.call.sharing_scope),
+            sharing_key: hash_sharing_scope(&self.call.sharing_scope),
             excluded: &self.excluded,
             excludes_limited,
             rank: self.call.priority,
@@ -179,7 +179,7 @@
             min_version: self.min_version(),
             objective: self.call.objective(),
             time_left: self.call.objective().saturating_sub(self.call.arrived.elapsed()),
-            max_pause: self.call.max_gap(),
+            max_gap: self.call.max_gap(),
         };
         let now = self.gateway.now();
         self.gateway.placement().choose(&request, now, rand::random())
@@ -212,7 +212,7 @@
 
     fn refusal_answer(&self, refusal: ChoiceError) -> OwnAnswer {
         match refusal {
-            ChoiceError::NoServer | ChoiceError::OldWeights => {
+            ChoiceError::NoServer | ChoiceError::OutdatedWeights => {
                 OwnAnswer::NoServer(NO_SERVER_RETRY_AFTER)
             }
             ChoiceError::AllExcluded => OwnAnswer::Full(FULL_RETRY_AFTER),
@@ -221,11 +221,11 @@
                 let min_retry_after = self.call.objective().mul_f64(MIN_RETRY_AFTER_FACTOR);
                 OwnAnswer::Overloaded(add_jitter(overload.excess().max(min_retry_after)))
             }
-            ChoiceError::Resting(backoff) => {
+            ChoiceError::BackingOff(backoff) => {
                 self.gateway.log_excluded_servers(self.call);
                 OwnAnswer::ServersBackingOff(backoff_retry_after(backoff, self.call.priority))
             }
-            ChoiceError::UsedUp(pause) => {
+            ChoiceError::LimitReached(pause) => {
                 OwnAnswer::ServersAtLimit(add_jitter(pause.max(FULL_RETRY_AFTER)))
             }
         }
@@ -259,8 +259,8 @@
     }
 
     fn log_choice(&self, choice: &Choice) {
-        self.gateway.metrics.cached_tokens.inc_by(u64::from(choice.kept_tokens));
-        self.gateway.metrics.prefill_tokens.inc_by(u64::from(choice.missed_tokens));
+        self.gateway.metrics.cached_tokens.inc_by(u64::from(choice.cached_tokens));
+        self.gateway.metrics.prefill_tokens.inc_by(u64::from(choice.prefill_tokens));
         log::info!(
             "event=attempt request={} route={} service={} instance={} reason={} cost_ms={:.1} \
              late={} kept={} missed={} chain={:08x} version={} source={} candidates={} catalog={} age_ms={} sent={}",
--- a/crates/gateway/src/server_limits.rs
+++ b/crates/gateway/src/server_limits.rs
@@ -64,7 +64,7 @@
                 self.metrics.advertised_limits.with_label_values(&["yes"]).inc();
                 self.placement().observe_limit(instance, rate, at)
             }
-            AdvertisedLimit::Unreadable(error) => {
+            AdvertisedLimit::Invalid(error) => {
                 self.metrics.advertised_limits.with_label_values(&["no"]).inc();
                 log::warn!(
                     "event=server_limit_unreadable request={request} instance={instance} \
@@ -80,11 +80,11 @@
     /// Applies a limit that another router reported.
     pub(crate) fn apply_peer_limit(&self, update: &ServerLimitUpdate) {
         let instance = update.id();
-        let Ok(rate) = RequestRate::of(update.per_second) else {
+        let Ok(rate) = RequestRate::new(update.per_second) else {
             log::warn!("event=server_limit_unreadable request=- instance={instance} reason=news");
             return;
         };
-        let limit = PeerLimit { sequence: update.sequence, rate, is_over: update.is_over };
+        let limit = PeerLimit { sequence: update.sequence, rate, has_ended: update.is_withdrawn };
         let at = self.observed_at();
         let change = self.placement().apply_peer_limit(&instance, limit, at);
         log_limit_change(&instance, change, "-");
@@ -92,13 +92,13 @@
     }
 
     fn publish_limit(&self, instance: &InstanceId, now: Timestamp) {
-        let Some(limit) = self.placement().limit_news(instance, now) else { return };
+        let Some(limit) = self.placement().take_due_limit_report(instance, now) else { return };
         self.updates.push_limit(ServerLimitUpdate {
             instance: instance.name().clone(),
             started: instance.started(),
             sequence: limit.sequence,
             per_second: limit.rate.per_second(),
-            is_over: limit.is_over,
+            is_withdrawn: limit.has_ended,
         });
     }
 
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -97,7 +97,7 @@
                 self.last_event
             );
             let sent_at = attempt.sent_at;
-            attempt.fail(Outcome::Broken);
+            attempt.fail(Outcome::Interrupted);
             if error == BodyError::Broken {
                 self.gateway.record_interrupted(&self.call, &instance, sent_at);
             }
--- a/crates/gateway/src/updates.rs
+++ b/crates/gateway/src/updates.rs
@@ -54,12 +54,12 @@
     /// number, or `None` if the queue is full.
     pub(crate) fn push_dispatch(&self, choice: &Choice) -> Option<u16> {
         let mut pending = lock(&self.pending);
-        if pending.sightings.len() >= MAX_QUEUED_REPORTS {
+        if pending.dispatches.len() >= MAX_QUEUED_REPORTS {
             return None;
         }
         // Zero means that the request has no number.
         let number = self.last_number.fetch_add(1, Ordering::Relaxed).wrapping_add(1).max(1);
-        pending.sightings.push(to_message(choice.sighting(), number));
+        pending.dispatches.push(to_message(choice.dispatch_record(), number));
         self.wake.notify_one();
         Some(number)
     }
@@ -67,8 +67,8 @@
     /// Queues the end of a request. If the queue is full, the other routers expire the request.
     pub(crate) fn push_completion(&self, number: u16) {
         let mut pending = lock(&self.pending);
-        if pending.ended.len() < MAX_QUEUED_COMPLETIONS {
-            pending.ended.push(number);
+        if pending.ended_requests.len() < MAX_QUEUED_COMPLETIONS {
+            pending.ended_requests.push(number);
             self.wake.notify_one();
         }
     }
@@ -111,18 +111,18 @@
     /// end of an unknown request.
     fn take(&self, allowed: usize) -> (RouterUpdate, usize) {
         let mut pending = std::mem::take(&mut *lock(&self.pending));
-        if pending.sightings.len() <= allowed {
+        if pending.dispatches.len() <= allowed {
             return (pending, 0);
         }
-        pending.sightings.sort_by_key(|report| std::cmp::Reverse(report.tokens));
-        let dropped = pending.sightings.split_off(allowed);
+        pending.dispatches.sort_by_key(|report| std::cmp::Reverse(report.uncached_tokens));
+        let dropped = pending.dispatches.split_off(allowed);
         (pending, dropped.len())
     }
 }
 
 /// Publishes updates to the other routers and applies theirs. Runs until the feed ends.
 pub(crate) async fn exchange(gateway: Arc<Gateway>) {
-    let mut received = gateway.feed.news();
+    let mut received = gateway.feed.subscribe_router_updates();
     let mut budget = ReportBudget::default();
     loop {
         tokio::select! {
@@ -141,30 +141,30 @@
 
 /// Publishes the queued updates, with as many dispatch reports as the budget allows.
 async fn publish(gateway: &Gateway, budget: &mut ReportBudget) {
-    let allowed = budget.allowed(gateway.feed.routers(), gateway.now());
+    let allowed = budget.allowed(gateway.feed.router_count(), gateway.now());
     let (updates, dropped) = gateway.updates.take(allowed);
     gateway.metrics.dropped_dispatch_reports.inc_by(dropped as u64);
     if !updates.is_empty() {
-        budget.spend(updates.sightings.len());
-        gateway.feed.tell(updates).await;
+        budget.spend(updates.dispatches.len());
+        gateway.feed.publish(updates).await;
     }
 }
 
 /// Applies updates of other routers.
 fn apply_peer_updates(gateway: &Gateway, batch: &RelayedBatch) {
-    let limits = batch.iter().flat_map(|update| update.news.server_limits.iter().flatten());
+    let limits = batch.iter().flat_map(|update| update.update.server_limits.iter().flatten());
     limits.for_each(|limit| gateway.apply_peer_limit(limit));
     let now = gateway.now();
     let mut placement = gateway.placement();
     for RelayedUpdate { from, zone, update } in batch.iter() {
         let request = |number: u16| ReportedRequest { router: *from, number };
-        for notice in news.notices.iter().flatten() {
+        for notice in update.notices.iter().flatten() {
             apply_peer_notice(&mut placement, notice, *from, now);
         }
-        for report in &news.sightings {
-            match report.number {
+        for report in &update.dispatches {
+            match report.request_number {
                 // Sent by a router of an earlier version; the request expires.
-                0 => placement.sighted(&from_message(report), now),
+                0 => placement.apply_untracked_dispatch(&from_message(report), now),
                 number => {
                     placement.apply_peer_dispatch(request(number), &from_message(report), now)
                 }
@@ -175,7 +175,7 @@
             .iter()
             .for_each(|number| placement.apply_peer_completion(request(*number)));
         let reporter = Reporter { node: from.0, zone: zone.as_str() };
-        for report in &news.reachability {
+        for report in &update.reachability {
             let instance = report.id();
             if placement.apply_peer_reachability(reporter, &instance, report.reached, now) {
                 log::info!("event=server_reported_unreachable instance={instance}");
@@ -202,16 +202,23 @@
 }
 
 fn to_message(report: DispatchRecord, number: u16) -> DispatchReport {
-    let DispatchRecord { instance, version, keys, part_tokens, own_tokens, tokens, read_tokens } =
-        report;
+    let DispatchRecord {
+        instance,
+        version,
+        keys,
+        segment_tokens,
+        own_tokens,
+        tokens,
+        prefill_tokens,
+    } = report;
     DispatchReport {
         instance: instance.name().clone(),
         version,
         prefix_hashes: keys,
-        segment_tokens: part_tokens,
+        segment_tokens,
         unshared_tokens: own_tokens,
         uncached_tokens: tokens,
-        prefill_tokens: read_tokens,
+        prefill_tokens,
         request_number: number,
     }
 }
@@ -220,10 +227,10 @@
     DispatchRecord {
         instance: InstanceId::started_at(report.instance.clone(), StartTime::UNKNOWN),
         version: report.version,
-        keys: report.chains.clone(),
-        part_tokens: report.part_tokens.clone(),
-        own_tokens: report.own_tokens,
-        tokens: report.tokens,
-        read_tokens: report.read_tokens,
+        keys: report.prefix_hashes.clone(),
+        segment_tokens: report.segment_tokens.clone(),
+        own_tokens: report.unshared_tokens,
+        tokens: report.uncached_tokens,
+        prefill_tokens: report.prefill_tokens,
     }
 }
--- a/crates/gateway/tests/paths/backoffs.rs
+++ b/crates/gateway/tests/paths/backoffs.rs
@@ -143,7 +143,7 @@
 }
 
 /// Another router's report of a requested backoff.
-fn backoff_update(server: &FakeServer, pause_ms: u64) -> RouterUpdate {
+fn backoff_update(server: &FakeServer, backoff_ms: u64) -> RouterUpdate {
     let (instance, started) = (server.report().name, StartTime::UNKNOWN);
     let notice = ServerNoticeUpdate { instance, started, backoff_ms, is_departing: false };
     RouterUpdate { notices: Some(vec![notice]), ..RouterUpdate::default() }
@@ -160,7 +160,7 @@
     }
     let published = gateway.control.published_notices();
     assert_eq!(
-        (published.len(), published[0].pause_ms, published[0].is_leaving),
+        (published.len(), published[0].backoff_ms, published[0].is_departing),
         (1, 2_000, false)
     );
     assert_eq!(published[0].instance, backing_off.report().name);
--- a/crates/gateway/tests/paths/quarantine.rs
+++ b/crates/gateway/tests/paths/quarantine.rs
@@ -190,7 +190,7 @@
         elsewhere.control.send_peer_update(1, "south", crash_update(fingerprint, server));
     }
     let instances = ["e1", "e2"].map(InstanceId::new).to_vec();
-    let cleared = vec![CrashClearance::of(fingerprint, &instances)];
+    let cleared = vec![CrashClearance::new(fingerprint, &instances)];
     let crashes = Some(CrashUpdate { crashes: Vec::new(), cleared });
     elsewhere.control.send_peer_update(
         2,
--- a/crates/gateway/tests/paths/server_limits.rs
+++ b/crates/gateway/tests/paths/server_limits.rs
@@ -40,7 +40,7 @@
     }
 }
 
-fn limit_update(server: &FakeServer, sequence: u64, is_over: bool) -> RouterUpdate {
+fn limit_update(server: &FakeServer, sequence: u64, is_withdrawn: bool) -> RouterUpdate {
     let (instance, started) = (server.report().name, StartTime::UNKNOWN);
     let limit = ServerLimitUpdate { instance, started, sequence, per_second: 2.5, is_withdrawn };
     RouterUpdate { server_limits: Some(vec![limit]), ..RouterUpdate::default() }
@@ -172,7 +172,7 @@
         rates.extend(gateway.control.charges().last().map(|charge| charge.per_second));
     }
     assert!(
-        gateway.control.published_limits().iter().any(|limit| limit.is_over),
+        gateway.control.published_limits().iter().any(|limit| limit.is_withdrawn),
         "the end is published"
     );
     rates.dedup();
--- a/crates/gateway/tests/paths/support/control.rs
+++ b/crates/gateway/tests/paths/support/control.rs
@@ -133,28 +133,28 @@
     }
 
     /// Sends an update of another router to the gateway.
-    pub fn send_peer_update(&self, from: u64, zone: &str, news: RouterUpdate) {
+    pub fn send_peer_update(&self, from: u64, zone: &str, update: RouterUpdate) {
         let zone = ZoneName::new(zone).expect("a name");
         // Fails if no gateway is subscribed yet.
-        let _ = self.state.peer_updates.send(RelayedUpdate { from: NodeId(from), zone, news });
+        let _ = self.state.peer_updates.send(RelayedUpdate { from: NodeId(from), zone, update });
     }
 
     /// Servers in the dispatch reports that the gateway published.
     pub fn published_dispatches(&self) -> Vec<InstanceName> {
         let published = self.state.published.lock().expect("no panic");
-        let reports = published.iter().flat_map(|update| &update.sightings);
+        let reports = published.iter().flat_map(|update| &update.dispatches);
         reports.map(|report| report.instance.clone()).collect()
     }
 
     /// Servers of the requests whose end the gateway published.
     pub fn published_completions(&self) -> Vec<InstanceName> {
         let published = self.state.published.lock().expect("no panic");
-        let reports: Vec<_> = published.iter().flat_map(|update| &update.sightings).collect();
+        let reports: Vec<_> = published.iter().flat_map(|update| &update.dispatches).collect();
         let server_of = |number: &u16| {
-            let report = reports.iter().find(|report| report.number == *number);
+            let report = reports.iter().find(|report| report.request_number == *number);
             report.expect("only reported requests end").instance.clone()
         };
-        published.iter().flat_map(|update| update.ended.iter().map(server_of)).collect()
+        published.iter().flat_map(|update| update.ended_requests.iter().map(server_of)).collect()
     }
 
     /// Quarantine requests of the gateway.
@@ -275,7 +275,7 @@
             state.quarantined.lock().expect("no panic").push(call.clone());
             vec![reply(Reply::Done)]
         }
-        Request::GiveBack { units, .. } => {
+        Request::Refund { units, .. } => {
             state.refunds.lock().expect("no panic").push(*units);
             vec![reply(Reply::Done)]
         }
@@ -285,8 +285,8 @@
 
 fn handle_charge(state: &ReplicaState, charge: &LimitCharge) -> Option<Reply> {
     state.charges.lock().expect("no panic").push(charge.clone());
-    let answer = |refused_for_ms| {
-        Some(Reply::Charged(ChargeAnswer { refused_for_ms, fleet_per_second: 0.0 }))
+    let answer = |retry_after_ms| {
+        Some(Reply::Charged(ChargeAnswer { retry_after_ms, fleet_per_second: 0.0 }))
     };
     match *state.charge_handling.lock().expect("no panic") {
         ChargeHandling::Admit | ChargeHandling::AdmitLate => answer(None),
@@ -310,9 +310,10 @@
 }
 
 fn instances_push(state: &ReplicaState) -> Message {
-    let heard = state.reports.lock().expect("no panic").clone().into_iter();
-    let heard = heard.map(|report| ObservedInstance { report, silent: false, age_ms: 0 }).collect();
-    Message::Push(Push::Instances { heard, whole: true, gone: Vec::new() })
+    let observed = state.reports.lock().expect("no panic").clone().into_iter();
+    let observed =
+        observed.map(|report| ObservedInstance { report, silent: false, age_ms: 0 }).collect();
+    Message::Push(Push::Instances { observed, is_complete: true, removed: Vec::new() })
 }
 
 /// Holds back the answers to the first confirmation request and to a later request until both are
@@ -337,7 +338,7 @@
         match request {
             Request::Confirm if self.is_done || !self.confirmed.is_empty() => return Vec::new(),
             Request::Confirm => self.confirmed = answers,
-            Request::ListenToRouters { .. } => self.other = answers,
+            Request::RelayRouterUpdates { .. } => self.other = answers,
             _ => return answers,
         }
         self.is_done = !self.confirmed.is_empty() && !self.other.is_empty();
--- a/crates/gateway/tests/paths/support/dialect.rs
+++ b/crates/gateway/tests/paths/support/dialect.rs
@@ -59,11 +59,11 @@
             is_wrong_server: is_misdirected && !has_other_weights,
             is_wrong_version: is_misdirected && has_other_weights,
             version: None,
-            advertised_limit: AdvertisedLimit::read(stated.map(|value| value.to_str().ok())),
+            advertised_limit: AdvertisedLimit::parse(stated.map(|value| value.to_str().ok())),
             notice: ServerNotice {
-                pause: RequestedBackoff::read(pauses.map(|value| value.to_str().ok())),
+                backoff: RequestedBackoff::parse(pauses.map(|value| value.to_str().ok())),
                 departure: match head.headers.contains_key("x-leaving") {
-                    true => DepartureNotice::Leaving,
+                    true => DepartureNotice::Departing,
                     false => DepartureNotice::Nothing,
                 },
             },
--- a/crates/placement/src/search.rs
+++ b/crates/placement/src/search.rs
@@ -188,7 +188,7 @@
             recomputed_tokens: work.recomputed_tokens,
             transfer_ms: work.transfer_ms,
             other_lane: work.other_lane,
-            utilization: server.limit.as_ref().map_or(0.0, |limit| limit.used_part(context.now)),
+            utilization: server.limit.as_ref().map_or(0.0, |limit| limit.used_share(context.now)),
             evicted_tokens: f64::from(work.inserted_tokens) * work.eviction_loss,
         }
     }
--- a/crates/placement/src/server.rs
+++ b/crates/placement/src/server.rs
@@ -67,7 +67,7 @@
 
     /// Time until the advertised limit admits another request; `None` if it admits one now.
     pub(crate) fn limit_wait(&self, now: Timestamp) -> Option<Duration> {
-        self.limit.as_ref()?.pause(now)
+        self.limit.as_ref()?.remaining_wait(now)
     }
 
     /// Version of the model weights on the server; zero if it has none.
--- a/crates/placement/src/server_limits.rs
+++ b/crates/placement/src/server_limits.rs
@@ -52,7 +52,7 @@
         at: ObservedAt,
     ) -> Option<LimitChange> {
         let limit = self.server_mut(instance)?.limit.as_mut()?;
-        limit.heard_none(sent_at, at.now, at.unix_ms).then_some(LimitChange::Ended)
+        limit.observe_no_limit(sent_at, at.now, at.unix_ms).then_some(LimitChange::Ended)
     }
 
     /// Records another router's report of the server's limit. Returns the change, if any.
@@ -64,15 +64,18 @@
     ) -> Option<LimitChange> {
         let server = self.server_mut(instance)?;
         let is_new = match &mut server.limit {
-            Some(limit) => limit.told(report, at.now, at.unix_ms),
-            None if report.is_over => false,
+            Some(limit) => limit.apply_report(report, at.now, at.unix_ms),
+            None if report.has_ended => false,
             limit => {
-                *limit = Some(ServerLimit::told_first(report, at.now));
+                *limit = Some(ServerLimit::from_report(report, at.now));
                 true
             }
         };
-        let change =
-            if report.is_over { LimitChange::Ended } else { LimitChange::Advertised(report.rate) };
+        let change = if report.has_ended {
+            LimitChange::Ended
+        } else {
+            LimitChange::Advertised(report.rate)
+        };
         is_new.then_some(change)
     }
 
@@ -82,7 +85,7 @@
         instance: &InstanceId,
         now: Timestamp,
     ) -> Option<PeerLimit> {
-        self.server_mut(instance)?.limit.as_mut()?.news(now)
+        self.server_mut(instance)?.limit.as_mut()?.take_due_report(now)
     }
 
     /// Rate that all routers together may send to the server; `None` without a limit. Removes a
--- a/crates/protocol/src/fleet.rs
+++ b/crates/protocol/src/fleet.rs
@@ -2,7 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use juniper_registry::{InstanceId, InstanceName, StartTime, incarnations, split_incarnations};
+use juniper_registry::{
+    InstanceId, InstanceName, StartTime, join_incarnations, split_incarnations,
+};
 use juniper_types::{NodeId, RequestFingerprint, ZoneName};
 use minicbor::{Decode, Encode};
 
@@ -315,12 +317,12 @@
 
     /// Incarnations in `renewing`.
     pub fn renewing_ids(&self) -> Vec<InstanceId> {
-        incarnations(self.renewing.clone(), &self.renewing_starts)
+        join_incarnations(self.renewing.clone(), &self.renewing_starts)
     }
 
     /// Incarnations in `ended`.
     pub fn ended_ids(&self) -> Vec<InstanceId> {
-        incarnations(self.ended.clone(), &self.ended_starts)
+        join_incarnations(self.ended.clone(), &self.ended_starts)
     }
 }
 
--- a/crates/renewal/src/order_dispatcher.rs
+++ b/crates/renewal/src/order_dispatcher.rs
@@ -276,8 +276,8 @@
         self.versions.retain(|(instance, model), version| {
             report(instance).is_some_and(|report| report.version_of(model) < Some(*version))
         });
-        self.calls.announce(Renewals {
-            under_way: self.in_flight.clone(),
+        self.calls.publish_renewals(Renewals {
+            renewing: self.in_flight.clone(),
             versions: self.versions.clone(),
         });
     }
