--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -3,12 +3,12 @@
 //! - [`TokenBucket`] is the token bucket behind every rate limit.
 //! - [`LimitOwner`] runs on a control replica and keeps one bucket for the whole fleet for each
 //!   account that the replica owns. Routers charge the account before they dispatch a request.
-//! - [`rank_owners`] ranks the replicas for an account. The first one that the router reaches and that
-//!   a quorum has recently confirmed owns the account.
+//! - [`rank_owners`] ranks the replicas for an account. The first one that the router reaches and
+//!   that a quorum has recently confirmed owns the account.
 //! - [`LocalLimits`] decides on a router that reaches no owner. The router then admits its
 //!   [`FleetShare`] of a fraction of the limit.
-//! - [`AdvertisedLimit`] is the limit that a server's answer advertises. [`ServerLimit`] tracks it on a
-//!   router and decides when to report it to the other routers.
+//! - [`AdvertisedLimit`] is the limit that a server's answer advertises. [`ServerLimit`] tracks it
+//!   on a router and decides when to report it to the other routers.
 //! - [`ServerNotice`] is a backoff request or departure announcement in a server's answer.
 //!
 //! Time and random numbers are passed in; nothing here performs I/O. For the design and the
--- a/crates/limits/src/local.rs
+++ b/crates/limits/src/local.rs
@@ -151,8 +151,8 @@
         }
         match local.bucket.take_probabilistic(request.units, limit, now, draw) {
             Ok(()) => Verdict::Admitted { fleet_per_second },
-            Err(pause) => {
-                Verdict::Refused { retry_after: pause.max(MIN_RETRY_AFTER), fleet_per_second }
+            Err(wait) => {
+                Verdict::Refused { retry_after: wait.max(MIN_RETRY_AFTER), fleet_per_second }
             }
         }
     }
--- a/crates/limits/src/server_limit.rs
+++ b/crates/limits/src/server_limit.rs
@@ -176,7 +176,7 @@
         is_newer
     }
 
-    /// Returns the state if it is due to be reported to the other routers, and marks it as reported.
+    /// Returns the state if a report to the other routers is due, and marks it as reported.
     pub fn take_due_report(&mut self, now: Timestamp) -> Option<PeerLimit> {
         let age = self.last_reported_at.map(|at| now.since(at));
         let advertised_now = self.last_advertised_at == now;
--- a/crates/limits/tests/server_limits/main.rs
+++ b/crates/limits/tests/server_limits/main.rs
@@ -1,5 +1,6 @@
 //! Simulation, with many routers and faults, of a server that advertises a limit. Checks the
-//! requests that it receives in each window of four seconds. `LIMIT_SEEDS` sets the number of seeds.
+//! requests that it receives in each window of four seconds. `LIMIT_SEEDS` sets the number of
+//! seeds.
 
 mod fleet;
 mod strategies;
--- a/crates/limits/tests/strategies/world.rs
+++ b/crates/limits/tests/strategies/world.rs
@@ -205,11 +205,11 @@
     let most_in_window = most_in_window(&admitted);
     let allowed = world.limit.per_second * WINDOW_S + world.limit.burst;
     let sum: f64 = admitted.iter().map(|(_, units)| units).sum();
-    let asked: f64 = world.arrivals.iter().map(|arrival| arrival.units).sum();
+    let demand: f64 = world.arrivals.iter().map(|arrival| arrival.units).sum();
     let possible = world.limit.per_second * DURATION_MS as f64 / 1_000.0 + world.limit.burst;
     Outcome {
         most_in_window,
-        utilization: sum / asked.min(possible),
+        utilization: sum / demand.min(possible),
         excess: (most_in_window / allowed - 1.0).max(0.0),
     }
 }
--- a/crates/quarantine/src/interrupted_requests.rs
+++ b/crates/quarantine/src/interrupted_requests.rs
@@ -100,7 +100,7 @@
         self.record_proof(instance, proof, now)
     }
 
-    /// Records the proof of a server's crash. Returns the crash if interrupted requests are pending.
+    /// Records proof of a server's crash. Returns the crash if interrupted requests are pending.
     pub fn record_proof(
         &mut self,
         instance: &InstanceId,
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -1,11 +1,12 @@
 //! Detection and quarantine of requests that crash the servers that execute them.
 //!
-//! - [`InterruptedRequests`] tracks interrupted requests until it is known whether their server crashed.
+//! - [`InterruptedRequests`] tracks interrupted requests until it is known whether their server
+//!   crashed.
 //! - [`CrashCounts`] counts the crashes under each request from the reports of all routers. A
 //!   request is quarantined after [`CRASHES_BEFORE_QUARANTINE`] crashes and cleared when it
 //!   completes.
-//! - [`CompletedRequests`] records requests that have completed, so that simultaneous crashes of many
-//!   servers, as in a power failure, don't count against frequent requests.
+//! - [`CompletedRequests`] records requests that have completed, so that simultaneous crashes of
+//!   many servers, as in a power failure, don't count against frequent requests.
 //! - [`Rebroadcast`] repeats a router's own reports, since messages between routers may be lost.
 //!
 //! Time is passed in; nothing here performs I/O.
--- a/crates/renewal/src/exchange.rs
+++ b/crates/renewal/src/exchange.rs
@@ -56,7 +56,7 @@
     Taken,
     /// The server already has the weights.
     AlreadyDone,
-    /// Another order is in progress, or the number of accepted orders differs from the expected one.
+    /// Another order is in progress, or the number of accepted orders isn't the expected one.
     Conflict,
     /// A holder with a higher token has sent orders.
     Fenced,
--- a/crates/renewal/src/order_dispatcher.rs
+++ b/crates/renewal/src/order_dispatcher.rs
@@ -264,7 +264,7 @@
         }
     }
 
-    /// Publishes to routers the orders in flight and the versions that servers haven't reported yet.
+    /// Publishes the orders in flight and the versions that servers haven't reported yet.
     fn publish_renewals(&mut self) {
         let view = self.feed.latest();
         let report = |id: &InstanceId| {
