--- a/crates/control/src/fleet_publisher.rs
+++ b/crates/control/src/fleet_publisher.rs
@@ -62,8 +62,8 @@
     /// Returns the complete state in a single message: after the first of several, a subscriber would
     /// take a part of the servers for all of them.
     fn complete_frame(&mut self) -> SharedFrame {
-        let known = self.complete.as_ref().filter(|(revision, _)| *revision == self.revision);
-        if let Some((_, frame)) = known {
+        let cached = self.complete.as_ref().filter(|(revision, _)| *revision == self.revision);
+        if let Some((_, frame)) = cached {
             return Arc::clone(frame);
         }
         let complete = encode_frame(self.latest.iter(), true, Vec::new());
@@ -122,8 +122,8 @@
             log.set_latest(renewals);
             log.publish()
         };
-        self.published.send_if_modified(|known| {
-            std::mem::replace(known, (servers, renewals)) != (servers, renewals)
+        self.published.send_if_modified(|published| {
+            std::mem::replace(published, (servers, renewals)) != (servers, renewals)
         });
     }
 
--- a/crates/control/src/instances.rs
+++ b/crates/control/src/instances.rs
@@ -115,14 +115,14 @@
         let (up_to, observed) = {
             let instances = self.lock();
             let up_to = instances.revision();
-            let is_same = |known: &&InstanceFrame| {
-                known.after == after
-                    && known.up_to == up_to
-                    && known.encoded_at.elapsed() < MAX_FRAME_AGE
+            let is_same = |frame: &&InstanceFrame| {
+                frame.after == after
+                    && frame.up_to == up_to
+                    && frame.encoded_at.elapsed() < MAX_FRAME_AGE
             };
             let same = cached.as_ref().filter(is_same);
-            if let Some(known) = same {
-                return (up_to, Arc::clone(&known.payload));
+            if let Some(frame) = same {
+                return (up_to, Arc::clone(&frame.payload));
             }
             (up_to, instances.changes_after(after.unwrap_or(0), self.now()))
         };
@@ -191,5 +191,5 @@
 }
 
 fn publish(published: &watch::Sender<u64>, latest: u64) {
-    published.send_if_modified(|known| std::mem::replace(known, latest) != latest);
+    published.send_if_modified(|published| std::mem::replace(published, latest) != latest);
 }
--- a/crates/control/src/operator/nodes.rs
+++ b/crates/control/src/operator/nodes.rs
@@ -84,8 +84,8 @@
 }
 
 fn keep_latest(latest: &mut BTreeMap<NodeId, Member>, member: Member) {
-    let newer = latest.get(&member.node).is_none_or(|known| member.silent_ms < known.silent_ms);
-    if newer {
+    let is_newer = latest.get(&member.node).is_none_or(|other| member.silent_ms < other.silent_ms);
+    if is_newer {
         latest.insert(member.node, member);
     }
 }
--- a/crates/control/src/operator/quarantine.rs
+++ b/crates/control/src/operator/quarantine.rs
@@ -29,13 +29,13 @@
 pub(super) async fn list(State(api): ApiState) -> Result<Json<QuarantineBody>, OperatorError> {
     let name = |server: &InstanceName| server.to_string();
     let read = move |state: &juniper_control_state::ControlState| {
-        let known = state.fleet().quarantine().requests();
-        let item = known.map(|known| RequestItem {
-            fingerprint: known.request.to_string(),
-            servers: known.servers.iter().map(name).collect(),
-            since: known.since,
+        let quarantined = state.fleet().quarantine().requests();
+        let items = quarantined.map(|entry| RequestItem {
+            fingerprint: entry.request.to_string(),
+            servers: entry.servers.iter().map(name).collect(),
+            since: entry.since,
         });
-        item.collect::<Vec<_>>()
+        items.collect::<Vec<_>>()
     };
     let requests = api.group.read(false, read).await?;
     Ok(Json(QuarantineBody { requests }))
--- a/crates/control/src/renewal_log.rs
+++ b/crates/control/src/renewal_log.rs
@@ -39,7 +39,7 @@
     /// own reports, so they need no update.
     fn changes_since(&self, earlier: &Renewals) -> RenewalUpdate {
         let is_new =
-            |known: &(&(InstanceId, String), &u64)| earlier.versions.get(known.0) != Some(known.1);
+            |entry: &(&(InstanceId, String), &u64)| earlier.versions.get(entry.0) != Some(entry.1);
         let versions = self.versions.iter().filter(is_new).map(known_version).collect();
         let started = self.renewing.difference(&earlier.renewing);
         let ended = earlier.renewing.difference(&self.renewing);
@@ -47,8 +47,8 @@
     }
 }
 
-fn known_version(known: (&(InstanceId, String), &u64)) -> KnownVersion {
-    let ((instance, model), version) = known;
+fn known_version(entry: (&(InstanceId, String), &u64)) -> KnownVersion {
+    let ((instance, model), version) = entry;
     KnownVersion {
         instance: instance.name().clone(),
         started: instance.started(),
--- a/crates/control/src/replica/actor.rs
+++ b/crates/control/src/replica/actor.rs
@@ -197,10 +197,10 @@
         let claims = self.state_machine.state().claims().len();
         self.metrics.claims.set(to_gauge(claims as u64));
         self.metrics.set_status(&status);
-        let known = self.status.borrow();
-        let role_changed =
-            (known.role, known.term, known.leader) != (status.role, status.term, status.leader);
-        drop(known);
+        let published = self.status.borrow();
+        let role_changed = (published.role, published.term, published.leader)
+            != (status.role, status.term, status.leader);
+        drop(published);
         if role_changed {
             let leader = status.leader_node().map_or(0, |node| node.0);
             log::info!(
@@ -209,9 +209,9 @@
                 status.term
             );
         }
-        self.status.send_if_modified(|known| {
-            let changed = *known != status;
-            *known = status;
+        self.status.send_if_modified(|published| {
+            let changed = *published != status;
+            *published = status;
             changed
         });
     }
--- a/crates/control/tests/fleet_log.rs
+++ b/crates/control/tests/fleet_log.rs
@@ -1,4 +1,4 @@
-//! What routers that follow a few replicas are told of servers: changes, encoded once.
+//! Server updates for routers subscribed to a few replicas: changes, encoded once.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::sync::Arc;
