--- a/crates/control/src/operator/error.rs
+++ b/crates/control/src/operator/error.rs
@@ -41,7 +41,7 @@
     Conflict { current: Revision, answer: WriteAnswer },
     #[error("resulting settings tree would have {count} fault(s)")]
     Invalid { count: usize, answer: WriteAnswer },
-    #[error("change id was used before, by the change that made revision {revision}")]
+    #[error("change id was already used by another change, which made revision {revision}")]
     ChangeIdReused { revision: Revision },
     #[error("too many changes, retry after {retry_after_ms} ms")]
     RateLimited { retry_after_ms: u64 },
