--- a/crates/placement/src/admission.rs
+++ b/crates/placement/src/admission.rs
@@ -55,8 +55,8 @@
 
 impl StartEstimate {
     /// Returns the reason for rejecting a prompt of this rank (0 is the most urgent), or `None` to
-    /// admit it. `lower_quartile_wait_ms` visits every server and is only called if the start limit is
-    /// exceeded.
+    /// admit it. `lower_quartile_wait_ms` visits every server and is only called if the start limit
+    /// is exceeded.
     pub fn overload(
         self,
         rank: u8,
--- a/crates/placement/src/choice.rs
+++ b/crates/placement/src/choice.rs
@@ -136,13 +136,11 @@
     #[error("servers are overloaded: {0:?}")]
     Overloaded(Overload),
     /// Every server is backing off from this router; the first backoff ends after this time.
-    #[error("every server is backing off; the first one accepts requests in {0:?}")]
+    #[error("every server is backing off; the first accepts requests in {0:?}")]
     BackingOff(Duration),
     /// Every remaining server has reached its advertised limit; the first has capacity after this
     /// time.
-    #[error(
-        "every remaining server has reached its advertised limit; the first one has capacity in {0:?}"
-    )]
+    #[error("every remaining server is at its advertised limit; the first has capacity in {0:?}")]
     LimitReached(Duration),
 }
 
