--- a/crates/consensus/src/config.rs
+++ b/crates/consensus/src/config.rs
@@ -1,58 +1,56 @@
-//! Settings of a replica, counted in ticks of the driver's clock.
+//! Settings of a replica, with durations in ticks of the driver's clock.
 
 use juniper_types::{NodeId, ZoneName};
 
 use crate::identity::ReplicaId;
 
-/// Settings of one replica.
+/// Settings of a replica.
 ///
-/// Times are in ticks. The defaults assume a tick of 50 ms, which gives a
-/// heartbeat every 100 ms and an election after 0.5 to 1 s of silence. One-way
-/// latency between zones is somewhat over 1 ms, so that a heartbeat can be late
-/// by many round trips before an election starts, and a dead leader is still
-/// replaced well within 2 s.
+/// The defaults assume a tick of 50 ms: a heartbeat every 100 ms and an election after
+/// 0.5 to 1 s without contact to a leader. This tolerates delays of many round trips
+/// between zones and replaces a crashed leader within 2 s.
 #[derive(Clone, Debug)]
 pub struct ReplicaConfig {
-    /// This replica; `disk` comes from its data folder.
+    /// Identity of this replica, with `disk` read from the data folder.
     pub id: ReplicaId,
-    /// Zone it runs in.
+    /// Zone of this replica.
     pub zone: ZoneName,
-    /// Nodes that may hold replicas; a replica that isn't a member asks them to let it join.
+    /// Nodes that may run replicas. A replica that isn't a member sends them join requests.
     pub peers: Vec<NodeId>,
-    /// Whether any node may join. Who may speak at all is then up to the driver.
+    /// Whether any node may join. The driver must then authenticate senders.
     pub admits_any_node: bool,
-    /// Whether standbys replace voters only to spread them over zones.
+    /// Whether standbys replace live voters to spread the voters over zones.
     pub spreads_zones: bool,
-    /// Voters that the leader keeps up, from the learners it has: 3 or 5.
+    /// Number of voters that the leader maintains by promoting learners: 3 or 5.
     pub target_voters: usize,
     /// Ticks between heartbeats.
     pub heartbeat_ticks: u64,
-    /// Shortest silence before an election, in ticks. The longest is just under twice as much.
+    /// Minimum election timeout, in ticks. The randomized timeout is less than twice as long.
     pub election_ticks: u64,
-    /// Silence after which a voter counts as lost and a standby takes its place, in ticks.
+    /// Ticks without contact after which a voter is considered lost and replaced by a standby.
     pub lost_voter_ticks: u64,
-    /// Silence after which a learner is taken out, in ticks.
+    /// Ticks without contact after which a learner is removed.
     pub lost_learner_ticks: u64,
-    /// Most bytes of entries in one message.
+    /// Maximum size of the entries in one message, in bytes.
     pub max_append_bytes: usize,
-    /// Most bytes of a snapshot in one message.
+    /// Maximum size of a snapshot chunk, in bytes.
     pub snapshot_chunk_bytes: usize,
-    /// Largest snapshot taken from a peer, in bytes.
+    /// Maximum size of a snapshot accepted from a peer, in bytes.
     pub max_snapshot_bytes: u64,
-    /// Most entries sent ahead of a follower's answers.
+    /// Maximum number of entries sent to a follower and not yet acknowledged.
     pub max_in_flight_entries: u64,
-    /// Most bytes of entries proposed and not yet committed.
+    /// Maximum size of uncommitted entries before proposals are rejected, in bytes.
     pub max_uncommitted_bytes: usize,
-    /// Largest command, in bytes.
+    /// Maximum size of a command, in bytes.
     pub max_command_bytes: usize,
-    /// Entries kept in memory behind a snapshot, for followers that are a little behind.
+    /// Number of entries covered by the snapshot that stay in memory for lagging followers.
     pub keep_entries: usize,
-    /// Most reads waiting for confirmation.
+    /// Maximum number of unanswered reads.
     pub max_pending_reads: usize,
 }
 
 impl ReplicaConfig {
-    /// The default settings for a replica.
+    /// Default settings for a replica.
     pub fn new(id: ReplicaId, zone: ZoneName, peers: Vec<NodeId>) -> Self {
         ReplicaConfig {
             id,
--- a/crates/consensus/src/entry.rs
+++ b/crates/consensus/src/entry.rs
@@ -1,4 +1,4 @@
-//! What a replica keeps on disk: log entries, promises and snapshots.
+//! Persistent state of a replica: log entries, hard state and snapshots.
 
 use std::sync::Arc;
 
@@ -7,23 +7,22 @@
 use crate::identity::{ClusterEpoch, ReplicaId};
 use crate::membership::Membership;
 
-/// Election period; it only grows, and each has at most one leader.
+/// Election term. Monotonically increasing, with at most one leader per term.
 pub type Term = u64;
 
-/// Position in the log; the first entry has index 1, and 0 stands before it.
+/// Log index. The first entry has index 1; 0 denotes the position before it.
 pub type Index = u64;
 
-/// Highest term or index that is taken from outside, be it a message or a file.
+/// Highest term or index accepted from a message or a file.
 ///
-/// Guards the arithmetic on such numbers. At a million entries a second a log
-/// would take 146,000 years to get there.
+/// Prevents overflow in arithmetic on terms and indexes.
 pub const MAX_NUMBER: u64 = 1 << 62;
 
-/// A position in the log together with the term of the entry there.
+/// Index and term of a log entry.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct Position {
-    /// Term of the entry. It comes first so that positions order by how
-    /// up-to-date a log ending there is.
+    /// Term of the entry. Declared first so that the derived order compares how
+    /// up-to-date logs are that end at these positions.
     #[n(0)]
     pub term: Term,
     /// Index of the entry.
@@ -32,47 +31,47 @@
 }
 
 impl Position {
-    /// Whether the term and the index can be counted with.
+    /// Whether the term and the index are at most [`MAX_NUMBER`].
     pub fn is_in_bounds(&self) -> bool {
         self.term.max(self.index) <= MAX_NUMBER
     }
 }
 
-/// What an entry holds.
+/// Content of a log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum Payload {
-    /// Nothing: the first entry of a new leader, which commits what came before.
+    /// No content. Appended first by a new leader to commit entries of earlier terms.
     #[n(0)]
     Empty,
-    /// A command for the state machine.
+    /// Command for the state machine.
     #[n(1)]
     Data(#[cbor(n(0), with = "minicbor::bytes")] Vec<u8>),
-    /// The whole membership; in force on a replica from the moment it is appended.
+    /// Complete membership. In force on a replica as soon as the entry is appended.
     #[n(2)]
     Members(#[n(0)] Membership),
 }
 
-/// One entry of the log.
+/// Entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Entry {
-    /// Term of the leader that made it.
+    /// Term of the leader that created the entry.
     #[n(0)]
     pub term: Term,
-    /// Its place in the log.
+    /// Index in the log.
     #[n(1)]
     pub index: Index,
-    /// What it holds.
+    /// Content of the entry.
     #[n(2)]
     pub payload: Payload,
 }
 
 impl Entry {
-    /// Term and index.
+    /// Term and index of the entry.
     pub fn position(&self) -> Position {
         Position { term: self.term, index: self.index }
     }
 
-    /// Approximate size in bytes, for limits.
+    /// Approximate size in bytes, used for limits.
     pub fn size(&self) -> usize {
         const OVERHEAD_BYTES: usize = 24;
         const MEMBER_BYTES: usize = 64;
@@ -85,64 +84,65 @@
     }
 }
 
-/// A replica's promises. They must be on disk before a message that relies on them is sent.
+/// Term, vote and commit index of a replica. Must be durable before a message that relies on
+/// them is sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct HardState {
-    /// The cluster that the replica belongs to.
+    /// Epoch of the cluster that the replica belongs to.
     #[n(0)]
     pub epoch: ClusterEpoch,
-    /// Latest term seen.
+    /// Latest term that the replica has seen.
     #[n(1)]
     pub term: Term,
-    /// Whom the replica voted for in that term.
+    /// Replica that received this replica's vote in the term.
     #[n(2)]
     pub vote: Option<ReplicaId>,
-    /// An index known to be committed. Only a hint: it may lag behind, since a
-    /// restarted replica learns the rest from the leader.
+    /// Index known to be committed. May lag behind the cluster's commit index, which a
+    /// restarted replica learns from the leader.
     #[n(3)]
     pub commit: Index,
 }
 
-/// What a snapshot covers.
+/// Log position and membership covered by a snapshot.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct SnapshotMeta {
-    /// The last entry that the snapshot includes.
+    /// Last entry included in the snapshot.
     #[n(0)]
     pub position: Position,
-    /// The membership as of that entry.
+    /// Membership as of that entry.
     #[n(1)]
     pub membership: Membership,
 }
 
-/// The state machine as of a committed entry.
+/// State machine as of a committed entry.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Snapshot {
-    /// What it covers.
+    /// Log position and membership covered by the snapshot.
     pub meta: SnapshotMeta,
-    /// The state machine's own encoding of itself.
+    /// Encoded state machine.
     pub data: Arc<Vec<u8>>,
 }
 
-/// What storage found when it was opened; the state that a replica starts from.
+/// Persistent state read from storage, from which a replica starts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Restored {
-    /// Promises made earlier.
+    /// Latest hard state.
     pub hard_state: HardState,
     /// Latest snapshot.
     pub snapshot: Option<Snapshot>,
-    /// Entries after the snapshot, without gaps.
+    /// Contiguous entries that follow the snapshot.
     pub entries: Vec<Entry>,
 }
 
 impl Restored {
-    /// The last entry that is kept, or the end of the snapshot.
+    /// Position of the last entry, or the end of the snapshot if there are no entries.
     pub fn last(&self) -> Position {
         let snapshot_end =
             || self.snapshot.as_ref().map_or(Position::default(), |s| s.meta.position);
         self.entries.last().map_or_else(snapshot_end, Entry::position)
     }
 
-    /// The latest membership in the log or the snapshot.
+    /// Latest membership in the log or the snapshot.
     pub fn membership(&self) -> Option<&Membership> {
         let members = |entry: &'_ Entry| matches!(entry.payload, Payload::Members(_));
         match self.entries.iter().rev().find(|entry| members(entry)).map(|entry| &entry.payload) {
--- a/crates/consensus/src/error.rs
+++ b/crates/consensus/src/error.rs
@@ -1,79 +1,79 @@
-//! Why a replica turns a call down. Nothing has changed when it does.
+//! Errors of calls to a replica. A call that fails has not changed the replica.
 
 use juniper_types::NodeId;
 
 use crate::membership::MembershipError;
 
-/// Why a proposal was not taken.
+/// Reason for rejecting a proposal.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProposeError {
-    /// The replica doesn't lead.
+    /// The replica is not the leader.
     #[error("not the leader")]
     NotLeader {
-        /// The leader, if known.
+        /// Node of the leader, if known.
         leader: Option<NodeId>,
     },
-    /// Leadership is being handed to another replica.
+    /// Leadership is being transferred to another replica.
     #[error("leadership is being transferred")]
     Transferring,
-    /// Too much waits for a quorum already.
+    /// The uncommitted entries exceed their size limit.
     #[error("too many uncommitted bytes")]
     Overloaded,
     /// The command is larger than `limit` bytes.
-    #[error("a command has at most {limit} bytes")]
+    #[error("command exceeds the limit of {limit} bytes")]
     TooLarge {
-        /// The limit.
+        /// Maximum size of a command, in bytes.
         limit: usize,
     },
 }
 
-/// Why a membership change was not taken.
+/// Reason for rejecting a membership change.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MembersError {
-    /// The proposal itself was turned down.
+    /// The proposal was rejected.
     #[error(transparent)]
     Propose(#[from] ProposeError),
-    /// The change doesn't fit the membership.
+    /// The change is invalid for the current membership.
     #[error(transparent)]
     Change(#[from] MembershipError),
-    /// An earlier change isn't committed yet, or the leader has committed nothing in its term.
+    /// An earlier change isn't committed yet, or the leader has not committed an entry in its term.
     #[error("an earlier change is not committed yet")]
     Pending,
-    /// Too few of the resulting voters are heard from, the new voter lags behind, or
-    /// fewer voters than the target would be left; promote a standby first.
+    /// Too few of the resulting voters are active, the new voter lags behind, or fewer
+    /// voters than the target would remain. A standby must be promoted first.
     #[error("the change would leave no live quorum or fewer voters than the target")]
     Unsafe,
-    /// The leader can't take itself out; transfer leadership first.
-    #[error("the leader can't be taken out; transfer leadership first")]
+    /// The leader can't remove or demote itself. Leadership must be transferred first.
+    #[error("the leader can't be removed or demoted; transfer leadership first")]
     IsLeader,
 }
 
-/// Why a read was not taken.
+/// Reason for rejecting a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ReadError {
-    /// No leader is known that could confirm the read.
+    /// No leader is known to confirm the read.
     #[error("no leader is known")]
     NoLeader,
-    /// Too many reads wait already.
-    #[error("too many reads wait for confirmation")]
+    /// Too many reads are unanswered.
+    #[error("too many reads are waiting for confirmation")]
     Overloaded,
 }
 
-/// Why leadership can't be transferred.
+/// Reason for rejecting a transfer of leadership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TransferError {
-    /// The replica doesn't lead.
+    /// The replica is not the leader.
     #[error("not the leader")]
     NotLeader,
-    /// The target is not another voter.
+    /// The target node runs no other voter.
     #[error("{0} is not another voter")]
     NotVoter(NodeId),
 }
 
-/// Why a snapshot can't stand for the log.
+/// Reason for rejecting a snapshot for log compaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CompactError {
-    /// The index is not applied yet, or older than the snapshot that stands already.
+    /// The index is not applied yet, or not after the end of the latest snapshot.
     #[error("index {0} is not between the snapshot and the applied index")]
     Index(u64),
 }
--- a/crates/consensus/src/identity.rs
+++ b/crates/consensus/src/identity.rs
@@ -1,4 +1,4 @@
-//! Who a replica is: its node number together with the identity of its disk.
+//! Identities of replicas, disks and cluster epochs.
 
 use std::fmt;
 
@@ -7,14 +7,14 @@
 
 /// Random number written into a data folder when it is formatted.
 ///
-/// It is part of the membership. A disk that was wiped gets a new one, so it
-/// can't vote under the name of a replica whose promises it has forgotten.
+/// The membership lists each replica with this number. A wiped disk gets a new one, so
+/// that it can't vote in place of a replica whose persisted vote and log it has lost.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 #[cbor(transparent)]
 pub struct DiskIdentity(#[cbor(n(0), with = "minicbor::bytes")] pub [u8; 16]);
 
 impl DiskIdentity {
-    /// Makes an identity of a random number drawn by the caller.
+    /// Creates an identity from a random number drawn by the caller.
     pub const fn from_random(number: u128) -> Self {
         DiskIdentity(number.to_be_bytes())
     }
@@ -32,13 +32,13 @@
     }
 }
 
-/// One replica: a node and the disk it keeps its promises on.
+/// Identity of a replica: a node and the disk that holds its persistent state.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct ReplicaId {
-    /// The node.
+    /// Node that runs the replica.
     #[n(0)]
     pub node: NodeId,
-    /// The disk in the node.
+    /// Disk that holds the replica's persistent state.
     #[n(1)]
     pub disk: DiskIdentity,
 }
@@ -57,21 +57,21 @@
     }
 }
 
-/// A cluster, and how often it was recovered from a lost quorum.
+/// Cluster identity with the number of recoveries from a lost quorum.
 ///
-/// A message of a lower number is never obeyed, so replicas that a recovery left
-/// out can't bring their state back. Replicas ignore messages of another
-/// cluster, and of another recovery with the same number.
+/// Replicas reject messages with a lower number, so that replicas excluded by a
+/// recovery can't bring their state back. Messages of another cluster, or of another
+/// recovery with the same number, are ignored.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct ClusterEpoch {
-    /// Random number drawn when the cluster was made; recoveries keep it.
+    /// Random number drawn when the cluster was created; unchanged by recoveries.
     #[n(0)]
     pub cluster: u64,
-    /// Zero for a replica that has not joined a cluster, one for a new cluster;
-    /// each recovery adds one.
+    /// 0 for a replica that has not joined a cluster, 1 for a new cluster;
+    /// incremented by each recovery.
     #[n(1)]
     pub number: u64,
-    /// Random number drawn by the recovery that began the epoch.
+    /// Random number drawn by the recovery that started the epoch.
     #[n(2)]
     pub token: u64,
 }
@@ -80,12 +80,12 @@
     /// Epoch of a replica that has not joined a cluster yet.
     pub const NONE: ClusterEpoch = ClusterEpoch { cluster: 0, number: 0, token: 0 };
 
-    /// Epoch of a new cluster named by a random number.
+    /// Epoch of a new cluster identified by a random number.
     pub const fn first(cluster: u64) -> Self {
         ClusterEpoch { cluster, number: 1, token: cluster }
     }
 
-    /// Epoch that follows a recovery which drew `token`.
+    /// Epoch after a recovery that drew `token`.
     pub const fn recovered(self, token: u64) -> Self {
         ClusterEpoch { cluster: self.cluster, number: self.number + 1, token }
     }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,9 +1,9 @@
 //! Replicated log as a pure state machine: elections, replication, snapshots, membership.
 //!
 //! [`Replica`] performs no I/O, reads no clock and draws random numbers only
-//! from the seed it was given. Its driver calls [`Replica::step`] with messages,
-//! [`Replica::tick`] at a steady pace and [`Replica::persisted`] when storage is
-//! done, and after each call does what [`Replica::ready`] asks for.
+//! from the given seed. The driver calls [`Replica::step`] with received messages,
+//! [`Replica::tick`] at a fixed interval and [`Replica::persisted`] when a write is
+//! durable. After each call the driver processes the result of [`Replica::ready`].
 
 pub mod config;
 pub mod entry;
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -1,32 +1,32 @@
-//! The log in memory: what is on disk, what is on its way there, and the memberships in it.
+//! In-memory log, with its persistence state and the memberships recorded in it.
 
 use std::collections::VecDeque;
 
 use crate::entry::{Entry, Index, Payload, Position, Restored, Snapshot, SnapshotMeta};
 use crate::membership::Membership;
 
-/// Entries after a base position, with the latest snapshot.
+/// Log entries after a base position, with the latest snapshot.
 #[derive(Clone, Debug)]
 pub(crate) struct Log {
     snapshot: Option<Snapshot>,
-    /// The entry before the first one held; at or before the end of the snapshot.
+    /// Position before the first entry in `entries`; at or before the end of the snapshot.
     base: Position,
     entries: VecDeque<Entry>,
-    /// Memberships with the index each is in force from, in order. The first one
-    /// was in force at `base`.
+    /// Memberships in log order, each with the index from which it is in force. The
+    /// first one is in force at `base`.
     memberships: Vec<(Index, Membership)>,
-    /// Last index handed to storage.
-    handed: Index,
-    /// Last index on disk.
+    /// Last index submitted to storage.
+    submitted: Index,
+    /// Last durable index.
     persisted: Index,
 }
 
-/// The entries sent contradict entries that are known to be committed.
+/// Error for received entries that contradict committed entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Diverged;
 
 impl Log {
-    /// The log as storage kept it.
+    /// Restores the log from persistent state.
     pub(crate) fn restore(restored: Restored) -> Self {
         let base = restored.snapshot.as_ref().map_or(Position::default(), |s| s.meta.position);
         let membership = restored.snapshot.as_ref().map(|s| s.meta.membership.clone());
@@ -35,36 +35,36 @@
             base,
             entries: VecDeque::new(),
             memberships: vec![(base.index, membership.unwrap_or_default())],
-            handed: base.index,
+            submitted: base.index,
             persisted: base.index,
         };
         restored.entries.into_iter().for_each(|entry| log.push(entry));
-        log.handed = log.last().index;
-        log.persisted = log.handed;
+        log.submitted = log.last().index;
+        log.persisted = log.submitted;
         log
     }
 
-    /// The last entry.
+    /// Position of the last entry.
     pub(crate) fn last(&self) -> Position {
         self.entries.back().map_or(self.base, Entry::position)
     }
 
-    /// Last index on disk.
+    /// Last durable index.
     pub(crate) fn persisted(&self) -> Index {
         self.persisted
     }
 
-    /// End of the latest snapshot.
+    /// Last position covered by the latest snapshot.
     pub(crate) fn snapshot_position(&self) -> Position {
         self.snapshot.as_ref().map_or(Position::default(), |s| s.meta.position)
     }
 
-    /// The latest snapshot.
+    /// Latest snapshot.
     pub(crate) fn snapshot(&self) -> Option<&Snapshot> {
         self.snapshot.as_ref()
     }
 
-    /// The membership in force: the last one in the log, committed or not.
+    /// Membership in force: the last one in the log, committed or not.
     pub(crate) fn membership(&self) -> &Membership {
         match self.memberships.last() {
             Some((_, membership)) => membership,
@@ -72,18 +72,18 @@
         }
     }
 
-    /// Index that the membership in force was appended at.
+    /// Index of the entry with the membership in force.
     pub(crate) fn membership_index(&self) -> Index {
         self.memberships.last().map_or(0, |(index, _)| *index)
     }
 
-    /// The membership in force at `index`.
+    /// Membership in force at `index`.
     pub(crate) fn membership_at(&self, index: Index) -> &Membership {
         let position = self.memberships.partition_point(|(from, _)| *from <= index);
         &self.memberships[position.saturating_sub(1)].1
     }
 
-    /// The position at `index`, unless it is outside of what is held.
+    /// Position of the entry at `index`, if the log in memory contains it.
     pub(crate) fn position(&self, index: Index) -> Option<Position> {
         if index == self.base.index {
             return Some(self.base);
@@ -96,12 +96,12 @@
         self.entries.get(usize::try_from(offset).ok()?)
     }
 
-    /// Whether `position` is in this log.
+    /// Whether the log contains an entry with this index and term.
     pub(crate) fn contains(&self, position: Position) -> bool {
         self.position(position.index) == Some(position)
     }
 
-    /// The last position at or before `limit.index` whose term is not above `limit.term`.
+    /// Last position at or before `limit.index` whose term is not above `limit.term`.
     pub(crate) fn last_not_after(&self, limit: Position) -> Position {
         let mut index = limit.index.min(self.last().index);
         while let Some(position) = self.position(index) {
@@ -113,7 +113,7 @@
         self.base
     }
 
-    /// Entries from `from` on, up to `max_bytes` but at least one if there is any.
+    /// Entries from `from` on, limited to `max_count` and, except for the first, to `max_bytes`.
     pub(crate) fn entries_from(&self, from: Index, max_bytes: usize, max_count: u64) -> Vec<Entry> {
         let Some(offset) = from.checked_sub(self.base.index + 1) else { return Vec::new() };
         let mut bytes = 0;
@@ -139,7 +139,7 @@
         self.entries.iter().skip(start).take(count).map(Entry::size).sum()
     }
 
-    /// Appends one entry at the end.
+    /// Appends an entry.
     pub(crate) fn push(&mut self, entry: Entry) {
         debug_assert_eq!(entry.index, self.last().index + 1);
         if let Payload::Members(membership) = &entry.payload {
@@ -148,8 +148,8 @@
         self.entries.push_back(entry);
     }
 
-    /// Appends a leader's entries, which follow a position this log contains.
-    /// Entries that are here already stay; from the first that differs on, the log is replaced.
+    /// Appends entries of a leader, which follow a position in this log. Matching entries
+    /// are kept; the log is replaced from the first conflicting entry on.
     pub(crate) fn merge(&mut self, entries: Vec<Entry>, commit: Index) -> Result<(), Diverged> {
         for entry in entries {
             if entry.index <= self.base.index || self.contains(entry.position()) {
@@ -166,36 +166,36 @@
         Ok(())
     }
 
-    /// Drops every entry from `index` on.
+    /// Removes every entry from `index` on.
     fn truncate(&mut self, index: Index) {
         let keep = usize::try_from(index - self.base.index - 1).unwrap_or(usize::MAX);
         self.entries.truncate(keep);
         self.memberships.retain(|(from, _)| *from < index);
-        self.handed = self.handed.min(index - 1);
+        self.submitted = self.submitted.min(index - 1);
         self.persisted = self.persisted.min(index - 1);
     }
 
-    /// Entries not handed to storage yet; they count as handed now.
-    pub(crate) fn take_unhanded(&mut self) -> Vec<Entry> {
-        let entries = self.entries_between(self.handed, self.last().index);
-        self.handed = self.last().index;
+    /// Returns the entries not submitted to storage yet and marks them as submitted.
+    pub(crate) fn take_unsubmitted(&mut self) -> Vec<Entry> {
+        let entries = self.entries_between(self.submitted, self.last().index);
+        self.submitted = self.last().index;
         entries
     }
 
-    /// Whether some entries were not handed to storage yet.
-    pub(crate) fn has_unhanded(&self) -> bool {
-        self.handed < self.last().index
+    /// Whether some entries have not been submitted to storage yet.
+    pub(crate) fn has_unsubmitted(&self) -> bool {
+        self.submitted < self.last().index
     }
 
-    /// Storage holds what it was handed up to `index`, unless that was replaced since.
+    /// Marks submitted entries up to `last` as durable, except those replaced in the meantime.
     pub(crate) fn mark_persisted(&mut self, last: Position) {
-        let end = self.last_common(last);
-        self.persisted = self.persisted.max(end.min(self.handed));
+        let end = self.durable_end(last);
+        self.persisted = self.persisted.max(end.min(self.submitted));
     }
 
-    /// `last.index` if that entry is still here, else the last handed entry before
-    /// the replaced part; `handed` is below every replaced entry.
-    fn last_common(&self, last: Position) -> Index {
+    /// `last.index` if the entry at `last` has not been replaced since it was submitted,
+    /// else the index that was durable already.
+    fn durable_end(&self, last: Position) -> Index {
         if self.contains(last) || last.index <= self.base.index {
             last.index
         } else {
@@ -203,42 +203,42 @@
         }
     }
 
-    /// Replaces the log by a leader's snapshot. Entries after it stay if the
-    /// snapshot's end is in this log, because then the logs agree up to there.
+    /// Replaces the log by a leader's snapshot. Entries after the snapshot are kept if the
+    /// log contains the snapshot's end, because then the logs match up to that position.
     pub(crate) fn install(&mut self, snapshot: Snapshot) {
         let position = snapshot.meta.position;
         if self.contains(position) {
-            self.drop_through(position, snapshot.meta.membership.clone());
+            self.discard_through(position, snapshot.meta.membership.clone());
         } else {
             self.entries.clear();
             self.base = position;
             self.memberships = vec![(position.index, snapshot.meta.membership.clone())];
-            self.handed = position.index;
+            self.submitted = position.index;
             self.persisted = position.index;
         }
-        self.handed = self.handed.max(position.index);
+        self.submitted = self.submitted.max(position.index);
         self.snapshot = Some(snapshot);
     }
 
-    /// What a snapshot of the state as of `index` covers.
+    /// Position and membership for a snapshot of the state as of `index`.
     pub(crate) fn snapshot_meta(&self, index: Index) -> Option<SnapshotMeta> {
         let position = self.position(index)?;
         Some(SnapshotMeta { position, membership: self.membership_at(index).clone() })
     }
 
-    /// Lets a snapshot stand for the log, of which `keep` entries behind it stay in memory.
+    /// Replaces the log up to the snapshot's end, except for the last `keep` entries before it.
     pub(crate) fn compact(&mut self, snapshot: Snapshot, keep: usize) {
         let through = snapshot.meta.position.index.saturating_sub(keep as u64);
         if through > self.base.index
             && let Some(position) = self.position(through)
         {
             let membership = self.membership_at(through).clone();
-            self.drop_through(position, membership);
+            self.discard_through(position, membership);
         }
         self.snapshot = Some(snapshot);
     }
 
-    fn drop_through(&mut self, position: Position, membership: Membership) {
+    fn discard_through(&mut self, position: Position, membership: Membership) {
         let count = position.index.saturating_sub(self.base.index);
         let count = usize::try_from(count).unwrap_or(usize::MAX).min(self.entries.len());
         self.entries.drain(..count);
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -1,40 +1,39 @@
-//! The set of replicas, kept in the log and changed one replica at a time.
+//! Set of replicas in a cluster, stored in the log and changed one replica at a time.
 //!
-//! The exception is the replacement of a voter by a standby, which goes through a
-//! joint membership: while it lasts, whatever needs a majority needs one of the
-//! voters before and one of the voters after.
+//! Replacing a voter by a standby changes two replicas and goes through a joint
+//! membership, in which decisions need a majority of the outgoing voter set and a
+//! majority of the incoming voter set.
 
 use juniper_types::{NodeId, ZoneName};
 use minicbor::{Decode, Encode};
 
 use crate::identity::{ClusterEpoch, ReplicaId};
 
-/// Most replicas in a membership, learners included.
+/// Maximum number of replicas in a membership, learners included.
 ///
-/// Five of them vote; the others hold the log, stand by for voters and serve the nodes of their
-/// zones. The leader sends each of them every entry and ten heartbeats a second, so the bound is one
-/// on its fan-out: docs/CAPACITY.md has what a member costs it.
+/// Bounds the fan-out of the leader, which sends each member every entry and ten
+/// heartbeats a second. docs/CAPACITY.md lists the cost per member.
 pub const MAX_MEMBERS: usize = 64;
 
-/// What a member does.
+/// Role of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub enum MemberRole {
     /// Votes and counts towards the quorum.
     #[n(0)]
     Voter,
-    /// Receives the log only; a standby that may be promoted to a voter.
+    /// Receives the log without voting. A standby that may be promoted to a voter.
     #[n(1)]
     Learner,
-    /// A standby that is taking a voter's place: votes among the voters after only.
+    /// Standby that is replacing a voter. Votes in the incoming voter set only.
     #[n(2)]
     Incoming,
-    /// A voter that a standby is replacing: votes among the voters before only.
+    /// Voter that is being replaced by a standby. Votes in the outgoing voter set only.
     #[n(3)]
     Outgoing,
 }
 
 impl MemberRole {
-    /// The role for operators and logs.
+    /// Name of the role for status output and logs.
     pub const fn as_str(self) -> &'static str {
         match self {
             MemberRole::Voter => "voter",
@@ -44,108 +43,108 @@
         }
     }
 
-    /// Whether a member of this role votes at all.
+    /// Whether members with this role vote.
     pub const fn votes(self) -> bool {
         !matches!(self, MemberRole::Learner)
     }
 
-    /// Whether a member of this role votes in the given half of a joint membership.
-    const fn votes_in(self, half: Half) -> bool {
+    /// Whether members with this role vote in `set`.
+    const fn votes_in(self, set: VoterSet) -> bool {
         match self {
             MemberRole::Voter => true,
             MemberRole::Learner => false,
-            MemberRole::Incoming => matches!(half, Half::After),
-            MemberRole::Outgoing => matches!(half, Half::Before),
+            MemberRole::Incoming => matches!(set, VoterSet::Incoming),
+            MemberRole::Outgoing => matches!(set, VoterSet::Outgoing),
         }
     }
 }
 
-/// The voters before and those after a replacement. Without one they are the same.
+/// Voter sets before (`Outgoing`) and after (`Incoming`) a replacement; equal if none is in progress.
 #[derive(Clone, Copy, Debug)]
-enum Half {
-    Before,
-    After,
+enum VoterSet {
+    Outgoing,
+    Incoming,
 }
 
-const HALVES: [Half; 2] = [Half::Before, Half::After];
+const VOTER_SETS: [VoterSet; 2] = [VoterSet::Outgoing, VoterSet::Incoming];
 
-/// One replica of a membership.
+/// Replica in a membership.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Member {
-    /// Which replica.
+    /// Identity of the replica.
     #[n(0)]
     pub id: ReplicaId,
-    /// The zone it runs in; voters are spread over zones.
+    /// Zone of the replica; voters are spread over zones.
     #[n(1)]
     pub zone: ZoneName,
-    /// What it does.
+    /// Role of the replica.
     #[n(2)]
     pub role: MemberRole,
 }
 
-/// A change of one replica's part in the membership.
+/// Change of a membership.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipChange {
     /// Adds a replica that receives the log without voting.
     AddLearner {
-        /// The replica.
+        /// Identity of the replica.
         id: ReplicaId,
-        /// Its zone.
+        /// Zone of the replica.
         zone: ZoneName,
     },
-    /// Makes a learner a voter.
+    /// Promotes a learner to a voter.
     Promote(ReplicaId),
-    /// Makes a voter a learner.
+    /// Demotes a voter to a learner.
     Demote(ReplicaId),
-    /// Takes a replica out.
+    /// Removes a replica.
     Remove(ReplicaId),
-    /// Begins to put a learner in a voter's place: the membership becomes joint.
+    /// Starts replacing a voter by a learner; the membership becomes joint.
     Replace {
-        /// The voter that goes.
+        /// Voter to replace.
         voter: ReplicaId,
-        /// The learner that takes its place.
+        /// Learner that becomes a voter.
         standby: ReplicaId,
     },
-    /// Ends a replacement: the voters after it are the voters.
+    /// Finishes a replacement; the incoming voter set becomes the only one.
     FinishReplacement,
 }
 
-/// Why a change doesn't fit the membership.
+/// Reason why a change is invalid for a membership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MembershipError {
-    /// The replica is in the membership already.
-    #[error("{0} is a member already")]
+    /// The replica is already a member.
+    #[error("{0} is already a member")]
     AlreadyMember(ReplicaId),
-    /// The replica isn't in the membership in the role that the change needs.
-    #[error("{0} does not have the role that the change needs")]
+    /// The replica is not a member with the role required by the change.
+    #[error("{0} does not have the role required by the change")]
     WrongRole(ReplicaId),
-    /// A voter is being replaced, which has to end first.
+    /// The replacement of a voter must finish first.
     #[error("a voter is being replaced")]
     Replacing,
     /// No voter is being replaced.
     #[error("no voter is being replaced")]
     NotReplacing,
-    /// The last voter can't be taken away.
-    #[error("a membership needs a voter")]
+    /// The last voter can't be removed or demoted.
+    #[error("the last voter can't be removed or demoted")]
     LastVoter,
-    /// There are [`MAX_MEMBERS`] already.
-    #[error("a membership has at most {MAX_MEMBERS} replicas")]
+    /// The membership has [`MAX_MEMBERS`] replicas.
+    #[error("the membership is limited to {MAX_MEMBERS} replicas")]
     Full,
 }
 
-/// All replicas of a cluster.
+/// Replicas of a cluster with their roles.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct Membership {
-    /// The epoch that the membership belongs to.
+    /// Epoch of the membership.
     #[n(0)]
     pub epoch: ClusterEpoch,
-    /// The replicas, in order of their ids.
+    /// Members in ascending order of their ids.
     #[n(1)]
     pub members: Vec<Member>,
 }
 
 impl Membership {
-    /// A membership of voters only.
+    /// Creates a membership that consists of voters.
     pub fn of_voters(
         epoch: ClusterEpoch,
         voters: impl IntoIterator<Item = (ReplicaId, ZoneName)>,
@@ -157,22 +156,22 @@
         Membership { epoch, members }
     }
 
-    /// The member with this id.
+    /// Returns the member with this id.
     pub fn get(&self, id: ReplicaId) -> Option<&Member> {
         self.members.iter().find(|member| member.id == id)
     }
 
-    /// Whether this very replica, disk included, votes.
+    /// Whether the replica with this node and disk is a voter.
     pub fn is_voter(&self, id: ReplicaId) -> bool {
         self.get(id).is_some_and(|member| member.role.votes())
     }
 
-    /// Whether this very replica, disk included, is a member.
+    /// Whether the replica with this node and disk is a member.
     pub fn contains(&self, id: ReplicaId) -> bool {
         self.get(id).is_some()
     }
 
-    /// Members that vote; while one replaces another, both of them.
+    /// Members that vote, including both the outgoing and the incoming one of a replacement.
     pub fn voters(&self) -> impl Iterator<Item = &Member> {
         self.members.iter().filter(|member| member.role.votes())
     }
@@ -184,48 +183,46 @@
         self.members.iter().any(replaced)
     }
 
-    fn voters_in(&self, half: Half) -> impl Iterator<Item = &Member> {
-        self.members.iter().filter(move |member| member.role.votes_in(half))
+    fn voters_in(&self, set: VoterSet) -> impl Iterator<Item = &Member> {
+        self.members.iter().filter(move |member| member.role.votes_in(set))
     }
 
-    /// Members whose role is learner.
+    /// Members with the learner role.
     pub fn learners(&self) -> impl Iterator<Item = &Member> {
         self.members.iter().filter(|member| member.role == MemberRole::Learner)
     }
 
-    /// Members that live on `node`; two while a repaired disk takes over.
+    /// Members on `node`. There are two while a replaced disk is catching up.
     pub fn on_node(&self, node: NodeId) -> impl Iterator<Item = &Member> {
         self.members.iter().filter(move |member| member.id.node == node)
     }
 
-    /// Whether the replicas that `counts` holds for make a majority, of the voters
-    /// before and of those after while a voter is being replaced.
+    /// Whether the replicas for which `counts` returns true are a majority of each voter set.
     pub fn has_majority(&self, counts: impl Fn(ReplicaId) -> bool) -> bool {
         self.reached_by_majority(|id| u64::from(counts(id))) > 0
     }
 
-    /// The highest number that a majority has reached, of the voters before and of
-    /// those after while a voter is being replaced. 0 without voters.
+    /// Highest number that a majority of each voter set has reached; 0 without voters.
     pub fn reached_by_majority(&self, reached: impl Fn(ReplicaId) -> u64) -> u64 {
-        let reached_in = |half: Half| {
-            let mut numbers: Vec<u64> = self.voters_in(half).map(|m| reached(m.id)).collect();
+        let reached_in = |set: VoterSet| {
+            let mut numbers: Vec<u64> = self.voters_in(set).map(|m| reached(m.id)).collect();
             numbers.sort_unstable_by(|left, right| right.cmp(left));
             numbers.get(numbers.len() / 2).copied().unwrap_or(0)
         };
-        HALVES.into_iter().map(reached_in).min().unwrap_or(0)
+        VOTER_SETS.into_iter().map(reached_in).min().unwrap_or(0)
     }
 
-    /// The membership after `change`.
+    /// Returns the membership after `change`.
     ///
     /// # Errors
-    /// Fails when the change doesn't fit.
+    /// Fails if the change is invalid for this membership.
     pub fn changed(&self, change: &MembershipChange) -> Result<Membership, MembershipError> {
         let mut next = self.clone();
-        let touches_votes = !matches!(
+        let changes_votes = !matches!(
             change,
             MembershipChange::AddLearner { .. } | MembershipChange::FinishReplacement
         );
-        if touches_votes && self.is_joint() {
+        if changes_votes && self.is_joint() {
             return Err(MembershipError::Replacing);
         }
         match change {
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -6,191 +6,191 @@
 use crate::entry::{Entry, Index, MAX_NUMBER, Position, SnapshotMeta, Term};
 use crate::identity::{ClusterEpoch, DiskIdentity, ReplicaId};
 
-/// A message from one replica to another.
+/// Message from one replica to another.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Message {
-    /// The sender, disk included.
+    /// Sender, including the disk.
     #[n(0)]
     pub from: ReplicaId,
-    /// The node to deliver it to.
+    /// Destination node.
     #[n(1)]
     pub to: NodeId,
-    /// The disk it is meant for; a node with another disk drops it. Absent only
-    /// while the sender doesn't know the receiver's disk.
+    /// Destination disk. A node with another disk drops the message. Absent only
+    /// if the sender doesn't know the receiver's disk.
     #[n(2)]
     pub to_disk: Option<DiskIdentity>,
-    /// The sender's epoch.
+    /// Epoch of the sender.
     #[n(3)]
     pub epoch: ClusterEpoch,
-    /// The sender's term; for a pre-vote, the term it would campaign in.
+    /// Term of the sender; for a pre-vote request, the term of the intended election.
     #[n(4)]
     pub term: Term,
-    /// What it says.
+    /// Content of the message.
     #[n(5)]
     pub body: Body,
 }
 
-/// What a message says.
+/// Content of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum Body {
-    /// Asks whether a vote could be won, without disturbing anyone's term.
+    /// Asks whether the receiver would grant a vote, without changing its term.
     #[n(0)]
     PreVoteRequest {
-        /// Last entry of the asker's log.
+        /// Last entry of the sender's log.
         #[n(0)]
         last: Position,
     },
-    /// Answers a pre-vote; the message's term is the one asked about when granted.
+    /// Reply to a pre-vote request. If granted, the message's term is the requested one.
     #[n(1)]
     PreVoteReply {
         /// Whether the vote would be granted.
         #[n(0)]
         granted: bool,
     },
-    /// Asks for a vote in the message's term.
+    /// Requests a vote in the message's term.
     #[n(2)]
     VoteRequest {
         /// Last entry of the candidate's log.
         #[n(0)]
         last: Position,
-        /// The leader itself asked the candidate to take over, so that a
-        /// receiver that still hears the leader votes all the same.
+        /// Whether the leader requested this election, so that receivers in contact
+        /// with the leader vote as well.
         #[n(1)]
         transfer: bool,
     },
-    /// Answers a vote request.
+    /// Reply to a vote request.
     #[n(3)]
     VoteReply {
-        /// Whether the vote is given.
+        /// Whether the vote is granted.
         #[n(0)]
         granted: bool,
     },
     /// Entries that follow `previous` in the leader's log.
     #[n(4)]
     Append {
-        /// The entry right before the first one sent.
+        /// Entry immediately before the first one sent.
         #[n(0)]
         previous: Position,
-        /// The entries.
+        /// Consecutive log entries.
         #[n(1)]
         entries: Vec<Entry>,
-        /// The leader's commit index.
+        /// Commit index of the leader.
         #[n(2)]
         commit: Index,
     },
-    /// The receiver's log is on disk and equal to the leader's up to `matched`.
+    /// Reports that the follower's log is durable and equal to the leader's up to `matched`.
     #[n(5)]
     AppendReply {
-        /// Last equal index.
+        /// Last index up to which the logs are equal.
         #[n(0)]
         matched: Index,
     },
-    /// The entry before those sent isn't in the receiver's log.
+    /// Reports that the entry before those sent isn't in the follower's log.
     #[n(6)]
     AppendReject {
-        /// Index of the entry that was missing.
+        /// Index of the missing entry.
         #[n(0)]
         previous: Index,
-        /// Where the leader should try next: the logs may be equal up to here.
+        /// Last position up to which the logs may be equal; the leader retries from there.
         #[n(1)]
         hint: Position,
     },
-    /// Says that the leader is there.
+    /// Periodic contact from the leader.
     #[n(7)]
     Heartbeat {
-        /// Commit index, not above what the receiver is known to hold.
+        /// Commit index, capped at the last index that the receiver is known to have.
         #[n(0)]
         commit: Index,
-        /// Number of the latest read that this heartbeat confirms.
+        /// Number of the latest read round.
         #[n(1)]
         read_round: u64,
     },
-    /// Answers a heartbeat.
+    /// Reply to a heartbeat.
     #[n(8)]
     HeartbeatReply {
-        /// The number from the heartbeat.
+        /// Read round of the heartbeat.
         #[n(0)]
         read_round: u64,
     },
-    /// A piece of the leader's snapshot.
+    /// Chunk of the leader's snapshot.
     #[n(9)]
     SnapshotChunk {
-        /// What the snapshot covers.
+        /// Log position and membership covered by the snapshot.
         #[n(0)]
         meta: SnapshotMeta,
-        /// Bytes in the whole snapshot.
+        /// Size of the complete snapshot, in bytes.
         #[n(1)]
         total: u64,
-        /// Where this piece starts.
+        /// Offset of the chunk in the snapshot, in bytes.
         #[n(2)]
         offset: u64,
-        /// The piece.
+        /// Content of the chunk.
         #[cbor(n(3), with = "minicbor::bytes")]
         data: Vec<u8>,
     },
-    /// How much of a snapshot has been received.
+    /// Reports how much of a snapshot the follower has received.
     #[n(10)]
     SnapshotReply {
-        /// End of the snapshot in the log.
+        /// Last index covered by the snapshot.
         #[n(0)]
         index: Index,
-        /// Next byte wanted.
+        /// Offset of the next expected byte.
         #[n(1)]
         offset: u64,
     },
-    /// The leader asks the receiver to campaign at once.
+    /// Request of the leader that the receiver start an election immediately.
     #[n(11)]
     TakeOver,
-    /// Asks the leader to confirm a read for the sender.
+    /// Requests confirmation of a read from the leader.
     #[n(12)]
     ReadRequest {
-        /// One life of the asking replica, so that an answer to an earlier life is dropped.
+        /// Incarnation of the requesting replica; replies to an earlier one are dropped.
         #[n(0)]
         session: u64,
-        /// Chosen by the asker.
+        /// Identifier chosen by the requesting replica.
         #[n(1)]
         context: u64,
     },
-    /// The read may be served once `index` is applied.
+    /// Confirms a read, which may be served once `index` is applied.
     #[n(13)]
     ReadReply {
-        /// From the request.
+        /// Session of the request.
         #[n(0)]
         session: u64,
-        /// From the request.
+        /// Identifier of the request.
         #[n(1)]
         context: u64,
-        /// Commit index that a quorum confirmed after the request arrived.
+        /// Commit index when the request arrived, confirmed by a quorum after that.
         #[n(2)]
         index: Index,
     },
-    /// A replica that is not a member asks to become a learner.
+    /// Request of a replica that isn't a member to be added as a learner.
     #[n(14)]
     JoinRequest {
-        /// Its zone.
+        /// Zone of the replica.
         #[n(0)]
         zone: ZoneName,
     },
-    /// The receiver is not in the sender's committed membership.
+    /// Reports that the receiver is not in the sender's committed membership.
     #[n(15)]
     NotMember,
-    /// The receiver's epoch was left behind by a recovery; its state is void.
+    /// Reports that a recovery has superseded the receiver's epoch and invalidated its state.
     #[n(16)]
     Fenced,
-    /// The sender is about to stop and asks the leader for a standby in its place.
+    /// Announces that the sender is about to stop, so that the leader replaces it by a standby.
     #[n(17)]
     Retire,
 }
 
 impl Body {
-    /// Whether only the leader of the message's term sends this.
+    /// Whether only the leader of the message's term sends messages of this kind.
     pub fn is_from_leader(&self) -> bool {
         matches!(self, Body::Append { .. } | Body::Heartbeat { .. } | Body::SnapshotChunk { .. })
     }
 }
 
 impl Message {
-    /// Whether every term and index in the message can be counted with.
+    /// Whether every term and index in the message is at most [`MAX_NUMBER`].
     pub(crate) fn is_in_bounds(&self) -> bool {
         let position = |position: &Position| position.term.max(position.index);
         let highest = match &self.body {
--- a/crates/consensus/src/progress.rs
+++ b/crates/consensus/src/progress.rs
@@ -1,65 +1,66 @@
-//! What a leader knows of one follower's log.
+//! Replication progress of a follower, as tracked by the leader.
 
 use crate::entry::{Index, Position, Snapshot};
 
-/// Heartbeats answered without progress after which entries sent ahead count as lost.
+/// Number of acknowledged heartbeats without progress after which in-flight entries are
+/// considered lost.
 ///
-/// A slow disk may hold an answer back for a few heartbeats; sending again
-/// earlier would only add to its load.
-const STALLED_HEARTBEATS: u32 = 3;
+/// A slow disk may delay a reply for several heartbeats; an earlier retry would only
+/// add to the load on that disk.
+const MAX_STALLED_HEARTBEATS: u32 = 3;
 
-/// How entries are sent.
+/// Mode in which entries are sent to a follower.
 #[derive(Clone, Debug)]
 pub(crate) enum Mode {
-    /// Where the logs agree isn't known: one message at a time.
+    /// The last matching position is unknown; one message is in flight at a time.
     Probe {
-        /// A probe is on its way.
+        /// Whether a probe is in flight.
         waiting: bool,
     },
-    /// Entries are sent ahead of the answers.
+    /// Entries are pipelined, without waiting for acknowledgements.
     Replicate,
-    /// The follower needs entries that are gone; it gets a snapshot in chunks.
+    /// The follower needs compacted entries and receives a snapshot in chunks.
     Snapshot {
-        /// The snapshot, kept until it is through even when a later one exists.
+        /// Snapshot being sent, retained until the transfer ends even if a later one exists.
         snapshot: Snapshot,
-        /// Next byte to send.
+        /// Offset of the next byte to send.
         offset: u64,
     },
 }
 
-/// A follower as the leader sees it.
+/// Replication progress of a follower.
 #[derive(Clone, Debug)]
 pub(crate) struct Progress {
-    /// Last index known to be on the follower's disk.
+    /// Last index known to be durable on the follower.
     pub(crate) matched: Index,
     /// Next index to send.
     pub(crate) next: Index,
-    /// How entries are sent.
+    /// Mode in which entries are sent.
     pub(crate) mode: Mode,
     /// Tick of the last message from the follower.
-    pub(crate) heard: u64,
-    /// Latest read round that the follower confirmed.
+    pub(crate) last_contact: u64,
+    /// Latest read round confirmed by the follower.
     pub(crate) read_round: u64,
-    /// Heartbeats answered while entries were outstanding and no answer to them came.
-    stalled: u32,
+    /// Number of heartbeats acknowledged while in-flight entries were not.
+    stalled_heartbeats: u32,
 }
 
 impl Progress {
-    /// A follower about which nothing is known, from tick `now` on.
+    /// Progress of a follower whose log is unknown, tracked from tick `now`.
     pub(crate) fn new(last: Index, now: u64) -> Self {
         Progress {
             matched: 0,
             next: last + 1,
             mode: Mode::Probe { waiting: false },
-            heard: now,
+            last_contact: now,
             read_round: 0,
-            stalled: 0,
+            stalled_heartbeats: 0,
         }
     }
 
-    /// The follower's log agrees up to `matched`. Returns whether that is news.
+    /// Records that the follower's log matches up to `matched`. Returns whether `matched` advanced.
     pub(crate) fn acknowledge(&mut self, matched: Index) -> bool {
-        self.stalled = 0;
+        self.stalled_heartbeats = 0;
         let finished_snapshot = match &self.mode {
             Mode::Snapshot { snapshot, .. } => matched >= snapshot.meta.position.index,
             _ => true,
@@ -68,15 +69,16 @@
             self.mode = Mode::Replicate;
         }
         self.next = self.next.max(matched + 1);
-        let news = matched > self.matched;
+        let advanced = matched > self.matched;
         self.matched = self.matched.max(matched);
-        news
+        advanced
     }
 
-    /// The follower lacks the entry at `previous`; the logs may agree up to `common`.
-    /// Returns false for an answer to an old message, and for a follower that lost
-    /// what it had acknowledged: no earlier entry may be sent to it, and answering
-    /// at once would go on for ever.
+    /// Records that the follower lacks the entry at `previous`; the logs may match up to `common`.
+    ///
+    /// Returns false for a stale reply, and for a follower that lost entries it had
+    /// acknowledged: no earlier entry may be sent to that follower, and an immediate
+    /// retry would never end.
     pub(crate) fn reject(&mut self, previous: Index, common: Position) -> bool {
         match self.mode {
             _ if previous <= self.matched => return false,
@@ -84,20 +86,20 @@
             Mode::Probe { .. } if previous + 1 == self.next => {}
             _ => return false,
         }
-        self.stalled = 0;
+        self.stalled_heartbeats = 0;
         self.next = (common.index + 1).min(previous).max(self.matched + 1);
         self.mode = Mode::Probe { waiting: false };
         true
     }
 
-    /// A heartbeat was answered: the path is open. Lets what seems lost be sent again.
-    pub(crate) fn heartbeat_answered(&mut self) {
+    /// Records a heartbeat reply and allows entries that seem lost to be sent again.
+    pub(crate) fn record_heartbeat_reply(&mut self) {
         match &mut self.mode {
             Mode::Probe { waiting } => *waiting = false,
             Mode::Replicate if self.next > self.matched + 1 => {
-                self.stalled += 1;
-                if self.stalled >= STALLED_HEARTBEATS {
-                    self.stalled = 0;
+                self.stalled_heartbeats += 1;
+                if self.stalled_heartbeats >= MAX_STALLED_HEARTBEATS {
+                    self.stalled_heartbeats = 0;
                     self.next = self.matched + 1;
                     self.mode = Mode::Probe { waiting: false };
                 }
@@ -106,7 +108,7 @@
         }
     }
 
-    /// Most entries that may be sent now.
+    /// Maximum number of entries that may be sent now.
     pub(crate) fn window(&self, max_in_flight: u64) -> u64 {
         match self.mode {
             Mode::Probe { waiting: true } | Mode::Snapshot { .. } => 0,
@@ -115,8 +117,8 @@
         }
     }
 
-    /// Entries up to `last` were sent.
-    pub(crate) fn sent(&mut self, last: Index) {
+    /// Records that entries up to `last` were sent.
+    pub(crate) fn record_sent(&mut self, last: Index) {
         match &mut self.mode {
             Mode::Probe { waiting } => *waiting = true,
             _ => self.next = self.next.max(last + 1),
--- a/crates/consensus/src/ready.rs
+++ b/crates/consensus/src/ready.rs
@@ -1,4 +1,4 @@
-//! What a replica wants done.
+//! Outputs of a replica: storage writes, messages, committed entries, reads and status.
 
 use juniper_types::NodeId;
 
@@ -7,131 +7,131 @@
 use crate::membership::Membership;
 use crate::message::Message;
 
-/// One piece of work for storage. There is at most one at a time; whatever
-/// gathers meanwhile goes into the next (group commit).
+/// Write for storage. At most one is in flight; changes that accumulate meanwhile are
+/// combined in the next one (group commit).
 ///
-/// It must be on disk and synced before [`crate::Replica::persisted`] is called
-/// with its number. Messages that rely on it are held back by the replica until then.
+/// The driver calls [`crate::Replica::persisted`] with the write's number once the write is
+/// synced to disk. Until then, the replica defers messages that depend on the write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Write {
-    /// Number to hand to [`crate::Replica::persisted`].
+    /// Number to pass to [`crate::Replica::persisted`].
     pub number: u64,
-    /// Promises, if they changed.
+    /// Hard state to store, if any.
     pub hard_state: Option<HardState>,
-    /// A snapshot to keep in place of everything that it covers.
+    /// Snapshot that replaces the entries it covers.
     pub snapshot: Option<Snapshot>,
-    /// Entries to append; whatever is kept at or after the first one's index is void.
+    /// Entries to append, replacing any stored entries from the first one's index on.
     pub entries: Vec<Entry>,
-    /// Where the log ends after this write.
+    /// Last position in the log after this write.
     pub last: Position,
 }
 
-/// A read that a quorum confirmed. The state machine, with everything in the
-/// same [`Ready`] applied, is at least as new as the moment the read was asked.
+/// Read confirmed by a quorum. After the same [`Ready`] is applied, the state machine
+/// includes everything committed before the read was requested.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConfirmedRead {
-    /// As given to [`crate::Replica::read`].
+    /// Context passed to [`crate::Replica::read`].
     pub context: u64,
-    /// Index that the read reflects at least.
+    /// Minimum index that the read reflects.
     pub index: Index,
 }
 
-/// What to do next, in the order of the fields.
+/// Pending work for the driver, to be processed in the order of the fields.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Ready {
-    /// Work for storage.
+    /// Write for storage.
     pub write: Option<Write>,
-    /// Messages that may be sent at once. Losing or repeating them is allowed.
+    /// Messages to send immediately. Loss and duplication are tolerated.
     pub messages: Vec<Message>,
-    /// Replaces the whole state machine.
+    /// Snapshot that replaces the state machine.
     pub installed: Option<Snapshot>,
     /// Entries to apply to the state machine, in order, each exactly once.
     pub committed: Vec<Entry>,
-    /// Reads to answer after applying the above.
+    /// Reads to answer after the snapshot and the entries are applied.
     pub reads: Vec<ConfirmedRead>,
-    /// Reads that can't be confirmed here any more; ask again or elsewhere.
+    /// Contexts of reads that were abandoned and may be retried.
     pub dropped_reads: Vec<u64>,
 }
 
 impl Ready {
-    /// Whether there is nothing to do.
+    /// Whether there is no pending work.
     pub fn is_empty(&self) -> bool {
         *self == Ready::default()
     }
 }
 
-/// What a replica does at the moment.
+/// Current role of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Follows the leader, if there is one; learners are followers too.
+    /// Follows the leader, if there is one. Learners are followers too.
     Follower,
-    /// Asks whether an election could be won.
+    /// Collects pre-votes.
     PreCandidate,
-    /// Asks for votes.
+    /// Collects votes.
     Candidate,
-    /// Leads.
+    /// Leads the cluster.
     Leader,
-    /// Does nothing more; see [`Status::stopped`].
+    /// Stopped permanently; see [`Status::stopped`].
     Stopped,
 }
 
-/// Why a replica stopped for good. Its data must be wiped before its node takes part again.
+/// Reason for a permanent stop. The replica's data must be wiped before the node rejoins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StopReason {
-    /// A recovery from a lost quorum left this replica out.
-    #[error("a recovery of the cluster left this replica out")]
+    /// A recovery from a lost quorum excluded this replica.
+    #[error("a recovery of the cluster excluded this replica")]
     Fenced,
-    /// A leader's log differs from entries that this replica knows as committed,
-    /// which can't happen while disks keep what they have synced.
+    /// The leader's log differs from entries that are committed on this replica, which
+    /// implies that a disk has lost synced data.
     #[error("the leader's log contradicts committed entries of this replica")]
     Diverged,
 }
 
-/// A replica's view of itself and the cluster.
+/// Status of a replica and its view of the cluster.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Status {
-    /// This replica.
+    /// Identity of the replica.
     pub id: ReplicaId,
-    /// What it does.
+    /// Current role.
     pub role: Role,
-    /// Its epoch.
+    /// Epoch of the cluster.
     pub epoch: ClusterEpoch,
-    /// Its term.
+    /// Current term.
     pub term: Term,
-    /// The leader it knows of.
+    /// Leader of the term, if known.
     pub leader: Option<ReplicaId>,
     /// Last index known to be committed.
     pub commit: Index,
-    /// Last index handed out for applying.
+    /// Last index returned to the driver for applying.
     pub applied: Index,
-    /// Last entry in the log, synced or not.
+    /// Position of the last entry in the log, synced or not.
     pub last: Position,
-    /// Start of the log: the end of the latest snapshot.
+    /// Last position covered by the latest snapshot.
     pub snapshot: Position,
-    /// The membership in force on this replica.
+    /// Membership in force on this replica.
     pub membership: Membership,
-    /// Set once the replica has stopped for good.
+    /// Reason for a permanent stop, if stopped.
     pub stopped: Option<StopReason>,
 }
 
 impl Status {
-    /// Whether the replica leads.
+    /// Whether the replica is the leader.
     pub fn is_leader(&self) -> bool {
         self.role == Role::Leader
     }
 
-    /// Node of the leader it knows of.
+    /// Node of the leader, if known.
     pub fn leader_node(&self) -> Option<NodeId> {
         self.leader.map(|leader| leader.node)
     }
 }
 
-/// Where a proposal went. It is committed when the entry at `index` that comes
-/// out of [`Ready::committed`] has the same term; with another term, it never will be.
+/// Term and index of a proposed entry. The proposal is committed if the entry at `index`
+/// in [`Ready::committed`] has the same term, and lost if that entry has another term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Proposal {
-    /// The leader's term.
+    /// Term of the leader.
     pub term: Term,
-    /// Place in the log.
+    /// Index in the log.
     pub index: Index,
 }
--- a/crates/consensus/src/replica/election.rs
+++ b/crates/consensus/src/replica/election.rs
@@ -1,15 +1,15 @@
-//! Elections: pre-vote, vote, and the clock that starts them.
+//! Elections: election timeout, pre-vote and vote.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::{Leadership, Replica, State};
+use super::{LeaderState, Replica, State};
 use crate::entry::{Payload, Position, Term};
 use crate::identity::{ClusterEpoch, ReplicaId};
 use crate::membership::Member;
 use crate::message::{Body, Message};
 use crate::progress::Progress;
 
-/// Votes gathered in one campaign, by replica and disk.
+/// Replicas that granted their vote in an election, identified by node and disk.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Ballot {
     granted: BTreeSet<ReplicaId>,
@@ -22,31 +22,31 @@
             if self.is_electable() {
                 self.start_pre_vote();
             } else {
-                self.lose_leader();
+                self.clear_leader();
             }
         }
-        self.ask_to_join_if_due();
+        self.request_join_if_due();
     }
 
-    /// Whether this replica may campaign: it is a voter, or was one before a change
-    /// that isn't known to be committed. If only it has received that change, its
-    /// log is the longest and the others, which need its vote, can't win.
+    /// Whether this replica may start an election: it is a voter, or was one before a
+    /// change that isn't known to be committed. If no other replica has received that
+    /// change, this replica's log is the longest, and the others can't win without its vote.
     fn is_electable(&self) -> bool {
         let own = self.id();
         self.log.membership().is_voter(own) || self.log.membership_at(self.commit).is_voter(own)
     }
 
-    /// Forgets a leader that has been silent for too long.
-    fn lose_leader(&mut self) {
+    /// Clears the leader and drops the reads that depend on it.
+    fn clear_leader(&mut self) {
         if self.leader.take().is_some() {
             self.drop_all_reads();
         }
     }
 
-    /// Asks for promises first, so that a replica that was cut off doesn't raise
-    /// the term and depose a working leader when it returns.
+    /// Collects pre-votes before an election, so that a replica that was partitioned
+    /// doesn't raise the term and depose an active leader when it returns.
     fn start_pre_vote(&mut self) {
-        self.lose_leader();
+        self.clear_leader();
         self.state = State::PreCandidate(Ballot::default());
         let last = self.log.last();
         let term = self.term() + 1;
@@ -55,14 +55,14 @@
             message.term = term;
             self.send_raw(message);
         }
-        self.ask_other_peers(last, term);
+        self.send_pre_vote_to_non_voters(last, term);
         self.count_pre_votes();
     }
 
-    /// Asks peers without a vote too. Their answers don't count, but a peer that
-    /// knows of a recovery since tells a replica that was left out: the voters it
-    /// remembers may all have been left out as well.
-    fn ask_other_peers(&mut self, last: Position, term: Term) {
+    /// Sends the pre-vote request to peers that are not voters. Their replies don't count as
+    /// votes, but notify a replica excluded by a recovery, whose known voters may all have
+    /// been excluded as well.
+    fn send_pre_vote_to_non_voters(&mut self, last: Position, term: Term) {
         let own = self.id();
         for node in self.config.peers.clone() {
             let votes = |member: &Member| member.id.node == node;
@@ -76,11 +76,11 @@
 
     /// Starts an election in the next term.
     pub(super) fn campaign(&mut self, transfer: bool) {
-        self.lose_leader();
+        self.clear_leader();
         self.schedule_election();
         self.hard_state.term += 1;
         self.hard_state.vote = Some(self.id());
-        self.output.change_hard_state();
+        self.output.mark_hard_state_changed();
         self.state = State::Candidate(Ballot::default());
         let last = self.log.last();
         for voter in self.other_voters() {
@@ -93,24 +93,24 @@
         self.log.membership().voters().map(|member| member.id).filter(|id| *id != own).collect()
     }
 
-    /// Whether the leader was heard from so lately that it must still be there.
-    /// A leader itself knows through its quorum check.
-    fn leader_is_fresh(&self) -> bool {
-        let recent = self.now - self.heard_leader < self.config.election_ticks;
+    /// Whether this replica is the leader or had contact with the leader within the
+    /// election timeout.
+    fn has_active_leader(&self) -> bool {
+        let recent = self.now - self.last_leader_contact < self.config.election_ticks;
         self.is_leader() || (self.leader.is_some() && recent)
     }
 
-    /// Whether a vote request in a higher term has to be ignored.
+    /// Whether to ignore a vote request in a higher term.
     pub(super) fn ignores_campaign(&self, transfer: bool) -> bool {
-        !transfer && self.leader_is_fresh()
+        !transfer && self.has_active_leader()
     }
 
     pub(super) fn on_pre_vote_request(&mut self, from: ReplicaId, term: Term, last: Position) {
-        let fresh = self.leader_is_fresh();
-        if fresh && !self.log.membership_at(self.commit).contains(from) {
+        let active_leader = self.has_active_leader();
+        if active_leader && !self.log.membership_at(self.commit).contains(from) {
             self.send(from, Body::NotMember);
         }
-        let granted = !fresh && term > self.term() && last >= self.log.last();
+        let granted = !active_leader && term > self.term() && last >= self.log.last();
         let mut message = self.message(from, Body::PreVoteReply { granted });
         if granted {
             message.term = term;
@@ -119,26 +119,26 @@
     }
 
     pub(super) fn on_pre_vote_reply(&mut self, message: &Message, granted: bool) {
-        let asked = self.term() + 1;
+        let requested_term = self.term() + 1;
         if let State::PreCandidate(ballot) = &mut self.state
             && granted
-            && message.term == asked
+            && message.term == requested_term
         {
             ballot.granted.insert(message.from);
             self.count_pre_votes();
         }
     }
 
-    /// Gives the vote to the first candidate of the term whose log is at least as
-    /// up-to-date as this one's: an elected leader holds every committed entry.
+    /// Grants the vote to the first candidate of the term whose log is at least as
+    /// up-to-date as this replica's, so that an elected leader has every committed entry.
     pub(super) fn on_vote_request(&mut self, from: ReplicaId, last: Position) {
-        let free = self.hard_state.vote.is_none_or(|voted| voted == from);
-        let following = self.leader.is_some() || !matches!(self.state, State::Follower);
-        let may_vote = free && (!following || self.hard_state.vote == Some(from));
+        let unvoted = self.hard_state.vote.is_none_or(|voted| voted == from);
+        let engaged = self.leader.is_some() || !matches!(self.state, State::Follower);
+        let may_vote = unvoted && (!engaged || self.hard_state.vote == Some(from));
         let granted = may_vote && last >= self.log.last();
         if granted {
             self.hard_state.vote = Some(from);
-            self.output.change_hard_state();
+            self.output.mark_hard_state_changed();
             self.schedule_election();
         }
         self.send_when_durable(from, Body::VoteReply { granted });
@@ -160,9 +160,9 @@
         }
     }
 
-    /// Takes office once a majority has voted. It is called when votes arrive and
-    /// when a write is done; the own vote counts because requests and the lone
-    /// voter's count both wait until it is on disk.
+    /// Becomes leader once a majority has granted its votes. Called when a vote arrives and
+    /// when a write is durable. The replica's own vote is counted: vote requests, and the
+    /// count of a single voter, wait until that vote is durable.
     pub(super) fn count_votes(&mut self) {
         let State::Candidate(ballot) = &self.state else { return };
         if self.is_majority(ballot) {
@@ -170,9 +170,8 @@
         }
     }
 
-    /// Whether this replica and those that granted make a majority of the voters.
-    /// Only a vote of the very replica in the membership counts, disk included: a
-    /// wiped disk has forgotten whom its node voted for.
+    /// Whether this replica and those in `ballot` are a majority of the voters. Votes are
+    /// matched by node and disk, because a wiped disk has lost the vote of its node.
     fn is_majority(&self, ballot: &Ballot) -> bool {
         let membership = self.log.membership();
         let granted = |id: ReplicaId| id == self.id() || ballot.granted.contains(&id);
@@ -183,7 +182,7 @@
         if term > self.term() {
             self.hard_state.term = term;
             self.hard_state.vote = None;
-            self.output.change_hard_state();
+            self.output.mark_hard_state_changed();
         }
         let was_leader = self.is_leader();
         if was_leader || leader != self.leader {
@@ -204,7 +203,7 @@
         let uncommitted_bytes = self.log.bytes_between(self.commit, first_index);
         self.leader = Some(own);
         self.incoming = None;
-        self.state = State::Leader(Leadership {
+        self.state = State::Leader(LeaderState {
             progress,
             first_index,
             until_heartbeat: self.config.heartbeat_ticks,
@@ -213,20 +212,21 @@
             uncommitted_bytes,
             retiring: BTreeMap::new(),
         });
-        self.append_own(Payload::Empty);
+        self.append_as_leader(Payload::Empty);
     }
 
-    /// Joins the cluster of the first leader or candidate that addresses this very disk.
+    /// Joins the cluster of the first sender that addresses this node and disk.
     pub(super) fn adopt_epoch(&mut self, epoch: ClusterEpoch) {
         self.hard_state.epoch = epoch;
-        self.output.change_hard_state();
+        self.output.mark_hard_state_changed();
     }
 
-    /// A replica that is no voter, or that was told it is no member, asks to join
-    /// while it hears no leader.
-    fn ask_to_join_if_due(&mut self) {
-        let outside = self.told_not_member || !self.log.membership().is_voter(self.id());
-        if !outside || self.leader.is_some() || self.now < self.join_due {
+    /// Sends join requests to all peers if this replica has no leader and is not a voter,
+    /// or was reported as a non-member.
+    fn request_join_if_due(&mut self) {
+        let may_not_be_member =
+            self.reported_as_non_member || !self.log.membership().is_voter(self.id());
+        if !may_not_be_member || self.leader.is_some() || self.now < self.join_due {
             return;
         }
         self.join_due = self.now + self.config.election_ticks;
--- a/crates/consensus/src/replica/follower.rs
+++ b/crates/consensus/src/replica/follower.rs
@@ -1,4 +1,4 @@
-//! What a follower does with the leader's entries and heartbeats.
+//! Handling of entries and heartbeats on followers.
 
 use super::Replica;
 use crate::entry::{Entry, Index, Position};
@@ -22,7 +22,7 @@
             self.stop(StopReason::Diverged);
             return;
         }
-        // Everything up to the own commit index equals the leader's log already.
+        // The log matches the leader's up to this replica's commit index.
         if previous.index < self.commit && !self.log.contains(previous) {
             self.send_when_durable(from, Body::AppendReply { matched: self.commit });
             return;
@@ -40,8 +40,8 @@
         self.send_when_durable(from, Body::AppendReply { matched });
     }
 
-    /// Tells the leader the last place at which the logs may agree, skipping
-    /// whole terms, so that finding it takes few round trips.
+    /// Sends the leader the last position at which the logs may match. Whole terms are
+    /// skipped to find the matching position in few round trips.
     fn reject_append(&mut self, from: ReplicaId, previous: Position) {
         let before = Position { term: previous.term, index: previous.index.saturating_sub(1) };
         let hint = self.log.last_not_after(before);
@@ -61,8 +61,8 @@
     }
 }
 
-/// Whether the entries follow `previous` without gaps. A peer can't be trusted
-/// to have sent them so.
+/// Whether the entries follow `previous` without gaps and with non-decreasing terms. Messages
+/// from peers are not trusted to guarantee this.
 fn are_consecutive(previous: Position, entries: &[Entry]) -> bool {
     let mut last = previous;
     entries.iter().all(|entry| {
--- a/crates/consensus/src/replica/mod.rs
+++ b/crates/consensus/src/replica/mod.rs
@@ -1,9 +1,9 @@
-//! The replica: its state, and the calls that its driver makes.
+//! State of a replica and the calls made by its driver.
 
 mod election;
 mod follower;
 mod leader;
-mod maintain;
+mod membership;
 mod output;
 mod read;
 mod snapshot;
@@ -29,39 +29,39 @@
 use read::Reads;
 use snapshot::IncomingSnapshot;
 
-/// Shortest time from a start to an election, in ticks: connections are made first.
+/// Minimum number of ticks from start to an election, to allow for connection setup.
 const FIRST_ELECTION_TICKS: u64 = 3;
 
-/// What a replica does, with the state that only this part needs.
+/// Role of a replica with its role-specific state.
 #[derive(Clone, Debug)]
 enum State {
     Follower,
     PreCandidate(Ballot),
     Candidate(Ballot),
-    Leader(Leadership),
+    Leader(LeaderState),
     Stopped(StopReason),
 }
 
-/// State of a leader.
+/// Role-specific state of a leader.
 #[derive(Clone, Debug)]
-struct Leadership {
-    /// What is known of every other member.
+struct LeaderState {
+    /// Replication progress of every other member.
     progress: BTreeMap<ReplicaId, Progress>,
-    /// Index of the first entry of this term; nothing older commits by counting.
+    /// Index of the first entry of this term. Older entries commit only along with this one.
     first_index: Index,
     /// Ticks until the next heartbeat.
     until_heartbeat: u64,
-    /// Tick at which a quorum must have been heard from again.
+    /// Tick of the next check for recent contact with a quorum.
     quorum_check_due: u64,
-    /// The replica that leadership goes to, and the tick at which that is given up.
+    /// Target of a leadership transfer, and the tick at which the transfer is aborted.
     transfer: Option<(ReplicaId, u64)>,
-    /// Approximate bytes of entries that are not committed yet.
+    /// Approximate size of the uncommitted entries, in bytes.
     uncommitted_bytes: usize,
-    /// Voters that are about to stop, with the tick until which that counts.
+    /// Replicas that announced their shutdown, with the tick at which the announcement expires.
     retiring: BTreeMap<ReplicaId, u64>,
 }
 
-/// A replica of the log. See the crate's documentation for how to drive it.
+/// Replica of the log. The crate documentation describes the calls expected from the driver.
 #[derive(Clone, Debug)]
 pub struct Replica {
     config: ReplicaConfig,
@@ -71,16 +71,16 @@
     hard_state: HardState,
     log: Log,
     state: State,
-    /// The leader of the current term, if known.
+    /// Leader of the current term, if known.
     leader: Option<ReplicaId>,
-    /// Tick at which the leader was last heard from.
-    heard_leader: u64,
-    /// Tick at which silence leads to an election.
+    /// Tick of the last message from the leader.
+    last_leader_contact: u64,
+    /// Tick of the next election unless the leader makes contact before.
     election_due: u64,
-    /// Tick of the next request to join, if the replica has to ask.
+    /// Tick of the next join request, if one is needed.
     join_due: u64,
-    /// A peer said that this replica isn't a member.
-    told_not_member: bool,
+    /// Whether a peer reported that this replica isn't a member.
+    reported_as_non_member: bool,
     commit: Index,
     applied: Index,
     reads: Reads,
@@ -89,10 +89,10 @@
 }
 
 impl Replica {
-    /// A replica that starts from what its storage kept.
+    /// Creates a replica from its persistent state.
     ///
-    /// `seed` must be random and differ between lives of the replica: it spreads
-    /// elections out and tells answers to an earlier life apart.
+    /// `seed` must be random and differ between incarnations of the replica. It randomizes
+    /// election timeouts and identifies replies to an earlier incarnation.
     pub fn new(config: ReplicaConfig, restored: Restored, seed: u64) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let installed = restored.snapshot.clone();
@@ -109,20 +109,20 @@
             log,
             state: State::Follower,
             leader: None,
-            heard_leader: 0,
+            last_leader_contact: 0,
             election_due: 0,
             join_due: 0,
-            told_not_member: false,
+            reported_as_non_member: false,
             commit,
             applied: snapshot_index,
             incoming: None,
-            output: Output::starting_from(installed),
+            output: Output::with_installed(installed),
         };
         replica.schedule_first_election();
         replica
     }
 
-    /// One tick of the driver's clock has passed.
+    /// Advances the replica's time by one tick.
     pub fn tick(&mut self) {
         self.now += 1;
         match &self.state {
@@ -133,10 +133,10 @@
         self.drop_overdue_reads();
     }
 
-    /// Appends a command for the state machine if this replica leads.
+    /// Appends a command for the state machine.
     ///
     /// # Errors
-    /// Nothing has been recorded when it fails.
+    /// Fails if this replica can't accept the command; nothing is appended.
     pub fn propose(&mut self, data: Vec<u8>) -> Result<Proposal, ProposeError> {
         let limit = self.config.max_command_bytes;
         if data.len() > limit {
@@ -145,37 +145,36 @@
         self.propose_payload(Payload::Data(data))
     }
 
-    /// Appends a change of the membership if this replica leads and the change is safe.
+    /// Appends a membership change.
     ///
     /// # Errors
-    /// Nothing has been recorded when it fails.
+    /// Fails if this replica isn't the leader or the change isn't safe; nothing is appended.
     pub fn propose_members(&mut self, change: &MembershipChange) -> Result<Proposal, MembersError> {
         self.change_members(change)
     }
 
-    /// Asks for a linearizable read; it comes back in [`Ready::reads`] or
-    /// [`Ready::dropped_reads`]. A lost message can leave a follower's read
-    /// unanswered for two election timeouts, after which it is dropped.
+    /// Requests a linearizable read. The result appears in [`Ready::reads`] or
+    /// [`Ready::dropped_reads`]. If a message is lost, a follower's read is dropped after
+    /// two election timeouts.
     ///
     /// # Errors
-    /// Fails when no leader is known or too many reads wait.
+    /// Fails if no leader is known or too many reads are unanswered.
     pub fn read(&mut self, context: u64) -> Result<(), crate::error::ReadError> {
         self.start_read(context)
     }
 
-    /// Hands leadership to the voter on `node`, as soon as its log is complete.
+    /// Transfers leadership to the voter on `node` once that voter's log is complete.
     ///
     /// # Errors
-    /// Fails when this replica doesn't lead or `node` has no other voter.
+    /// Fails if this replica isn't the leader or `node` runs no other voter.
     pub fn transfer_leadership(&mut self, node: NodeId) -> Result<(), TransferError> {
         self.start_transfer(node)
     }
 
-    /// Lets a snapshot of the state machine as of the applied entry `index` stand for
-    /// the log up to there.
+    /// Replaces the log up to the applied entry `index` by a snapshot of the state machine.
     ///
     /// # Errors
-    /// Fails when `index` isn't applied or a later snapshot stands already.
+    /// Fails if `index` isn't applied or the latest snapshot covers it already.
     pub fn compact(
         &mut self,
         index: Index,
@@ -184,9 +183,8 @@
         self.take_snapshot(index, data)
     }
 
-    /// Asks the leader to put a standby in this replica's place, because it is
-    /// about to stop. Without a standby nothing happens. Returns whether this
-    /// replica still votes.
+    /// Announces to the leader that this replica is about to stop, so that a standby, if
+    /// available, replaces it. Returns whether this replica is still a voter.
     pub fn retire(&mut self) -> bool {
         if let Some(leader) = self.leader.filter(|leader| *leader != self.id()) {
             self.send(leader, crate::message::Body::Retire);
@@ -194,7 +192,7 @@
         self.log.membership().is_voter(self.id())
     }
 
-    /// Where the replica stands.
+    /// Current status of the replica.
     pub fn status(&self) -> Status {
         Status {
             id: self.config.id,
@@ -211,16 +209,16 @@
         }
     }
 
-    /// Whether this replica leads.
+    /// Whether this replica is the leader.
     pub fn is_leader(&self) -> bool {
         matches!(self.state, State::Leader(_))
     }
 
-    /// Members that this leader has heard from within an election timeout, itself
-    /// included; empty on other replicas.
+    /// Members in contact with this leader within the last election timeout, including
+    /// the leader. Empty on other replicas.
     pub fn active_members(&self) -> Vec<ReplicaId> {
         match &self.state {
-            State::Leader(leadership) => self.active_in(leadership),
+            State::Leader(leader_state) => self.recently_active(leader_state),
             _ => Vec::new(),
         }
     }
@@ -235,7 +233,7 @@
         }
     }
 
-    /// Why this replica has stopped for good, if it has.
+    /// Reason for a permanent stop, if this replica has stopped.
     pub fn stop_reason(&self) -> Option<StopReason> {
         match &self.state {
             State::Stopped(reason) => Some(*reason),
@@ -258,16 +256,16 @@
         self.hard_state.term
     }
 
-    /// Draws the time of the election after a start. It is sooner than later ones:
-    /// when all replicas have started at once, nobody leads. A leader that is there
-    /// isn't disturbed, because those that hear it grant no pre-vote.
+    /// Schedules the first election after a start, with a short timeout because there is
+    /// no leader if all replicas have started together. An active leader isn't disturbed:
+    /// replicas in contact with the leader grant no pre-vote.
     fn schedule_first_election(&mut self) {
         let latest = self.config.election_ticks / 2;
         self.election_due = FIRST_ELECTION_TICKS + self.random.random_range(0..latest.max(1));
     }
 
-    /// Draws the time of the next election from one to two timeouts from now, so
-    /// that two replicas seldom campaign at once.
+    /// Schedules the next election after a random delay of one to two election timeouts,
+    /// so that replicas rarely campaign at the same time.
     fn schedule_election(&mut self) {
         let timeout = self.config.election_ticks;
         self.election_due = self.now + timeout + self.random.random_range(0..timeout.max(1));
@@ -275,12 +273,13 @@
 }
 
 impl Replica {
-    /// What to do next. The driver calls it after every other call, until it is empty.
+    /// Returns pending work. The driver calls this after every other call, until the result
+    /// is empty.
     pub fn ready(&mut self) -> Ready {
         self.take_ready()
     }
 
-    /// The write with this number is on disk and synced.
+    /// Records that the write with this number is synced to disk.
     pub fn persisted(&mut self, number: u64) {
         self.finish_write(number);
     }
--- a/crates/consensus/src/replica/output.rs
+++ b/crates/consensus/src/replica/output.rs
@@ -1,4 +1,4 @@
-//! What the replica wants done, gathered until its driver asks.
+//! Pending output of a replica, collected for the driver's next call of `ready`.
 
 use std::mem;
 
@@ -8,76 +8,75 @@
 use crate::message::{Body, Message};
 use crate::ready::{Ready, Write};
 
-/// The write that storage works on.
+/// Write that has been passed to storage and isn't durable yet.
 #[derive(Clone, Debug)]
-struct InFlight {
+struct InFlightWrite {
     number: u64,
-    /// Last entry in it.
+    /// Position of the last entry, or the snapshot's end if there are no entries.
     last: Option<Position>,
-    /// A leader's snapshot in it, which the state machine gets afterwards.
+    /// Snapshot from a leader, installed in the state machine after the write.
     installed: Option<Snapshot>,
 }
 
-/// Work and messages that wait for the driver or for storage.
+/// Output that waits for the driver or for storage.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Output {
     last_number: u64,
-    in_flight: Option<InFlight>,
-    /// The hard state differs from what storage was handed.
+    in_flight: Option<InFlightWrite>,
+    /// Whether the hard state has changed since the last write.
     hard_state_changed: bool,
     /// Snapshot for the next write.
     snapshot: Option<Snapshot>,
-    /// Whether that snapshot came from a leader.
-    snapshot_is_foreign: bool,
-    /// Messages that may go now.
+    /// Whether `snapshot` came from a leader.
+    snapshot_from_leader: bool,
+    /// Messages that may be sent immediately.
     messages: Vec<Message>,
-    /// Messages that wait for the write with the number.
-    held: Vec<(u64, Message)>,
-    /// Snapshot for the state machine.
+    /// Messages deferred until the write with the given number is durable.
+    deferred: Vec<(u64, Message)>,
+    /// Snapshot to install in the state machine.
     installed: Option<Snapshot>,
 }
 
 impl Output {
-    /// Output of a replica whose state machine starts from `installed`.
-    pub(super) fn starting_from(installed: Option<Snapshot>) -> Self {
+    /// Output of a starting replica, whose state machine is initialized from `installed`.
+    pub(super) fn with_installed(installed: Option<Snapshot>) -> Self {
         Output { installed, ..Output::default() }
     }
 
-    /// Drops everything: a stopped replica says nothing more.
+    /// Drops all pending output of a stopped replica.
     pub(super) fn discard(&mut self) {
         *self = Output { last_number: self.last_number, ..Output::default() };
     }
 
-    /// The hard state must be written again.
-    pub(super) fn change_hard_state(&mut self) {
+    /// Marks the hard state as changed, so that the next write includes it.
+    pub(super) fn mark_hard_state_changed(&mut self) {
         self.hard_state_changed = true;
     }
 
-    /// Keeps `snapshot` with the next write. `is_foreign` says that it came from a
-    /// leader and replaces the state machine.
-    pub(super) fn keep_snapshot(&mut self, snapshot: Snapshot, is_foreign: bool) {
+    /// Adds `snapshot` to the next write. A snapshot with `from_leader` also replaces the
+    /// state machine.
+    pub(super) fn queue_snapshot(&mut self, snapshot: Snapshot, from_leader: bool) {
         self.snapshot = Some(snapshot);
-        self.snapshot_is_foreign = is_foreign;
+        self.snapshot_from_leader = from_leader;
     }
 
-    /// Whether a leader's snapshot has yet to replace the state machine.
+    /// Whether a leader's snapshot is waiting to replace the state machine.
     pub(super) fn is_installing(&self) -> bool {
         let in_flight = || self.in_flight.as_ref().is_some_and(|write| write.installed.is_some());
-        self.snapshot_is_foreign || in_flight()
+        self.snapshot_from_leader || in_flight()
     }
 }
 
 impl Replica {
-    /// Sends a message that relies on nothing that isn't on disk.
+    /// Sends a message that doesn't depend on pending writes.
     pub(super) fn send(&mut self, to: ReplicaId, body: Body) {
         let message = self.message(to, body);
         self.output.messages.push(message);
     }
 
-    /// Sends a message once everything that has happened so far is on disk.
+    /// Sends a message once all state changes so far are durable.
     ///
-    /// Guards against a crash after which the replica would have forgotten a
-    /// vote or an entry that it has told others about.
+    /// Otherwise the replica could lose a vote or an entry in a crash after reporting it.
     pub(super) fn send_when_durable(&mut self, to: ReplicaId, body: Body) {
         let message = self.message(to, body);
         let waits_for = if self.has_unwritten() {
@@ -86,12 +85,12 @@
             self.output.in_flight.as_ref().map(|write| write.number)
         };
         match waits_for {
-            Some(number) => self.output.held.push((number, message)),
+            Some(number) => self.output.deferred.push((number, message)),
             None => self.output.messages.push(message),
         }
     }
 
-    /// Sends a message as it is.
+    /// Sends a complete message that doesn't depend on pending writes.
     pub(super) fn send_raw(&mut self, message: Message) {
         self.output.messages.push(message);
     }
@@ -109,7 +108,7 @@
 
     fn has_unwritten(&self) -> bool {
         let output = &self.output;
-        output.hard_state_changed || output.snapshot.is_some() || self.log.has_unhanded()
+        output.hard_state_changed || output.snapshot.is_some() || self.log.has_unsubmitted()
     }
 
     pub(super) fn take_ready(&mut self) -> Ready {
@@ -133,30 +132,30 @@
             number,
             hard_state: Some(self.hard_state),
             snapshot: self.output.snapshot.take(),
-            entries: self.log.take_unhanded(),
+            entries: self.log.take_unsubmitted(),
             last: self.log.last(),
         };
-        let is_foreign = mem::take(&mut self.output.snapshot_is_foreign);
+        let from_leader = mem::take(&mut self.output.snapshot_from_leader);
         self.output.hard_state_changed = false;
         let snapshot_end = write.snapshot.as_ref().map(|snapshot| snapshot.meta.position);
-        self.output.in_flight = Some(InFlight {
+        self.output.in_flight = Some(InFlightWrite {
             number,
             last: write.entries.last().map(|entry| entry.position()).or(snapshot_end),
-            installed: write.snapshot.clone().filter(|_| is_foreign),
+            installed: write.snapshot.clone().filter(|_| from_leader),
         });
         Some(write)
     }
 
     pub(super) fn finish_write(&mut self, number: u64) {
         match self.output.in_flight.take_if(|write| write.number == number) {
-            Some(write) => self.apply_finished(write),
+            Some(write) => self.record_durable_write(write),
             None => return,
         }
         self.release_messages(number);
         self.after_persisted();
     }
 
-    fn apply_finished(&mut self, write: InFlight) {
+    fn record_durable_write(&mut self, write: InFlightWrite) {
         if let Some(last) = write.last {
             self.log.mark_persisted(last);
         }
@@ -169,20 +168,21 @@
         }
     }
 
-    /// Lets go the messages that waited for a write. What an earlier term said is
-    /// dropped: nobody acts on it.
+    /// Releases messages that waited for a write. Messages of an earlier term are dropped,
+    /// since receivers would ignore them.
     fn release_messages(&mut self, number: u64) {
         let term = self.term();
-        for (waits_for, message) in mem::take(&mut self.output.held) {
+        for (waits_for, message) in mem::take(&mut self.output.deferred) {
             if waits_for > number {
-                self.output.held.push((waits_for, message));
+                self.output.deferred.push((waits_for, message));
             } else if message.term == term {
                 self.output.messages.push(message);
             }
         }
     }
 
-    /// Entries that are committed, on this disk and not applied yet.
+    /// Returns entries that are committed, durable here and not applied yet, and marks them
+    /// as applied.
     fn next_committed(&mut self) -> Vec<crate::entry::Entry> {
         if self.output.is_installing() || self.stop_reason().is_some() {
             return Vec::new();
--- a/crates/consensus/src/replica/snapshot.rs
+++ b/crates/consensus/src/replica/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots: taking them, sending them in chunks, putting them together.
+//! Log compaction with snapshots, and chunked snapshot transfer.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 use crate::message::Body;
 use crate::progress::Mode;
 
-/// A snapshot of which some chunks have arrived.
+/// Partially received snapshot.
 #[derive(Clone, Debug)]
 pub(super) struct IncomingSnapshot {
     from: ReplicaId,
@@ -31,7 +31,7 @@
             return Err(CompactError::Index(index));
         }
         let snapshot = Snapshot { meta, data: Arc::new(data) };
-        self.output.keep_snapshot(snapshot.clone(), false);
+        self.output.queue_snapshot(snapshot.clone(), false);
         self.log.compact(snapshot, self.config.keep_entries);
         Ok(())
     }
@@ -59,9 +59,9 @@
         if snapshot.meta.position.index != index || wanted > total {
             return;
         }
-        let repeated = *offset == wanted;
+        let duplicate = *offset == wanted;
         *offset = wanted;
-        if !repeated && wanted < total {
+        if !duplicate && wanted < total {
             self.send_snapshot_chunk(from);
         }
     }
@@ -91,8 +91,8 @@
         }
     }
 
-    /// Adds a chunk and returns how many bytes are there now. A chunk of another
-    /// snapshot or sender starts over.
+    /// Adds a chunk and returns the number of bytes received so far. A chunk of another
+    /// snapshot or from another sender replaces the partial snapshot.
     fn add_chunk(
         &mut self,
         from: ReplicaId,
@@ -108,8 +108,8 @@
             Some(incoming) => incoming,
             None => IncomingSnapshot { from, meta, total, data: Vec::new() },
         };
-        let have = incoming.data.len() as u64;
-        if offset == have && have + data.len() as u64 <= total {
+        let expected = incoming.data.len() as u64;
+        if offset == expected && expected + data.len() as u64 <= total {
             incoming.data.extend_from_slice(data);
         }
         let received = incoming.data.len() as u64;
@@ -117,13 +117,13 @@
         received
     }
 
-    /// Puts a complete snapshot in place of the log; storage gets it first, the
-    /// state machine after that.
+    /// Replaces the log by the complete snapshot, which is written to storage and then
+    /// installed in the state machine.
     fn install_incoming(&mut self, from: ReplicaId) {
         let Some(incoming) = self.incoming.take() else { return };
         let index = incoming.meta.position.index;
         let snapshot = Snapshot { meta: incoming.meta, data: Arc::new(incoming.data) };
-        self.output.keep_snapshot(snapshot.clone(), true);
+        self.output.queue_snapshot(snapshot.clone(), true);
         self.log.install(snapshot);
         self.advance_commit(index);
         self.send_when_durable(from, Body::AppendReply { matched: index });
--- a/crates/consensus/src/replica/step.rs
+++ b/crates/consensus/src/replica/step.rs
@@ -1,4 +1,4 @@
-//! Incoming messages: who may speak, whose term counts, and where they go.
+//! Handling of incoming messages: epoch and term checks, and dispatch by message type.
 
 use super::{Replica, State};
 use crate::identity::{ClusterEpoch, ReplicaId};
@@ -6,8 +6,8 @@
 use crate::ready::StopReason;
 
 impl Replica {
-    /// Takes a message from another replica. Messages may be lost, repeated,
-    /// late and out of order.
+    /// Handles a message from another replica. Messages may be lost, duplicated, delayed
+    /// and reordered.
     pub fn step(&mut self, message: Message) {
         let stopped = matches!(self.state, State::Stopped(_));
         if stopped || !self.is_addressee(&message) || !message.is_in_bounds() {
@@ -15,11 +15,11 @@
         }
         if let Body::JoinRequest { zone } = &message.body {
             let zone = zone.clone();
-            self.pass_join_request_on(&message);
+            self.forward_join_request(&message);
             self.on_join_request(message.from, zone);
             return;
         }
-        if !self.check_epoch(&message) || self.is_stranger(&message) {
+        if !self.check_epoch(&message) || self.is_reply_from_non_member(&message) {
             return;
         }
         if self.check_term(&message) {
@@ -27,14 +27,14 @@
         }
     }
 
-    /// A message for another node, or for a disk that this node had before, is dropped.
+    /// Whether the message is addressed to this node and, if it names a disk, to this disk.
     fn is_addressee(&self, message: &Message) -> bool {
         let own = self.id();
         message.to == own.node && message.to_disk.is_none_or(|disk| disk == own.disk)
     }
 
-    /// Compares epochs. Guards against replicas that a recovery left out: they
-    /// are told so, and stop once they hear it.
+    /// Checks the sender's epoch. Replicas excluded by a recovery are notified with
+    /// [`Body::Fenced`], and stop when they receive a message of the new epoch.
     fn check_epoch(&mut self, message: &Message) -> bool {
         let own = self.hard_state.epoch;
         let theirs = message.epoch;
@@ -56,10 +56,10 @@
         false
     }
 
-    /// Whether a leader gets an answer from a replica that isn't in its membership,
-    /// such as one whose disk was replaced. Such an answer counts for nothing.
-    fn is_stranger(&self, message: &Message) -> bool {
-        let State::Leader(leadership) = &self.state else { return false };
+    /// Whether this leader received a reply from a replica outside the membership, such as
+    /// one whose disk was replaced. Such replies are ignored.
+    fn is_reply_from_non_member(&self, message: &Message) -> bool {
+        let State::Leader(leader_state) = &self.state else { return false };
         let is_reply = matches!(
             message.body,
             Body::AppendReply { .. }
@@ -68,22 +68,22 @@
                 | Body::SnapshotReply { .. }
                 | Body::VoteReply { .. }
         );
-        is_reply && !leadership.progress.contains_key(&message.from)
+        is_reply && !leader_state.progress.contains_key(&message.from)
     }
 
-    /// Settles differences in term. Returns whether the message still counts.
+    /// Handles a difference in terms. Returns whether the message must still be processed.
     fn check_term(&mut self, message: &Message) -> bool {
         if message.term > self.term() {
-            self.meet_higher_term(message)
+            self.handle_higher_term(message)
         } else if message.term < self.term() {
-            self.answer_lower_term(message);
+            self.handle_lower_term(message);
             false
         } else {
             true
         }
     }
 
-    fn meet_higher_term(&mut self, message: &Message) -> bool {
+    fn handle_higher_term(&mut self, message: &Message) -> bool {
         match &message.body {
             Body::PreVoteRequest { .. } | Body::PreVoteReply { granted: true } => return true,
             Body::VoteRequest { transfer, .. } if self.ignores_campaign(*transfer) => return false,
@@ -95,10 +95,9 @@
         true
     }
 
-    /// Tells senders of an earlier term about this one, so that a leader that was
-    /// frozen or cut off steps down, and a replica that ran ahead in terms is
-    /// caught up with.
-    fn answer_lower_term(&mut self, message: &Message) {
+    /// Replies to a message of an earlier term with the current term, so that a leader that
+    /// was suspended or partitioned steps down and the cluster adopts the higher term.
+    fn handle_lower_term(&mut self, message: &Message) {
         match message.body {
             Body::PreVoteRequest { .. } => {
                 self.send_when_durable(message.from, Body::PreVoteReply { granted: false });
@@ -116,9 +115,9 @@
     fn dispatch(&mut self, message: Message) {
         let from = message.from;
         if message.body.is_from_leader() {
-            self.hear_leader(from);
+            self.record_leader_contact(from);
         }
-        self.hear_member(from);
+        self.record_member_contact(from);
         match message.body {
             Body::PreVoteRequest { last } => self.on_pre_vote_request(from, message.term, last),
             Body::PreVoteReply { granted } => self.on_pre_vote_reply(&message, granted),
@@ -142,19 +141,19 @@
             Body::ReadReply { session, context, index } => {
                 self.on_read_reply(session, context, index);
             }
-            Body::NotMember => self.told_not_member = true,
+            Body::NotMember => self.reported_as_non_member = true,
             Body::Retire => self.on_retire(from),
             Body::JoinRequest { .. } | Body::Fenced => {}
         }
     }
 
-    /// Notes a sign of life from the leader of the current term.
-    fn hear_leader(&mut self, from: ReplicaId) {
+    /// Records contact from the leader of the current term and postpones the election.
+    fn record_leader_contact(&mut self, from: ReplicaId) {
         if self.leader != Some(from) || !matches!(self.state, State::Follower) {
             self.become_follower(self.term(), Some(from));
         }
-        self.heard_leader = self.now;
-        self.told_not_member = false;
+        self.last_leader_contact = self.now;
+        self.reported_as_non_member = false;
         self.schedule_election();
     }
 
--- a/crates/consensus/tests/growth.rs
+++ b/crates/consensus/tests/growth.rs
@@ -1,4 +1,4 @@
-//! What a large group costs its leader: messages grow with the members, not with their square.
+//! Number of messages in large clusters: linear in the number of members.
 
 mod support;
 
@@ -6,9 +6,9 @@
 use juniper_types::NodeId;
 use support::{Cluster, ELECTION, id};
 
-/// Five voters, and learners up to `members`.
-fn group(members: u64) -> (Cluster, u64) {
-    let mut cluster = Cluster::of_voters_that_know(5, Some((1..=5).map(NodeId).collect()));
+/// Cluster of five voters, with learners up to `members` in total.
+fn large_cluster(members: u64) -> (Cluster, u64) {
+    let mut cluster = Cluster::with_seeds(5, Some((1..=5).map(NodeId).collect()));
     let leader = cluster.elect();
     for node in 6..=members {
         cluster.start(id(node, u128::from(node)), Restored::default());
@@ -16,59 +16,59 @@
     }
     cluster.tick(ELECTION);
     let count = cluster.node(leader).replica.status().membership.members.len() as u64;
-    assert_eq!(count, members, "all of them are let in");
+    assert_eq!(count, members, "not all replicas have joined");
     assert!(cluster.node(leader).replica.is_leader());
     (cluster, leader)
 }
 
-/// Messages while nothing is asked, for each member and tick.
+/// Messages per member and tick without requests.
 fn idle_messages(members: u64) -> f64 {
     const TICKS: u64 = 100;
-    let (mut cluster, _) = group(members);
-    cluster.heard.clear();
+    let (mut cluster, _) = large_cluster(members);
+    cluster.delivered.clear();
     cluster.tick(TICKS);
-    cluster.heard.len() as f64 / (members * TICKS) as f64
+    cluster.delivered.len() as f64 / (members * TICKS) as f64
 }
 
-/// Messages for one read, where each member asks for one in turn.
-fn messages_of_a_read(members: u64) -> f64 {
-    let (mut cluster, _) = group(members);
-    cluster.heard.clear();
+/// Messages per read, with one read on each member in turn.
+fn messages_per_read(members: u64) -> f64 {
+    let (mut cluster, _) = large_cluster(members);
+    cluster.delivered.clear();
     for node in 1..=members {
-        cluster.node(node).replica.read(node).expect("a leader is known");
-        cluster.settle();
-        assert_eq!(cluster.node(node).reads.last(), Some(&node), "it is confirmed");
+        cluster.node(node).replica.read(node).expect("the read was rejected");
+        cluster.run_until_idle();
+        assert_eq!(cluster.node(node).reads.last(), Some(&node), "the read is not confirmed");
     }
-    cluster.heard.len() as f64 / members as f64
+    cluster.delivered.len() as f64 / members as f64
 }
 
-/// Messages of one entry, for each member.
-fn messages_of_an_entry(members: u64) -> f64 {
-    let (mut cluster, leader) = group(members);
-    cluster.heard.clear();
+/// Messages per member for one entry.
+fn messages_per_entry(members: u64) -> f64 {
+    let (mut cluster, leader) = large_cluster(members);
+    cluster.delivered.clear();
     cluster.propose(leader, b"one");
     let appends =
-        cluster.heard.iter().filter(|message| matches!(message.body, Body::Append { .. }));
+        cluster.delivered.iter().filter(|message| matches!(message.body, Body::Append { .. }));
     let appends = appends.count();
     assert!(appends as u64 >= members - 1);
-    cluster.heard.len() as f64 / members as f64
+    cluster.delivered.len() as f64 / members as f64
 }
 
 #[test]
-fn heartbeats_grow_with_the_members() {
-    let each = [10, 20, 40].map(idle_messages);
-    assert!(each.iter().all(|each| *each <= 1.1), "{each:?}");
+fn idle_messages_are_linear_in_the_number_of_members() {
+    let counts = [10, 20, 40].map(idle_messages);
+    assert!(counts.iter().all(|count| *count <= 1.1), "{counts:?}");
 }
 
-/// A round of heartbeats to all members for each member's read would be their square.
+/// Fails if every read sends a round of heartbeats to all members.
 #[test]
-fn a_read_costs_the_same_whatever_the_number_of_members() {
-    let each = [10, 20, 40].map(messages_of_a_read);
-    assert!(each.iter().all(|each| *each <= 12.0), "{each:?}");
+fn messages_per_read_do_not_depend_on_the_number_of_members() {
+    let counts = [10, 20, 40].map(messages_per_read);
+    assert!(counts.iter().all(|count| *count <= 12.0), "{counts:?}");
 }
 
 #[test]
-fn an_entry_costs_so_many_messages_a_member() {
-    let each = [10, 20, 40].map(messages_of_an_entry);
-    assert!(each.iter().all(|each| *each <= 5.0), "{each:?}");
+fn messages_per_entry_are_linear_in_the_number_of_members() {
+    let counts = [10, 20, 40].map(messages_per_entry);
+    assert!(counts.iter().all(|count| *count <= 5.0), "{counts:?}");
 }
--- a/crates/consensus/tests/hostile.rs
+++ b/crates/consensus/tests/hostile.rs
@@ -1,4 +1,4 @@
-//! Bytes and messages from outside: no panic, no unbounded memory, nothing obeyed.
+//! Malformed and hostile input: no panic, no unbounded allocation, no effect on the state.
 
 mod support;
 
@@ -7,7 +7,7 @@
 };
 use juniper_types::NodeId;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
-use support::{Cluster, config, founded, id, zone};
+use support::{Cluster, config, id, initial_disk, zone};
 
 const CASES: u64 = 3_000;
 const SEED: u64 = 0x0bad;
@@ -16,73 +16,75 @@
     Gen::from_size_and_seed(size, SEED)
 }
 
-/// A message that a broken or hostile peer could send.
+/// Message that a faulty or hostile peer could send.
 #[derive(Clone, Debug)]
-struct WildMessage(Message);
+struct HostileMessage(Message);
 
-fn small(random: &mut Gen) -> u64 {
+fn small_number(random: &mut Gen) -> u64 {
     u64::from(u8::arbitrary(random) % 6)
 }
 
-fn wild_number(random: &mut Gen) -> u64 {
+fn arbitrary_number(random: &mut Gen) -> u64 {
     *random.choose(&[0, 1, 2, 3, 7, u64::MAX - 1, u64::MAX]).unwrap()
 }
 
-fn wild_position(random: &mut Gen) -> Position {
-    Position { term: wild_number(random), index: wild_number(random) }
+fn arbitrary_position(random: &mut Gen) -> Position {
+    Position { term: arbitrary_number(random), index: arbitrary_number(random) }
 }
 
-fn wild_entries(random: &mut Gen) -> Vec<Entry> {
-    let payload = |random: &mut Gen| match small(random) {
+fn arbitrary_entries(random: &mut Gen) -> Vec<Entry> {
+    let payload = |random: &mut Gen| match small_number(random) {
         0 => Payload::Members(Membership::default()),
         1 => Payload::Empty,
         _ => Payload::Data(Vec::arbitrary(random)),
     };
-    let start = wild_number(random);
-    let count = small(random);
+    let start = arbitrary_number(random);
+    let count = small_number(random);
     let entry = |random: &mut Gen, offset: u64| {
         let index = start.saturating_add(offset);
-        Entry { term: small(random), index, payload: payload(random) }
+        Entry { term: small_number(random), index, payload: payload(random) }
     };
     (0..count).map(|offset| entry(random, offset)).collect()
 }
 
-fn wild_body(random: &mut Gen) -> Body {
-    let (last, number) = (wild_position(random), wild_number(random));
+fn arbitrary_body(random: &mut Gen) -> Body {
+    let (last, number) = (arbitrary_position(random), arbitrary_number(random));
     match u8::arbitrary(random) % 15 {
         0 => Body::PreVoteRequest { last },
         1 => Body::PreVoteReply { granted: bool::arbitrary(random) },
         2 => Body::VoteRequest { last, transfer: bool::arbitrary(random) },
         3 => Body::VoteReply { granted: bool::arbitrary(random) },
-        4 | 5 => Body::Append { previous: last, entries: wild_entries(random), commit: number },
+        4 | 5 => {
+            Body::Append { previous: last, entries: arbitrary_entries(random), commit: number }
+        }
         6 => Body::AppendReply { matched: number },
         7 => Body::AppendReject { previous: number, hint: last },
-        8 => Body::Heartbeat { commit: number, read_round: wild_number(random) },
+        8 => Body::Heartbeat { commit: number, read_round: arbitrary_number(random) },
         9 => Body::HeartbeatReply { read_round: number },
         10 => Body::SnapshotChunk {
             meta: SnapshotMeta { position: last, membership: Membership::default() },
             total: number,
-            offset: wild_number(random),
+            offset: arbitrary_number(random),
             data: Vec::arbitrary(random),
         },
-        11 => Body::SnapshotReply { index: number, offset: wild_number(random) },
+        11 => Body::SnapshotReply { index: number, offset: arbitrary_number(random) },
         12 => Body::TakeOver,
-        13 => Body::ReadReply { session: number, context: small(random), index: number },
-        _ => Body::ReadRequest { session: number, context: small(random) },
+        13 => Body::ReadReply { session: number, context: small_number(random), index: number },
+        _ => Body::ReadRequest { session: number, context: small_number(random) },
     }
 }
 
-impl Arbitrary for WildMessage {
+impl Arbitrary for HostileMessage {
     fn arbitrary(random: &mut Gen) -> Self {
-        let node = 1 + small(random) % 4;
-        let epoch = founded(&voters()).hard_state.epoch;
-        WildMessage(Message {
+        let node = 1 + small_number(random) % 4;
+        let epoch = initial_disk(&voters()).hard_state.epoch;
+        HostileMessage(Message {
             from: id(node, node.into()),
             to: NodeId(1),
             to_disk: None,
             epoch,
-            term: small(random),
-            body: wild_body(random),
+            term: small_number(random),
+            body: arbitrary_body(random),
         })
     }
 }
@@ -93,10 +95,10 @@
 }
 
 #[test]
-fn a_replica_survives_any_sequence_of_messages() {
-    fn property(messages: Vec<WildMessage>) -> bool {
-        let mut replica = Replica::new(config(id(1, 1)), founded(&voters()), 3);
-        for WildMessage(message) in messages {
+fn arbitrary_messages_cause_no_panic() {
+    fn property(messages: Vec<HostileMessage>) -> bool {
+        let mut replica = Replica::new(config(id(1, 1)), initial_disk(&voters()), 3);
+        for HostileMessage(message) in messages {
             replica.step(message);
             replica.tick();
             let ready = replica.ready();
@@ -107,11 +109,11 @@
         replica.status().applied <= replica.status().commit
     }
     let mut check = QuickCheck::new().rng(random(60)).tests(CASES);
-    check.quickcheck(property as fn(Vec<WildMessage>) -> bool);
+    check.quickcheck(property as fn(Vec<HostileMessage>) -> bool);
 }
 
 #[test]
-fn any_bytes_decode_to_an_error_or_to_a_message_that_encodes_again() {
+fn arbitrary_bytes_fail_to_decode_or_round_trip() {
     fn property(bytes: Vec<u8>) -> bool {
         let Ok(message) = minicbor::decode::<Message>(&bytes) else { return true };
         minicbor::decode::<Message>(&minicbor::to_vec(&message).unwrap()).unwrap() == message
@@ -120,22 +122,22 @@
 }
 
 #[test]
-fn a_damaged_message_never_panics_and_a_whole_one_comes_back() {
-    fn property(message: WildMessage, at: usize, with: u8) -> bool {
+fn valid_messages_round_trip_and_corrupt_ones_cause_no_panic() {
+    fn property(message: HostileMessage, at: usize, with: u8) -> bool {
         let mut bytes = minicbor::to_vec(&message.0).unwrap();
-        let whole = minicbor::decode::<Message>(&bytes).unwrap() == message.0;
+        let round_trips = minicbor::decode::<Message>(&bytes).unwrap() == message.0;
         let at = at % bytes.len();
         bytes[at] ^= with;
         minicbor::decode::<Message>(&bytes).ok();
         bytes.truncate(at);
-        whole && minicbor::decode::<Message>(&bytes).is_err()
+        round_trips && minicbor::decode::<Message>(&bytes).is_err()
     }
     let mut check = QuickCheck::new().rng(random(60)).tests(CASES);
-    check.quickcheck(property as fn(WildMessage, usize, u8) -> bool);
+    check.quickcheck(property as fn(HostileMessage, usize, u8) -> bool);
 }
 
 #[test]
-fn a_claimed_length_takes_no_memory() {
+fn a_length_beyond_the_input_is_rejected_without_allocation() {
     let mut bytes = minicbor::to_vec(Payload::Data(vec![0; 4])).unwrap();
     let length_at = bytes.len() - 5;
     bytes.splice(length_at..=length_at, [0x5b, 0x7f, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff]);
@@ -143,11 +145,11 @@
 }
 
 #[test]
-fn an_answer_in_the_name_of_a_strange_disk_counts_for_nothing() {
+fn replies_from_an_unknown_disk_are_ignored() {
     let mut cluster = Cluster::of_voters(3);
     let leader = cluster.elect();
     let others: Vec<u64> = cluster.nodes.keys().copied().filter(|n| *n != leader).collect();
-    cluster.cut.extend(&others);
+    cluster.partitioned.extend(&others);
     cluster.propose(leader, b"one");
     let status = cluster.node(leader).replica.status();
     for node in others {
@@ -160,6 +162,6 @@
             body: Body::AppendReply { matched: status.last.index },
         });
     }
-    cluster.settle();
+    cluster.run_until_idle();
     assert!(cluster.node(leader).applied.is_empty());
 }
--- a/crates/consensus/tests/members.rs
+++ b/crates/consensus/tests/members.rs
@@ -1,4 +1,4 @@
-//! Lost disks, standbys, changes of the membership, and fencing after a recovery.
+//! Lost disks, standbys, membership changes, and fencing after a recovery.
 
 mod support;
 
@@ -7,12 +7,12 @@
     Message, Payload, Restored, StopReason,
 };
 use juniper_types::NodeId;
-use support::{Cluster, ELECTION, founded, id, zone};
+use support::{Cluster, ELECTION, id, initial_disk, zone};
 
-/// Ticks in which a lost voter is replaced.
+/// Ticks within which a lost voter is replaced.
 const REPLACEMENT: u64 = 400;
 
-/// Ticks after which a member counts as silent.
+/// Ticks without contact after which a member is considered inactive.
 const SILENCE: u64 = 10;
 
 fn follower(cluster: &mut Cluster) -> u64 {
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_wiped_disk_comes_back_as_a_learner_and_votes_once_it_has_caught_up() {
+fn a_replica_with_a_wiped_disk_rejoins_as_a_learner_and_is_promoted_once_caught_up() {
     let mut cluster = Cluster::of_voters(3);
     let leader = cluster.elect();
     cluster.propose(leader, b"one");
@@ -38,18 +38,18 @@
     cluster.tick(REPLACEMENT);
     let membership = cluster.node(leader).replica.status().membership;
     assert!(membership.is_voter(new), "{membership:?}");
-    assert_eq!(membership.members.len(), 3, "the lost disk is out: {membership:?}");
+    assert_eq!(membership.members.len(), 3, "the lost disk is still a member: {membership:?}");
     assert_eq!(cluster.node(wiped).applied, [b"one"]);
 }
 
 #[test]
-fn a_wiped_disk_gives_no_vote_and_wins_no_election() {
+fn a_replica_with_a_wiped_disk_neither_votes_nor_wins_an_election() {
     let mut cluster = Cluster::of_voters(3);
     let leader = cluster.elect();
     let wiped = follower(&mut cluster);
     cluster.start(id(wiped, 99), Restored::default());
     let third = (1..=3).find(|node| *node != leader && *node != wiped).unwrap();
-    cluster.cut.insert(leader);
+    cluster.partitioned.insert(leader);
     cluster.tick(REPLACEMENT);
     assert!(cluster.nodes.values().filter(|node| node.replica.is_leader()).count() == 0);
     let status = cluster.node(third).replica.status();
@@ -57,17 +57,20 @@
 }
 
 #[test]
-fn a_second_machine_lost_before_the_first_has_caught_up_loses_nothing() {
+fn no_data_is_lost_if_a_second_voter_fails_before_a_wiped_one_has_caught_up() {
     let mut cluster = Cluster::of_voters(3);
     let leader = cluster.elect();
     cluster.propose(leader, b"one");
     let first = follower(&mut cluster);
     let second = (1..=3).find(|node| *node != leader && *node != first).unwrap();
     cluster.start(id(first, 99), Restored::default());
-    cluster.cut.insert(second);
+    cluster.partitioned.insert(second);
     cluster.tick(REPLACEMENT);
-    assert!(!cluster.node(leader).replica.is_leader(), "one old disk of three is no quorum");
-    cluster.cut.clear();
+    assert!(
+        !cluster.node(leader).replica.is_leader(),
+        "the leader has no quorum, but did not step down"
+    );
+    cluster.partitioned.clear();
     cluster.tick(REPLACEMENT);
     let leader = cluster.leader();
     cluster.propose(leader, b"two");
@@ -75,23 +78,23 @@
 }
 
 #[test]
-fn a_standby_takes_the_place_of_a_lost_voter() {
+fn a_standby_replaces_a_lost_voter() {
     let mut cluster = Cluster::of_voters(3);
     cluster.elect();
     cluster.start(id(4, 4), Restored::default());
     cluster.tick(REPLACEMENT);
     let lost = follower(&mut cluster);
-    cluster.cut.insert(lost);
+    cluster.partitioned.insert(lost);
     cluster.tick(REPLACEMENT);
     let voters = voters(&mut cluster);
     assert_eq!(voters.len(), 3);
     assert!(!voters.contains(&id(lost, lost.into()).to_string()), "{voters:?}");
 }
 
-/// The disk of a lost voter never returns, and the standby is lost at any moment
-/// from the beginning of the replacement on. The other two voters hold everything.
+/// Loses the standby at various times after the start of a replacement. The other two
+/// voters have every committed entry and must stay available.
 #[test]
-fn a_standby_lost_while_it_takes_a_lost_voters_place_leaves_a_quorum() {
+fn the_quorum_survives_the_loss_of_the_standby_during_a_replacement() {
     for lost_after in 0..12 {
         let mut cluster = Cluster::of_voters(3);
         let leader = cluster.elect();
@@ -99,20 +102,20 @@
         cluster.tick(ELECTION);
         cluster.propose(leader, b"one");
         let lost = follower(&mut cluster);
-        cluster.cut.insert(lost);
+        cluster.partitioned.insert(lost);
         let becomes_voter = |cluster: &mut Cluster| {
             cluster.node(leader).replica.status().membership.is_voter(id(4, 4))
         };
-        // The answers of the standby to its own promotion are what gets lost.
+        // With `lost_after` 0, the standby is lost before it acknowledges its own promotion.
         while !becomes_voter(&mut cluster) {
             cluster.node(leader).replica.tick();
             if becomes_voter(&mut cluster) && lost_after == 0 {
-                cluster.cut.insert(4);
+                cluster.partitioned.insert(4);
             }
-            cluster.settle();
+            cluster.run_until_idle();
         }
         cluster.tick(lost_after);
-        cluster.cut.insert(4);
+        cluster.partitioned.insert(4);
         cluster.tick(REPLACEMENT);
         let leader = cluster.leader();
         cluster.propose(leader, b"two");
@@ -123,29 +126,29 @@
     }
 }
 
-/// A silent voter's disk may be lost already. If the standby that replaces yet
-/// another voter were lost as well, one voter of three would be left.
+/// If the standby that replaces a second voter were lost as well, only one of three voters
+/// would be left.
 #[test]
-fn no_voter_is_replaced_while_the_majority_after_it_needs_the_standby() {
+fn no_voter_is_replaced_while_the_new_majority_depends_on_the_standby() {
     let mut cluster = Cluster::of_voters(3);
     let leader = cluster.elect();
     cluster.start(id(4, 4), Restored::default());
     cluster.tick(ELECTION);
     let silent = follower(&mut cluster);
     let third = (1..=3).find(|node| *node != leader && *node != silent).unwrap();
-    cluster.cut.insert(silent);
+    cluster.partitioned.insert(silent);
     cluster.tick(2 * SILENCE);
     let voter = id(third, third.into());
     let replace = MembershipChange::Replace { voter, standby: id(4, 4) };
-    let refused = cluster.node(leader).replica.propose_members(&replace);
-    assert_eq!(refused, Err(MembersError::Unsafe));
-    cluster.cut.clear();
+    let rejected = cluster.node(leader).replica.propose_members(&replace);
+    assert_eq!(rejected, Err(MembersError::Unsafe));
+    cluster.partitioned.clear();
     cluster.tick(2);
     cluster.node(leader).replica.propose_members(&replace).unwrap();
 }
 
 #[test]
-fn while_a_voter_is_replaced_majorities_of_both_sets_are_needed() {
+fn a_joint_membership_requires_majorities_of_both_voter_sets() {
     let voters = (1..=3).map(|node| (id(node, node.into()), zone(node)));
     let membership = Membership::of_voters(ClusterEpoch::first(7), voters);
     let standby = MembershipChange::AddLearner { id: id(4, 4), zone: zone(4) };
@@ -155,8 +158,8 @@
     assert!(joint.is_joint() && joint.voters().count() == 4);
     assert!(has_majority(&[1, 2]) && has_majority(&[1, 3, 4]));
     assert!(!has_majority(&[1, 3]) && !has_majority(&[2, 4]) && !has_majority(&[3, 4]));
-    let refused = joint.changed(&MembershipChange::Remove(id(1, 1)));
-    assert_eq!(refused, Err(MembershipError::Replacing));
+    let rejected = joint.changed(&MembershipChange::Remove(id(1, 1)));
+    assert_eq!(rejected, Err(MembershipError::Replacing));
     let next = joint.changed(&MembershipChange::FinishReplacement).unwrap();
     let votes = |node: u64| next.is_voter(id(node, node.into()));
     assert!(!next.is_joint() && votes(1) && votes(2) && votes(4) && !votes(3));
@@ -165,20 +168,20 @@
 }
 
 #[test]
-fn changes_that_would_leave_no_live_quorum_are_refused() {
+fn changes_without_an_active_quorum_are_rejected() {
     let mut cluster = Cluster::of_voters(3);
     let leader = cluster.elect();
     let silent = follower(&mut cluster);
     let third = (1..=3).find(|node| *node != leader && *node != silent).unwrap();
     let replica = |cluster: &mut Cluster, node| cluster.node(node).replica.status().id;
     let own = replica(&mut cluster, leader);
-    let refused = cluster.node(leader).replica.propose_members(&MembershipChange::Remove(own));
-    assert_eq!(refused, Err(MembersError::IsLeader));
-    cluster.cut.insert(silent);
+    let rejected = cluster.node(leader).replica.propose_members(&MembershipChange::Remove(own));
+    assert_eq!(rejected, Err(MembersError::IsLeader));
+    cluster.partitioned.insert(silent);
     cluster.tick(15);
     let change = MembershipChange::Remove(replica(&mut cluster, third));
-    let refused = cluster.node(leader).replica.propose_members(&change);
-    assert_eq!(refused, Err(MembersError::Unsafe));
+    let rejected = cluster.node(leader).replica.propose_members(&change);
+    assert_eq!(rejected, Err(MembersError::Unsafe));
     let newcomer = MembershipChange::AddLearner { id: id(5, 5), zone: zone(5) };
     cluster.node(leader).replica.propose_members(&newcomer).unwrap();
     let again = cluster.node(leader).replica.propose_members(&newcomer);
@@ -186,25 +189,25 @@
 }
 
 #[test]
-fn a_voter_that_the_target_needs_is_not_taken_away() {
+fn a_voter_required_by_the_target_number_cannot_be_demoted() {
     let mut cluster = Cluster::of_voters(3);
     let leader = cluster.elect();
     let lost = follower(&mut cluster);
     let third = (1..=3).find(|node| *node != leader && *node != lost).unwrap();
-    // The leader has not noticed yet that this disk is lost for good.
-    cluster.cut.insert(lost);
+    // The leader has not detected the loss of this disk yet.
+    cluster.partitioned.insert(lost);
     let change = MembershipChange::Demote(id(third, third.into()));
-    let refused = cluster.node(leader).replica.propose_members(&change);
-    assert_eq!(refused, Err(MembersError::Unsafe));
+    let rejected = cluster.node(leader).replica.propose_members(&change);
+    assert_eq!(rejected, Err(MembersError::Unsafe));
     cluster.start(id(lost, 99), Restored::default());
-    cluster.cut.clear();
+    cluster.partitioned.clear();
     cluster.tick(REPLACEMENT);
     let status = cluster.node(leader).replica.status();
     assert!(status.is_leader() && status.membership.is_voter(id(lost, 99)));
 }
 
 #[test]
-fn a_repaired_disk_that_is_lost_again_does_not_take_the_quorum_along() {
+fn the_quorum_survives_the_repeated_loss_of_the_same_disk() {
     for noticed_after in 1..12 {
         let mut cluster = Cluster::of_voters(3);
         let leader = cluster.elect();
@@ -215,11 +218,14 @@
             cluster.tick(1);
         }
         cluster.tick(noticed_after);
-        cluster.cut.insert(wiped);
+        cluster.partitioned.insert(wiped);
         cluster.tick(REPLACEMENT);
-        assert!(cluster.node(leader).replica.is_leader(), "two good disks of three are a quorum");
+        assert!(
+            cluster.node(leader).replica.is_leader(),
+            "the leader stepped down despite two voters out of three"
+        );
         cluster.start(id(wiped, 100), Restored::default());
-        cluster.cut.clear();
+        cluster.partitioned.clear();
         cluster.tick(REPLACEMENT);
         let membership = cluster.node(leader).replica.status().membership;
         assert!(membership.is_voter(id(wiped, 100)), "{membership:?}");
@@ -227,44 +233,44 @@
 }
 
 #[test]
-fn a_replica_whose_demotion_only_it_has_received_is_elected_and_then_steps_down() {
+fn a_replica_with_an_uncommitted_demotion_is_elected_and_then_steps_down() {
     let voters = (1..=4).map(|node| (id(node, node.into()), zone(node)));
     let membership = Membership::of_voters(ClusterEpoch::first(7), voters);
     let demoted = membership.changed(&MembershipChange::Demote(id(1, 1))).unwrap();
-    let disk = founded(&membership);
+    let disk = initial_disk(&membership);
     let mut ahead = disk.clone();
     let payload = Payload::Members(demoted);
     ahead.entries.push(Entry { term: 1, index: 2, payload });
     let mut cluster = Cluster::of_voters(0);
-    // The leader, node 4, is gone for good. Nodes 2 and 3 need the vote of node 1,
-    // whose log is longer than theirs.
+    // Node 4, the former leader, is lost. Nodes 2 and 3 can't win without the vote of
+    // node 1, whose log is longer than theirs.
     cluster.start(id(1, 1), ahead);
     cluster.start(id(2, 2), disk.clone());
     cluster.start(id(3, 3), disk);
     cluster.tick(3 * ELECTION);
     let leader = cluster.leader();
     cluster.propose(leader, b"one");
-    assert_ne!(leader, 1, "a learner does not lead for long");
+    assert_ne!(leader, 1, "the demoted replica is still the leader");
     assert!(cluster.nodes.values().all(|node| node.applied == [b"one"]));
 }
 
 #[test]
-fn a_recovery_fences_off_what_it_left_out() {
+fn replicas_excluded_by_a_recovery_are_fenced() {
     let mut cluster = Cluster::of_voters(3);
     cluster.elect();
     let epoch = cluster.node(2).disk.hard_state.epoch.recovered(11);
     let recovered = Membership::of_voters(epoch, [(id(1, 1), zone(1))]);
-    cluster.start(id(1, 1), founded(&recovered));
+    cluster.start(id(1, 1), initial_disk(&recovered));
     cluster.tick(ELECTION);
-    for left_out in [2, 3] {
-        let status = cluster.node(left_out).replica.status();
+    for excluded in [2, 3] {
+        let status = cluster.node(excluded).replica.status();
         assert_eq!(status.stopped, Some(StopReason::Fenced));
     }
     assert_eq!(cluster.leader(), 1);
 }
 
 #[test]
-fn the_word_of_another_cluster_is_ignored() {
+fn messages_of_another_cluster_are_ignored() {
     let mut cluster = Cluster::of_voters(3);
     let leader = cluster.elect();
     let status = cluster.node(leader).replica.status();
--- a/crates/consensus/tests/open_membership.rs
+++ b/crates/consensus/tests/open_membership.rs
@@ -1,5 +1,5 @@
-//! Clusters that any node may join: newcomers, standbys for voters that stop, and
-//! elections right after a start.
+//! Clusters that any node may join: joins, replacement of stopping voters, and elections
+//! after a start.
 
 mod support;
 
@@ -7,10 +7,10 @@
 use juniper_types::NodeId;
 use support::{Cluster, ELECTION, id};
 
-/// Ticks in which a voter that is gone is replaced.
+/// Ticks within which a lost voter is replaced.
 const REPLACEMENT: u64 = 400;
 
-/// A node that is no founder.
+/// Node that is not an initial member.
 const NEWCOMER: u64 = 9;
 
 fn follower(cluster: &mut Cluster) -> u64 {
@@ -24,12 +24,12 @@
     membership.voters().map(|member| member.id.node.0).collect()
 }
 
-/// Three voters that admit any node.
+/// Cluster of three voters that admits any node.
 fn open_cluster() -> Cluster {
-    Cluster::of_voters_that_know(3, Some((1..=3).map(NodeId).collect()))
+    Cluster::with_seeds(3, Some((1..=3).map(NodeId).collect()))
 }
 
-/// Three voters and a standby that has caught up.
+/// Cluster of three voters and a standby that has caught up.
 fn with_standby() -> Cluster {
     let mut cluster = open_cluster();
     let leader = cluster.elect();
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_newcomer_that_knows_one_follower_joins_through_it() {
+fn a_follower_forwards_a_join_request_to_the_leader() {
     let mut cluster = open_cluster();
     let leader = cluster.elect();
     let follower = follower(&mut cluster);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_newcomer_is_not_let_in_where_only_listed_nodes_may_join() {
+fn an_unlisted_node_cannot_join_a_closed_cluster() {
     let mut cluster = Cluster::of_voters(3);
     let leader = cluster.elect();
     cluster.start(id(NEWCOMER, 99), Restored::default());
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_standby_takes_the_place_of_a_voter_that_is_about_to_stop() {
+fn a_standby_replaces_a_retiring_voter() {
     let mut cluster = with_standby();
     let leaving = follower(&mut cluster);
     cluster.node(leaving).replica.retire();
@@ -71,10 +71,10 @@
     let voters = voters(&mut cluster);
     assert_eq!(voters.len(), 3, "{voters:?}");
     assert!(voters.contains(&NEWCOMER) && !voters.contains(&leaving), "{voters:?}");
-    // The loss of another voter right after that is borne.
-    cluster.cut.insert(leaving);
+    // The cluster tolerates the loss of another voter immediately after that.
+    cluster.partitioned.insert(leaving);
     let lost = voters.iter().copied().find(|node| *node != NEWCOMER).unwrap();
-    cluster.cut.insert(lost);
+    cluster.partitioned.insert(lost);
     cluster.tick(ELECTION);
     let leader = cluster.leader();
     cluster.propose(leader, b"two");
@@ -82,28 +82,28 @@
 }
 
 #[test]
-fn without_a_standby_a_voter_that_is_about_to_stop_keeps_its_vote() {
+fn a_retiring_voter_keeps_its_vote_without_a_standby() {
     let mut cluster = open_cluster();
     cluster.elect();
     let leaving = follower(&mut cluster);
-    assert!(cluster.node(leaving).replica.retire(), "it still votes");
+    assert!(cluster.node(leaving).replica.retire(), "the retiring replica is no longer a voter");
     cluster.tick(ELECTION);
     assert_eq!(voters(&mut cluster).len(), 3);
 }
 
 #[test]
-fn a_standby_replaces_a_voter_that_is_gone_for_good() {
+fn a_standby_replaces_a_lost_voter() {
     let mut cluster = with_standby();
     let gone = follower(&mut cluster);
-    cluster.cut.insert(gone);
+    cluster.partitioned.insert(gone);
     cluster.tick(REPLACEMENT);
     let voters = voters(&mut cluster);
     assert!(voters.contains(&NEWCOMER) && !voters.contains(&gone), "{voters:?}");
 }
 
-/// When all start at once nobody leads, and every tick is a tick without service.
+/// Limits the time without a leader after a restart of the whole cluster.
 #[test]
-fn replicas_that_start_together_elect_at_once() {
+fn replicas_that_start_together_elect_a_leader_quickly() {
     for attempt in 0..20 {
         let mut cluster = Cluster::of_voters(3);
         cluster.seeds = None;
@@ -117,9 +117,8 @@
     }
 }
 
-/// A replica that starts early doesn't depose a leader that others hear.
 #[test]
-fn a_start_does_not_disturb_a_leader() {
+fn a_restarted_replica_does_not_depose_an_active_leader() {
     let mut cluster = Cluster::of_voters(3);
     let leader = cluster.elect();
     let term = cluster.node(leader).replica.status().term;
--- a/crates/consensus/tests/replication.rs
+++ b/crates/consensus/tests/replication.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn one_leader_is_elected_and_its_command_reaches_every_replica() {
+fn one_leader_is_elected_and_replicates_commands() {
     for voters in [1, 3, 5] {
         let mut cluster = Cluster::of_voters(voters);
         let leader = cluster.elect();
@@ -23,72 +23,72 @@
 }
 
 #[test]
-fn nothing_commits_without_a_quorum_and_a_cut_off_leader_steps_down() {
+fn a_partitioned_leader_commits_nothing_and_steps_down() {
     let mut cluster = Cluster::of_voters(3);
     let old = cluster.elect();
-    cluster.cut.insert(old);
+    cluster.partitioned.insert(old);
     cluster.propose(old, b"lost");
     let new = cluster.elect();
     assert_ne!(new, old);
     assert!(!cluster.node(old).replica.is_leader());
-    let refused = cluster.node(old).replica.propose(b"x".to_vec());
-    assert!(matches!(refused, Err(ProposeError::NotLeader { leader: None })));
+    let rejected = cluster.node(old).replica.propose(b"x".to_vec());
+    assert!(matches!(rejected, Err(ProposeError::NotLeader { leader: None })));
     cluster.propose(new, b"kept");
-    cluster.cut.clear();
+    cluster.partitioned.clear();
     cluster.tick(ELECTION);
     assert!(cluster.nodes.values().all(|node| node.applied == [b"kept"]));
 }
 
 #[test]
-fn a_replica_that_was_cut_off_does_not_depose_the_leader_when_it_returns() {
+fn a_replica_returning_from_a_partition_does_not_depose_the_leader() {
     let mut cluster = Cluster::of_voters(3);
     let leader = cluster.elect();
-    let away = cluster.nodes.keys().copied().find(|node| *node != leader).unwrap();
+    let partitioned = cluster.nodes.keys().copied().find(|node| *node != leader).unwrap();
     let term = cluster.node(leader).replica.status().term;
-    cluster.cut.insert(away);
+    cluster.partitioned.insert(partitioned);
     cluster.tick(5 * ELECTION);
-    cluster.cut.clear();
+    cluster.partitioned.clear();
     cluster.tick(ELECTION);
     assert_eq!(cluster.leader(), leader);
-    assert_eq!(cluster.node(away).replica.status().term, term);
+    assert_eq!(cluster.node(partitioned).replica.status().term, term);
 }
 
 #[test]
-fn no_vote_and_no_acknowledgement_leaves_before_the_disk_is_done() {
+fn votes_and_acknowledgements_wait_for_the_disk() {
     let mut cluster = Cluster::of_voters(3);
     let leader = cluster.elect();
     let followers: Vec<u64> = cluster.nodes.keys().copied().filter(|n| *n != leader).collect();
-    cluster.stuck.extend(&followers);
-    cluster.heard.clear();
+    cluster.stalled_disks.extend(&followers);
+    cluster.delivered.clear();
     cluster.propose(leader, b"one");
     let acknowledged = |body: &Body| matches!(body, Body::AppendReply { .. });
-    assert!(!cluster.heard.iter().any(|message| acknowledged(&message.body)));
+    assert!(!cluster.delivered.iter().any(|message| acknowledged(&message.body)));
     assert!(cluster.node(leader).applied.is_empty());
-    cluster.cut.insert(leader);
+    cluster.partitioned.insert(leader);
     cluster.tick(ELECTION);
     let voted = |body: &Body| matches!(body, Body::VoteRequest { .. } | Body::VoteReply { .. });
-    assert!(!cluster.heard.iter().any(|message| voted(&message.body)));
-    cluster.stuck.clear();
+    assert!(!cluster.delivered.iter().any(|message| voted(&message.body)));
+    cluster.stalled_disks.clear();
     let new = cluster.elect();
     assert_eq!(cluster.node(new).applied, [b"one"]);
 }
 
 #[test]
-fn an_own_write_counts_for_the_leader_only_when_it_is_on_disk() {
+fn the_leader_counts_its_own_entry_only_once_durable() {
     let mut cluster = Cluster::of_voters(3);
     let leader = cluster.elect();
     let followers: Vec<u64> = cluster.nodes.keys().copied().filter(|n| *n != leader).collect();
-    cluster.cut.insert(followers[0]);
-    cluster.stuck.insert(leader);
+    cluster.partitioned.insert(followers[0]);
+    cluster.stalled_disks.insert(leader);
     cluster.propose(leader, b"one");
     assert!(cluster.node(leader).applied.is_empty());
-    cluster.stuck.clear();
-    cluster.settle();
+    cluster.stalled_disks.clear();
+    cluster.run_until_idle();
     assert_eq!(cluster.node(leader).applied, [b"one"]);
 }
 
 #[test]
-fn restarted_replicas_keep_what_was_committed_and_vote_once_a_term() {
+fn restarted_replicas_retain_committed_entries_and_their_term() {
     let mut cluster = Cluster::of_voters(3);
     let leader = cluster.elect();
     cluster.propose(leader, b"one");
@@ -102,15 +102,15 @@
 }
 
 #[test]
-fn reads_are_confirmed_on_every_replica_and_dropped_without_a_quorum() {
+fn reads_are_confirmed_on_all_replicas_and_dropped_without_a_quorum() {
     let mut cluster = Cluster::of_voters(3);
     let leader = cluster.elect();
     for node in 1..=3 {
         cluster.node(node).replica.read(node).unwrap();
-        cluster.settle();
+        cluster.run_until_idle();
         assert_eq!(cluster.node(node).reads, [node]);
     }
-    cluster.cut.insert(leader);
+    cluster.partitioned.insert(leader);
     cluster.node(leader).replica.read(9).unwrap();
     cluster.tick(ELECTION);
     assert_eq!(cluster.node(leader).dropped_reads, [9]);
@@ -118,27 +118,27 @@
 }
 
 #[test]
-fn a_replica_far_behind_gets_the_snapshot_in_chunks() {
+fn a_lagging_replica_receives_the_snapshot_in_chunks() {
     let mut cluster = Cluster::of_voters(3);
     let leader = cluster.elect();
-    let away = cluster.nodes.keys().copied().find(|node| *node != leader).unwrap();
-    cluster.cut.insert(away);
+    let partitioned = cluster.nodes.keys().copied().find(|node| *node != leader).unwrap();
+    cluster.partitioned.insert(partitioned);
     (0..20).for_each(|number| cluster.propose(leader, &[number]));
     let applied = cluster.node(leader).replica.status().applied;
     let state = vec![5; 100];
     cluster.node(leader).replica.compact(applied, state.clone()).unwrap();
     cluster.propose(leader, b"after");
-    cluster.cut.clear();
+    cluster.partitioned.clear();
     cluster.tick(ELECTION);
-    assert_eq!(cluster.node(away).applied, [state, b"after".to_vec()]);
-    restart(&mut cluster, away);
+    assert_eq!(cluster.node(partitioned).applied, [state, b"after".to_vec()]);
+    restart(&mut cluster, partitioned);
     cluster.tick(ELECTION);
-    assert_eq!(cluster.node(away).replica.status().snapshot.index, applied);
-    assert_eq!(cluster.node(away).applied.len(), 2);
+    assert_eq!(cluster.node(partitioned).replica.status().snapshot.index, applied);
+    assert_eq!(cluster.node(partitioned).applied.len(), 2);
 }
 
 #[test]
-fn a_follower_that_lost_what_it_acknowledged_does_not_keep_the_leader_busy() {
+fn a_follower_that_lost_acknowledged_entries_causes_no_endless_retries() {
     let mut cluster = Cluster::of_voters(3);
     let leader = cluster.elect();
     let broken = cluster.nodes.keys().copied().find(|node| *node != leader).unwrap();
@@ -147,19 +147,19 @@
     cluster.node(broken).disk = early;
     restart(&mut cluster, broken);
     cluster.propose(leader, b"after");
-    cluster.heard.clear();
+    cluster.delivered.clear();
     cluster.tick(ELECTION);
-    assert!(cluster.heard.len() < 10 * ELECTION as usize, "{}", cluster.heard.len());
+    assert!(cluster.delivered.len() < 10 * ELECTION as usize, "{}", cluster.delivered.len());
 }
 
 #[test]
-fn leadership_is_handed_over_without_a_wait() {
+fn leadership_is_transferred_without_an_election_timeout() {
     let mut cluster = Cluster::of_voters(3);
     let leader = cluster.elect();
     let target = cluster.nodes.keys().copied().find(|node| *node != leader).unwrap();
     let node = juniper_types::NodeId(target);
     cluster.node(leader).replica.transfer_leadership(node).unwrap();
-    cluster.settle();
+    cluster.run_until_idle();
     assert_eq!(cluster.leader(), target);
     assert_eq!(cluster.node(leader).replica.status().role, Role::Follower);
 }
--- a/crates/consensus/tests/support/mod.rs
+++ b/crates/consensus/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! A cluster in memory: instant messages and disks, cuts and restarts on demand.
+//! In-memory cluster with instant message delivery and disk writes, partitions and restarts.
 
-// Each test program uses some of it.
+// Each test program uses only a part of this module.
 #![allow(dead_code)]
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -11,31 +11,32 @@
 };
 use juniper_types::{NodeId, ZoneName};
 
-/// Ticks in which any live quorum elects a leader.
+/// Ticks within which a connected quorum elects a leader.
 pub const ELECTION: u64 = 60;
 
-/// Messages beyond which two replicas must be answering each other for ever.
+/// Limit on delivered messages, to detect endless exchanges between replicas.
 const MAX_MESSAGES: usize = 100_000;
 
-/// One node: its replica, its disk and what its state machine got.
+/// Node with a replica, its disk, and the applied commands and read results.
 pub struct Node {
     pub replica: Replica,
     pub disk: Restored,
     pub applied: Vec<Vec<u8>>,
     pub reads: Vec<u64>,
     pub dropped_reads: Vec<u64>,
-    pub unfinished: Option<Write>,
+    pub pending_write: Option<Write>,
 }
 
-/// Nodes and the messages between them.
+/// Nodes and the messages in flight between them.
 pub struct Cluster {
     pub nodes: BTreeMap<u64, Node>,
-    pub cut: BTreeSet<u64>,
-    /// Nodes whose disks do not finish what they are handed.
-    pub stuck: BTreeSet<u64>,
-    /// Everything delivered, for a look at what was said.
-    pub heard: Vec<Message>,
-    /// Where any node may join: the nodes that a newcomer knows.
+    /// Nodes whose messages are dropped in both directions.
+    pub partitioned: BTreeSet<u64>,
+    /// Nodes whose disk writes don't finish.
+    pub stalled_disks: BTreeSet<u64>,
+    /// All delivered messages.
+    pub delivered: Vec<Message>,
+    /// Peers known to started nodes. If set, any node may join.
     pub seeds: Option<Vec<NodeId>>,
     messages: VecDeque<Message>,
     seed: u64,
@@ -56,8 +57,8 @@
     config
 }
 
-/// What the disk of a voter of a new cluster holds.
-pub fn founded(membership: &Membership) -> Restored {
+/// Initial disk content of a voter in a new cluster.
+pub fn initial_disk(membership: &Membership) -> Restored {
     let hard_state = HardState { epoch: membership.epoch, term: 1, vote: None, commit: 1 };
     let payload = Payload::Members(membership.clone());
     Restored { hard_state, snapshot: None, entries: vec![Entry { term: 1, index: 1, payload }] }
@@ -65,23 +66,24 @@
 
 impl Cluster {
     pub fn of_voters(count: u64) -> Self {
-        Self::of_voters_that_know(count, None)
+        Self::with_seeds(count, None)
     }
 
-    /// Voters that know `seeds` and, if there are any, admit any node.
-    pub fn of_voters_that_know(count: u64, seeds: Option<Vec<NodeId>>) -> Self {
+    /// Cluster of `count` voters that admits any node if `seeds` are given.
+    pub fn with_seeds(count: u64, seeds: Option<Vec<NodeId>>) -> Self {
         let voters = (1..=count).map(|node| (id(node, u128::from(node)), zone(node)));
         let membership = Membership::of_voters(ClusterEpoch::first(7), voters);
         let mut cluster = Cluster {
             nodes: BTreeMap::new(),
-            cut: BTreeSet::new(),
-            stuck: BTreeSet::new(),
-            heard: Vec::new(),
+            partitioned: BTreeSet::new(),
+            stalled_disks: BTreeSet::new(),
+            delivered: Vec::new(),
             seeds,
             messages: VecDeque::new(),
             seed: 0,
         };
-        (1..=count).for_each(|node| cluster.start(id(node, node.into()), founded(&membership)));
+        (1..=count)
+            .for_each(|node| cluster.start(id(node, node.into()), initial_disk(&membership)));
         cluster
     }
 
@@ -94,7 +96,7 @@
         }
         let replica = Replica::new(config, disk.clone(), self.seed);
         let (applied, reads, dropped_reads) = Default::default();
-        let node = Node { replica, disk, applied, reads, dropped_reads, unfinished: None };
+        let node = Node { replica, disk, applied, reads, dropped_reads, pending_write: None };
         self.nodes.insert(id.node.0, node);
     }
 
@@ -105,56 +107,60 @@
     pub fn tick(&mut self, ticks: u64) {
         for _ in 0..ticks {
             self.nodes.values_mut().for_each(|node| node.replica.tick());
-            self.settle();
+            self.run_until_idle();
         }
     }
 
-    /// Does what every replica asks for until nothing is left to do.
-    pub fn settle(&mut self) {
+    /// Processes pending work and messages of all nodes until none is left.
+    pub fn run_until_idle(&mut self) {
         loop {
-            self.collect();
+            self.process_ready();
             let Some(message) = self.messages.pop_front() else { return };
             let (from, to) = (message.from.node.0, message.to.0);
-            if self.cut.contains(&from) || self.cut.contains(&to) {
+            if self.partitioned.contains(&from) || self.partitioned.contains(&to) {
                 continue;
             }
-            self.heard.push(message.clone());
-            assert!(self.heard.len() < MAX_MESSAGES, "messages multiply");
+            self.delivered.push(message.clone());
+            assert!(self.delivered.len() < MAX_MESSAGES, "too many messages were delivered");
             if let Some(node) = self.nodes.get_mut(&to) {
                 node.replica.step(message);
             }
         }
     }
 
-    fn collect(&mut self) {
+    fn process_ready(&mut self) {
         for (number, node) in &mut self.nodes {
-            let stuck = self.stuck.contains(number);
-            while node.advance(&mut self.messages, stuck) {}
+            let disk_stalled = self.stalled_disks.contains(number);
+            while node.process_ready(&mut self.messages, disk_stalled) {}
         }
     }
 
     pub fn leader(&mut self) -> u64 {
         let leads = |(number, node): (&u64, &Node)| node.replica.is_leader().then_some(*number);
         let leaders: Vec<u64> = self.nodes.iter().filter_map(leads).collect();
-        *leaders.iter().find(|leader| !self.cut.contains(leader)).expect("a leader")
+        *leaders
+            .iter()
+            .find(|leader| !self.partitioned.contains(leader))
+            .expect("a connected leader")
     }
 
+    /// Runs the cluster for the time of an election and returns the leader.
     pub fn elect(&mut self) -> u64 {
         self.tick(ELECTION);
         self.leader()
     }
 
     pub fn propose(&mut self, node: u64, data: &[u8]) {
-        self.node(node).replica.propose(data.to_vec()).expect("a leader that takes proposals");
-        self.settle();
+        self.node(node).replica.propose(data.to_vec()).expect("the proposal was rejected");
+        self.run_until_idle();
     }
 }
 
 impl Node {
-    /// Does one round of work; returns whether there was any.
-    fn advance(&mut self, messages: &mut VecDeque<Message>, stuck: bool) -> bool {
+    /// Processes the replica's pending work once. Returns whether there was any.
+    fn process_ready(&mut self, messages: &mut VecDeque<Message>, disk_stalled: bool) -> bool {
         let ready = self.replica.ready();
-        let busy = !ready.is_empty();
+        let had_work = !ready.is_empty();
         messages.extend(ready.messages);
         if let Some(snapshot) = ready.installed {
             self.applied = vec![snapshot.data.to_vec()];
@@ -165,18 +171,18 @@
         }));
         self.reads.extend(ready.reads.iter().map(|read| read.context));
         self.dropped_reads.extend(ready.dropped_reads);
-        self.unfinished = ready.write.or(self.unfinished.take());
-        if !stuck && let Some(write) = self.unfinished.take() {
-            keep(&mut self.disk, &write);
+        self.pending_write = ready.write.or(self.pending_write.take());
+        if !disk_stalled && let Some(write) = self.pending_write.take() {
+            apply_write(&mut self.disk, &write);
             self.replica.persisted(write.number);
             return true;
         }
-        busy
+        had_work
     }
 }
 
-/// Puts a write on a disk.
-fn keep(disk: &mut Restored, write: &Write) {
+/// Applies a write to the disk content.
+fn apply_write(disk: &mut Restored, write: &Write) {
     disk.hard_state = write.hard_state.unwrap_or(disk.hard_state);
     if let Some(snapshot) = &write.snapshot {
         let end = snapshot.meta.position;
