--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -59,7 +59,8 @@
     }
 }
 
-/// Voter sets before (`Outgoing`) and after (`Incoming`) a replacement; equal if none is in progress.
+/// Voter set before (`Outgoing`) or after (`Incoming`) a replacement. Both are equal if no
+/// replacement is in progress.
 #[derive(Clone, Copy, Debug)]
 enum VoterSet {
     Outgoing,
--- a/crates/consensus/src/replica/read.rs
+++ b/crates/consensus/src/replica/read.rs
@@ -128,7 +128,8 @@
         }
     }
 
-    /// Sends the next round unless one is in flight. Reads that arrive meanwhile share the next one.
+    /// Sends the next round unless one is in flight. Reads that arrive meanwhile share the next
+    /// round.
     fn start_round_if_idle(&mut self) {
         let wanted =
             self.reads.pending.back().is_some_and(|read| read.round > self.reads.last_round_sent);
--- a/crates/control-state/src/answer.rs
+++ b/crates/control-state/src/answer.rs
@@ -1,4 +1,4 @@
-//! What a command came to.
+//! Answers to commands.
 
 use juniper_settings::{NodeChange, TreeFault};
 use juniper_types::{ClaimAnswer, Revision};
@@ -8,115 +8,115 @@
 use crate::fleet::{CatalogAnswer, OrderLease};
 use crate::orders::OrderAnswer;
 
-/// The answer to one command. Every replica computes the same one.
+/// Answer to a command, the same on every replica.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum Answer {
-    /// What a write of settings came to.
+    /// Answer to a settings write.
     #[n(0)]
     Write(#[n(0)] WriteAnswer),
-    /// What a claim came to.
+    /// Answer to a claim.
     #[n(1)]
     Claim(#[n(0)] ClaimAnswer),
-    /// The claim table is full: nothing was recorded, and the request must not run.
+    /// The claim table is full. The claim was not recorded, and the request must not be executed.
     #[n(2)]
     ClaimsFull,
-    /// What a settlement came to.
+    /// Answer to a settlement.
     #[n(3)]
     Settle(#[n(0)] SettleAnswer),
-    /// The horizon now in force, in seconds since the Unix epoch.
+    /// Horizon in force, in seconds since the Unix epoch.
     #[n(4)]
     Horizon(#[n(0)] u64),
-    /// A fencing token, higher than every earlier one.
+    /// Fencing token, higher than every earlier one.
     #[n(5)]
     Fence(#[n(0)] u64),
-    /// What the recording of an order, or of its end, came to.
+    /// Answer to the recording of an order or its end.
     #[n(6)]
     Order(#[n(0)] OrderAnswer),
-    /// What a configuration of generic services came to.
+    /// Answer to a configuration of generic services.
     #[n(7)]
     Catalog(#[n(0)] CatalogAnswer),
-    /// The version of weights that the model should have now.
+    /// Target version of the model's weights.
     #[n(8)]
     Weights(#[n(0)] u64),
     /// The departure is recorded.
     #[n(9)]
     Departed,
-    /// Who gives orders from now on.
+    /// Order lease now in force.
     #[n(10)]
     OrderLease(#[n(0)] OrderLease),
-    /// The change of the quarantine is recorded, or was before.
+    /// The quarantine change is recorded, now or by an earlier command.
     #[n(11)]
     Recorded,
 }
 
-/// What a write of settings came to. Only `Accepted` changed anything.
+/// Answer to a settings write. Only `Accepted` writes change the tree.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Encode, Decode)]
 #[serde(rename_all = "kebab-case", tag = "result")]
 pub enum WriteAnswer {
-    /// The write made this revision.
+    /// The write was accepted.
     #[n(0)]
     Accepted {
-        /// The new revision.
+        /// Revision created by the write.
         #[n(0)]
         revision: Revision,
     },
-    /// The tree has moved on from the revision that the write builds on.
+    /// The base of the write is not the current revision.
     #[n(1)]
     Conflict {
-        /// The revision in force.
+        /// Revision in force.
         #[n(0)]
         current: Revision,
-        /// What changed since the base; `None` if that is no longer known or too large.
+        /// Changes since the base; `None` if they are no longer retained or too large.
         #[n(1)]
         diff: Option<Vec<NodeChange>>,
     },
-    /// The resulting tree would have these faults.
+    /// The resulting tree would be invalid.
     #[n(2)]
     Invalid {
-        /// All of them.
+        /// All faults of the resulting tree.
         #[n(0)]
         faults: Vec<TreeFault>,
     },
-    /// The change id was used for another write, which was accepted.
+    /// The change id was used for a different write, which was accepted.
     #[n(3)]
     ChangeIdReused {
-        /// The revision which that write made.
+        /// Revision created by that write.
         #[n(0)]
         revision: Revision,
     },
-    /// Too many writes; come back later.
+    /// The limit on the rate of writes is exceeded.
     #[n(4)]
     RateLimited {
-        /// When to come back, in milliseconds.
+        /// Delay before the next attempt, in milliseconds.
         #[n(0)]
         retry_after_ms: u64,
     },
-    /// The revision to roll back to isn't kept.
+    /// The revision to restore is not retained.
     #[n(5)]
     RevisionUnavailable {
-        /// Oldest revision that can be rolled back to.
+        /// Oldest revision that can be restored.
         #[n(0)]
         oldest: Revision,
-        /// The revision in force.
+        /// Revision in force.
         #[n(1)]
         current: Revision,
     },
 }
 
-/// What a settlement came to.
+/// Answer to a settlement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum SettleAnswer {
-    /// The outcome is kept, now or since an earlier sending.
+    /// The outcome is recorded, now or by an earlier settlement.
     #[n(0)]
     Kept,
     /// The attempt doesn't hold the claim.
     #[n(1)]
     NotHeld,
-    /// The key lies before the horizon: the claim is forgotten, and with it whether
-    /// an earlier sending of the same settlement was kept.
+    /// The key is older than the horizon. The claim has been removed, so that it is unknown
+    /// whether an earlier settlement was recorded.
     #[n(2)]
     Expired {
-        /// The horizon, in seconds since the Unix epoch.
+        /// Horizon in force, in seconds since the Unix epoch.
         #[n(0)]
         horizon: u64,
     },
--- a/crates/control-state/src/change_ids.rs
+++ b/crates/control-state/src/change_ids.rs
@@ -1,20 +1,18 @@
-//! Change ids of accepted writes, so that a resent write gets its first answer.
+//! Change ids of accepted writes, so that a retried write gets the original answer.
 //!
-//! Only accepted writes are recorded. A refused write that is resent is judged
-//! again: its base is by then the same revision, which gives the same verdict,
-//! or an older one, which is a conflict. Forgetting an id is safe for the same
-//! reason: the revision has grown past the base of every recorded write, so a
-//! forgotten write that is resent gets a conflict and is never applied twice.
+//! Only accepted writes are recorded. A rejected write that is retried is checked again.
+//! Evicting an id is safe: the current revision is higher than the base of every
+//! recorded write, so a retry of an evicted write gets a conflict and is never applied twice.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use juniper_types::{BlockHash, ChangeId, Revision};
 use minicbor::{Decode, Encode};
 
-/// Most ids kept: twelve days at 820 changes a day.
+/// Maximum number of recorded change ids.
 pub const MAX_CHANGE_IDS: usize = 10_000;
 
-/// An accepted write.
+/// Record of an accepted write.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub(crate) struct ChangeRecord {
     #[n(0)]
@@ -25,16 +23,16 @@
     revision: Revision,
 }
 
-/// What is known of a change id.
+/// Recorded write with the change id of a new write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Known {
-    /// The same write made this revision.
+pub(crate) enum RecordedWrite {
+    /// The same write created this revision.
     Same(Revision),
-    /// Another write under the same id made this revision.
-    Other(Revision),
+    /// A different write with the same id created this revision.
+    Different(Revision),
 }
 
-/// The recorded ids, the latest last.
+/// Recorded change ids in order of acceptance.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct ChangeIds {
     records: VecDeque<ChangeRecord>,
@@ -53,10 +51,14 @@
         &self.records
     }
 
-    pub fn find(&self, id: &ChangeId, fingerprint: &BlockHash) -> Option<Known> {
+    pub fn find(&self, id: &ChangeId, fingerprint: &BlockHash) -> Option<RecordedWrite> {
         let (recorded, revision) = self.by_id.get(id)?;
         let same = recorded == fingerprint;
-        Some(if same { Known::Same(*revision) } else { Known::Other(*revision) })
+        Some(if same {
+            RecordedWrite::Same(*revision)
+        } else {
+            RecordedWrite::Different(*revision)
+        })
     }
 
     pub fn record(&mut self, id: ChangeId, fingerprint: BlockHash, revision: Revision) {
--- a/crates/control-state/src/claims.rs
+++ b/crates/control-state/src/claims.rs
@@ -1,9 +1,8 @@
-//! Claims: which requests that run at most once were granted, and what came of them.
+//! Claims of at-most-once requests, with their outcomes.
 //!
-//! The safety argument: a claim is granted only when its key is absent from the
-//! table and not older than the horizon. A key leaves the table only when the
-//! horizon passes it, and the horizon never falls. So no key is granted to two
-//! attempts, ever.
+//! Safety: a claim is granted only if its key is absent from the table and not older than
+//! the horizon. A key is removed only when the horizon passes it, and the horizon never
+//! decreases. Therefore no key is granted to two attempts.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,22 +14,23 @@
 
 use crate::answer::{Answer, SettleAnswer};
 
-/// Most claims kept at once. With a day's retention this is a mean of 23 a second.
+/// Maximum number of retained claims.
 pub const MAX_CLAIMS: usize = 2_000_000;
 
-/// Largest kept body of an outcome, in bytes.
+/// Maximum size of a retained outcome body, in bytes.
 pub const MAX_OUTCOME_BODY_BYTES: usize = 16 << 10;
 
-/// Most bytes of kept bodies; outcomes beyond are kept without a body.
-pub const MAX_OUTCOME_BYTES: usize = 128 << 20;
+/// Maximum total size of the retained bodies, in bytes. Further outcomes are retained without
+/// a body.
+pub const MAX_TOTAL_BODY_BYTES: usize = 128 << 20;
 
-/// Longest kept content type, in bytes.
+/// Maximum length of a retained content type, in bytes.
 pub const MAX_CONTENT_TYPE_BYTES: usize = 128;
 
-/// How far in the future a key may lie, in seconds: what callers' clocks are off by.
+/// Maximum time that a key may lie in the future, in seconds, to tolerate wrong callers' clocks.
 pub const MAX_KEY_LEAD_SECONDS: u64 = 300;
 
-/// One claim.
+/// Claim with its outcome, if settled.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 struct Claim {
     #[n(0)]
@@ -41,7 +41,7 @@
     outcome: Option<ClaimOutcome>,
 }
 
-/// What a router asks for.
+/// Request of a router for a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct ClaimRequest {
     pub tenant: TenantName,
@@ -51,15 +51,15 @@
     pub now: u64,
 }
 
-/// Seconds of keys in one bucket. At 23 claims a second a bucket holds some 1,400.
+/// Time range of the keys in one bucket, in seconds.
 const BUCKET_SECONDS: u64 = 60;
 
-/// Claims whose keys were made within the same minute.
+/// Claims with keys created within the same time range.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct Bucket(Arc<BTreeMap<(ClaimKey, TenantName), Claim>>);
 
 impl Bucket {
-    /// The claims, to change them; copied first if a clone of the state shares them.
+    /// Returns the claims for modification, copied first if a clone of the state shares them.
     fn claims_mut(&mut self) -> &mut BTreeMap<(ClaimKey, TenantName), Claim> {
         Arc::make_mut(&mut self.0)
     }
@@ -81,9 +81,8 @@
     }
 }
 
-/// The claim table. It is ordered by the time of the key, so that expiry is a
-/// prefix, and shared by buckets, so that a copy to write a snapshot from costs
-/// one counter a bucket; a bucket is copied when it changes meanwhile.
+/// Claim table, ordered by the creation time of the keys, so that expired claims form a
+/// prefix. Clones share the buckets, which are copied on write.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct Claims {
     #[n(0)]
@@ -97,17 +96,17 @@
 }
 
 impl Claims {
-    /// Claims kept.
+    /// Number of retained claims.
     pub fn len(&self) -> usize {
         usize::try_from(self.count).unwrap_or(usize::MAX)
     }
 
-    /// Whether no claim is kept.
+    /// Whether no claims are retained.
     pub fn is_empty(&self) -> bool {
         self.count == 0
     }
 
-    /// Keys made before this second since the Unix epoch are refused for ever.
+    /// Horizon, in seconds since the Unix epoch. Keys created earlier are rejected permanently.
     pub fn horizon(&self) -> u64 {
         self.horizon
     }
@@ -120,17 +119,17 @@
             return Answer::Claim(ClaimAnswer::TooEarly);
         }
         let ClaimRequest { tenant, key, fingerprint, attempt, .. } = request;
-        let number = key.made_at() / BUCKET_SECONDS;
-        let place = (key, tenant);
-        let known = self.buckets.get(&number).and_then(|bucket| bucket.0.get(&place));
+        let bucket_number = key.made_at() / BUCKET_SECONDS;
+        let claim_id = (key, tenant);
+        let known = self.buckets.get(&bucket_number).and_then(|bucket| bucket.0.get(&claim_id));
         if let Some(claim) = known {
             return Answer::Claim(claim.answer(&fingerprint, attempt));
         }
         if self.len() >= MAX_CLAIMS {
             return Answer::ClaimsFull;
         }
-        let bucket = self.buckets.entry(number).or_default().claims_mut();
-        bucket.insert(place, Claim { fingerprint, attempt, outcome: None });
+        let bucket = self.buckets.entry(bucket_number).or_default().claims_mut();
+        bucket.insert(claim_id, Claim { fingerprint, attempt, outcome: None });
         self.count += 1;
         Answer::Claim(ClaimAnswer::Granted)
     }
@@ -145,7 +144,7 @@
         if key.made_at() < self.horizon {
             return SettleAnswer::Expired { horizon: self.horizon };
         }
-        let room = (MAX_OUTCOME_BYTES as u64).saturating_sub(self.body_bytes);
+        let available = (MAX_TOTAL_BODY_BYTES as u64).saturating_sub(self.body_bytes);
         let Some(bucket) = self.buckets.get_mut(&(key.made_at() / BUCKET_SECONDS)) else {
             return SettleAnswer::NotHeld;
         };
@@ -156,7 +155,7 @@
             return SettleAnswer::NotHeld;
         }
         if claim.outcome.is_none() {
-            let outcome = bounded(outcome, room);
+            let outcome = truncate_outcome(outcome, available);
             self.body_bytes += outcome.body.len() as u64;
             claim.outcome = Some(outcome);
         }
@@ -168,8 +167,8 @@
             if oldest.key() * BUCKET_SECONDS >= to {
                 break;
             }
-            let (forgotten, bytes) = forget_before(oldest.get_mut(), to);
-            self.count -= forgotten;
+            let (removed, bytes) = remove_claims_before(oldest.get_mut(), to);
+            self.count -= removed;
             self.body_bytes -= bytes;
             if !oldest.get().0.is_empty() {
                 break;
@@ -182,7 +181,7 @@
 }
 
 impl Claim {
-    /// The answer to a claim whose key is in the table.
+    /// Answer to a claim request whose key is in the table.
     fn answer(&self, fingerprint: &BlockHash, attempt: u64) -> ClaimAnswer {
         if self.fingerprint != *fingerprint {
             return ClaimAnswer::KeyReused;
@@ -195,8 +194,9 @@
     }
 }
 
-/// Removes the claims made before `to`; returns how many and their bodies' bytes.
-fn forget_before(bucket: &mut Bucket, to: u64) -> (u64, u64) {
+/// Removes claims with keys created before `to`. Returns their number and the total size of
+/// their bodies, in bytes.
+fn remove_claims_before(bucket: &mut Bucket, to: u64) -> (u64, u64) {
     let claims = bucket.claims_mut();
     let (mut count, mut bytes) = (0, 0);
     while let Some(oldest) = claims.first_entry() {
@@ -210,9 +210,9 @@
     (count, bytes)
 }
 
-/// Cuts an outcome to the bounds; a body that doesn't fit `room` is left out.
-fn bounded(mut outcome: ClaimOutcome, room: u64) -> ClaimOutcome {
-    let limit = if outcome.body.len() as u64 > room { 0 } else { MAX_OUTCOME_BODY_BYTES };
+/// Truncates an outcome to the limits. A body of more than `available` bytes is removed.
+fn truncate_outcome(mut outcome: ClaimOutcome, available: u64) -> ClaimOutcome {
+    let limit = if outcome.body.len() as u64 > available { 0 } else { MAX_OUTCOME_BODY_BYTES };
     if outcome.body.len() > limit {
         outcome.body.truncate(limit);
         outcome.whole = false;
--- a/crates/control-state/src/command.rs
+++ b/crates/control-state/src/command.rs
@@ -1,7 +1,7 @@
 //! Commands of the replicated log.
 //!
-//! A command carries everything that its effect depends on, the proposer's
-//! clock included, so that every replica computes the same state.
+//! A command includes all inputs of its effect, such as the proposer's clock, so that
+//! every replica computes the same state.
 
 use juniper_registry::{InstanceName, StartTime};
 use juniper_settings::ChangeSet;
@@ -15,181 +15,180 @@
 use crate::orders::{EndProof, OrderAction};
 use crate::quarantine::QuarantinedRequest;
 
-/// Longest accepted author, in bytes.
+/// Maximum length of an author, in bytes.
 pub const MAX_AUTHOR_BYTES: usize = 128;
 
-/// Largest accepted encoded command, in bytes. It bounds one log entry.
+/// Maximum size of an encoded command, in bytes. Bounds the size of a log entry.
 pub const MAX_COMMAND_BYTES: usize = 4 << 20;
 
-/// Who writes settings, upon what, and when.
+/// Author, base revision and time of a settings write.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 #[cbor(map)]
 pub struct WriteHeader {
-    /// The revision that the write builds on.
+    /// Revision on which the write is based.
     #[n(0)]
     pub base: Revision,
-    /// Chosen by the writer; a resent write keeps it.
+    /// Identifier chosen by the writer, the same for retries.
     #[n(1)]
     pub change_id: ChangeId,
-    /// Who wrote, for the history.
+    /// Author, recorded in the history.
     #[n(2)]
     pub author: String,
-    /// The proposer's wall clock, in milliseconds since the Unix epoch.
+    /// Wall clock of the proposer, in milliseconds since the Unix epoch.
     #[n(3)]
     pub at_ms: u64,
 }
 
-/// One command.
+/// Command of the replicated log.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum Command {
-    /// Edit the settings tree.
+    /// Edits the settings tree.
     #[n(0)]
     ChangeSettings {
-        /// Who, upon what, when.
+        /// Author, base revision and time of the write.
         #[n(0)]
         header: WriteHeader,
-        /// The edits.
+        /// Edits of the tree.
         #[n(1)]
         change: ChangeSet,
     },
-    /// Make a new revision with the tree of an earlier one.
+    /// Creates a new revision with the tree of an earlier one.
     #[n(1)]
     Rollback {
-        /// Who, upon what, when.
+        /// Author, base revision and time of the write.
         #[n(0)]
         header: WriteHeader,
-        /// The earlier revision.
+        /// Revision to restore.
         #[n(1)]
         to: Revision,
     },
-    /// Claim the right to run a request once.
+    /// Claims the execution of an at-most-once request.
     #[n(2)]
     Claim {
-        /// Whose request it is.
+        /// Tenant that sent the request.
         #[n(0)]
         tenant: TenantName,
-        /// The caller's idempotency key.
+        /// Idempotency key of the caller.
         #[n(1)]
         key: ClaimKey,
         /// Hash of the request.
         #[n(2)]
         fingerprint: BlockHash,
-        /// Drawn by the router for this attempt.
+        /// Random number drawn by the router for this attempt.
         #[n(3)]
         attempt: u64,
-        /// The proposer's wall clock, in seconds since the Unix epoch.
+        /// Wall clock of the proposer, in seconds since the Unix epoch.
         #[n(4)]
         now: u64,
     },
-    /// Keep the outcome of a claimed request.
+    /// Records the outcome of a claimed request.
     #[n(3)]
     Settle {
-        /// Whose request it is.
+        /// Tenant that sent the request.
         #[n(0)]
         tenant: TenantName,
-        /// The key it was claimed under.
+        /// Idempotency key of the claim.
         #[n(1)]
         key: ClaimKey,
-        /// The attempt that ran it.
+        /// Attempt that executed the request.
         #[n(2)]
         attempt: u64,
-        /// What came of it.
+        /// Outcome of the request.
         #[n(3)]
         outcome: ClaimOutcome,
     },
-    /// Forget the claims whose keys are older than the horizon, and refuse such keys for ever.
+    /// Removes claims with keys older than the horizon and rejects such keys permanently.
     #[n(4)]
     AdvanceHorizon {
-        /// The new horizon, in seconds since the Unix epoch; a lower one than before has no effect.
+        /// New horizon, in seconds since the Unix epoch. Has no effect if lower than the current.
         #[n(0)]
         to: u64,
     },
-    /// Draw the next fencing token for orders to an engine.
+    /// Draws the next fencing token for orders to an engine.
     #[n(5)]
     NextFence {
-        /// The engine.
+        /// Engine that receives the orders.
         #[n(0)]
         engine: EngineId,
     },
-    /// Record an order to an engine before it is sent.
+    /// Records an order to an engine before it is sent.
     #[n(6)]
     BeginOrder {
-        /// The engine.
+        /// Engine that receives the order.
         #[n(0)]
         engine: EngineId,
-        /// The life of it that the order is meant for.
+        /// Incarnation of the engine for which the order is valid.
         #[n(1)]
         incarnation: Incarnation,
-        /// What is ordered.
+        /// Ordered action.
         #[n(2)]
         action: OrderAction,
     },
-    /// An order can't be under way any more.
+    /// Records that an order is no longer in flight.
     #[n(7)]
     EndOrder {
-        /// The engine.
+        /// Engine that received the order.
         #[n(0)]
         engine: EngineId,
-        /// Its token.
+        /// Fencing token of the order.
         #[n(1)]
         token: u64,
-        /// How that is known.
+        /// Proof that the order has ended.
         #[n(2)]
         proof: EndProof,
     },
-    /// Put a configuration of generic services in force, if it is the newest.
-    /// It has been found valid.
+    /// Puts a validated configuration of generic services in force, if its version is the highest.
     #[n(8)]
     PutCatalog {
-        /// The configuration.
+        /// Validated configuration.
         #[n(0)]
         catalog: AcceptedCatalog,
     },
-    /// Name the version of weights that a model should have.
+    /// Sets the target version of a model's weights.
     #[n(9)]
     NameWeights {
-        /// The model.
+        /// Name of the model.
         #[n(0)]
         model: String,
-        /// The version.
+        /// Target version.
         #[n(1)]
         version: u64,
     },
-    /// A server is leaving or has left.
+    /// Records that a server is departing or has departed.
     #[n(10)]
     Depart {
-        /// What it calls itself by.
+        /// Name under which the server announces itself.
         #[n(0)]
         instance: InstanceName,
-        /// Every incarnation that started by then has left. Unknown in a record of an earlier
-        /// build, and then all of them have.
+        /// Latest start time of the departed incarnations. Unknown in records of earlier
+        /// builds, which stand for all incarnations.
         #[n(1)]
         #[cbor(default)]
         through: StartTime,
-        /// The proposer's wall clock, in seconds since the Unix epoch; zero in a record of an
-        /// earlier build.
+        /// Wall clock of the proposer, in seconds since the Unix epoch; 0 in records of
+        /// earlier builds.
         #[n(2)]
         #[cbor(default)]
         at: u64,
     },
-    /// Make a control node the one that gives orders to servers.
+    /// Makes a control node the order dispatcher.
     #[n(11)]
     TakeOrderLease {
-        /// The node.
+        /// New holder of the lease.
         #[n(0)]
         node: NodeId,
     },
-    /// Send a request to no server any more.
+    /// Puts a request in quarantine, so that no server receives it.
     #[n(12)]
     Quarantine {
-        /// The request and why.
+        /// Request with the reason for the quarantine.
         #[n(0)]
         request: QuarantinedRequest,
     },
-    /// A request in quarantine may be sent again.
+    /// Releases a request from quarantine.
     #[n(13)]
     Release {
-        /// The request.
+        /// Fingerprint of the request.
         #[n(0)]
         request: RequestFingerprint,
     },
--- a/crates/control-state/src/departures.rs
+++ b/crates/control-state/src/departures.rs
@@ -1,105 +1,104 @@
-//! Servers that are leaving or have left, as the replicas agree on them.
+//! Replicated record of departing and departed servers.
 
 use std::collections::VecDeque;
 
 use juniper_registry::{Departure, InstanceId, InstanceName, StartTime};
 
-/// Departures that are kept whatever their age, and all that builds before this one keep.
-pub const KEPT_DEPARTURES: usize = 1_024;
+/// Number of departures retained regardless of their age. Earlier builds retain no others.
+pub const MIN_RETAINED_DEPARTURES: usize = 1_024;
 
-/// Time for which a departure is kept, in seconds. A server that left serves on for some seconds,
-/// replicas forget one that is silent after 60 s and routers after 90 s; once nobody remembers it,
-/// nothing can bring it back. A bound by number alone would be 12 s while a fleet of ten thousand
-/// servers is replaced.
-const KEPT_SECONDS: u64 = 150;
+/// Minimum retention time of a departure, in seconds. Longer than the times after which
+/// replicas (60 s) and routers (90 s) evict an unreachable server, so that the departed server
+/// isn't registered again.
+const RETENTION_SECONDS: u64 = 150;
 
-/// Departures that are kept at most: 64 a second for as long as `KEPT_SECONDS`, seven times over.
-/// It bounds a snapshot to some megabytes.
-const MOST_DEPARTURES: usize = 65_536;
+/// Maximum number of retained departures. Bounds the size of a snapshot to a few megabytes.
+const MAX_RETAINED_DEPARTURES: usize = 65_536;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Kept {
+struct DepartureRecord {
     departure: Departure,
-    /// The proposer's wall clock, in seconds since the Unix epoch; zero from an earlier build.
+    /// Wall clock of the proposer, in seconds since the Unix epoch; 0 in records of earlier builds.
     at: u64,
 }
 
-/// The latest departures, the oldest first.
+/// Latest departures, oldest first.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DepartureLog {
-    kept: VecDeque<Kept>,
-    /// Departures so far, those that aren't kept any more included.
+    records: VecDeque<DepartureRecord>,
+    /// Number of departures recorded so far, evicted ones included.
     total: u64,
-    /// Latest wall clock of a departure; zero while none of those that were recorded tells it.
-    newest: u64,
+    /// Latest wall clock of a departure, in seconds since the Unix epoch; 0 if unknown.
+    latest_at: u64,
 }
 
 impl DepartureLog {
-    /// Number of departures so far.
+    /// Number of departures recorded so far, evicted ones included.
     pub fn total(&self) -> u64 {
         self.total
     }
 
-    /// Departures that are kept.
+    /// Number of retained departures.
     pub fn kept(&self) -> usize {
-        self.kept.len()
+        self.records.len()
     }
 
-    /// The kept departures after the first `known` ones, oldest first.
+    /// Retained departures after the first `known` ones, oldest first.
     pub fn after(&self, known: u64) -> impl Iterator<Item = &Departure> {
-        let first_kept = self.total - self.kept.len() as u64;
-        let skipped = usize::try_from(known.saturating_sub(first_kept)).unwrap_or(usize::MAX);
-        self.kept.iter().skip(skipped).map(|kept| &kept.departure)
+        let evicted = self.total - self.records.len() as u64;
+        let skipped = usize::try_from(known.saturating_sub(evicted)).unwrap_or(usize::MAX);
+        self.records.iter().skip(skipped).map(|record| &record.departure)
     }
 
-    /// Whether the incarnation is known to have left.
-    pub fn has_left(&self, id: &InstanceId) -> bool {
-        self.of(id.name()).is_some_and(|departure| departure.covers(id))
+    /// Whether a departure of the incarnation is recorded.
+    pub fn has_departed(&self, id: &InstanceId) -> bool {
+        self.latest_of(id.name()).is_some_and(|departure| departure.covers(id))
     }
 
-    /// Whether a departure adds nothing to what is known.
+    /// Whether the recorded departures include every incarnation covered by `departure`.
     pub fn covers(&self, departure: &Departure) -> bool {
-        self.of(&departure.name).is_some_and(|known| {
+        self.latest_of(&departure.name).is_some_and(|known| {
             let is_known = known.through.is_known() && departure.through.is_known();
             !is_known || departure.through <= known.through
         })
     }
 
-    /// The latest departure of a server. Most that are asked for are of the last seconds.
-    fn of(&self, name: &InstanceName) -> Option<&Departure> {
-        let mut departures = self.kept.iter().rev().map(|kept| &kept.departure);
+    /// Latest departure of a server. Searches from the end, because most lookups are for
+    /// recent departures.
+    fn latest_of(&self, name: &InstanceName) -> Option<&Departure> {
+        let mut departures = self.records.iter().rev().map(|record| &record.departure);
         departures.find(|departure| departure.name == *name)
     }
 
     pub(crate) fn add(&mut self, departure: Departure, at: u64) {
-        self.kept.retain(|kept| kept.departure.name != departure.name);
-        self.kept.push_back(Kept { departure, at });
+        self.records.retain(|record| record.departure.name != departure.name);
+        self.records.push_back(DepartureRecord { departure, at });
         self.total += 1;
-        self.newest = self.newest.max(at);
-        while self.is_first_forgotten() {
-            self.kept.pop_front();
+        self.latest_at = self.latest_at.max(at);
+        while self.is_oldest_expired() {
+            self.records.pop_front();
         }
     }
 
-    fn is_first_forgotten(&self) -> bool {
-        let Some(first) = self.kept.front() else { return false };
-        // An earlier build's record tells no time, and such builds keep it no longer.
-        let is_old = first.at == 0 || first.at + KEPT_SECONDS < self.newest;
-        self.kept.len() > MOST_DEPARTURES || (self.kept.len() > KEPT_DEPARTURES && is_old)
+    fn is_oldest_expired(&self) -> bool {
+        let Some(oldest) = self.records.front() else { return false };
+        // Records of earlier builds have no time and are limited by number, as in those builds.
+        let is_old = oldest.at == 0 || oldest.at + RETENTION_SECONDS < self.latest_at;
+        self.records.len() > MAX_RETAINED_DEPARTURES
+            || (self.records.len() > MIN_RETAINED_DEPARTURES && is_old)
     }
 
     pub(crate) fn to_parts(&self) -> DepartureParts {
         DepartureParts {
-            names: self.kept.iter().map(|kept| kept.departure.name.clone()).collect(),
-            through: self.kept.iter().map(|kept| kept.departure.through).collect(),
-            at: self.kept.iter().map(|kept| kept.at).collect(),
+            names: self.records.iter().map(|record| record.departure.name.clone()).collect(),
+            through: self.records.iter().map(|record| record.departure.through).collect(),
+            at: self.records.iter().map(|record| record.at).collect(),
             total: self.total,
         }
     }
 }
 
-/// A log of departures as a snapshot holds it: lists side by side, of which builds before this one
-/// read the names.
+/// Departures in the snapshot format, as parallel lists. Earlier builds read only the names.
 pub(crate) struct DepartureParts {
     pub names: VecDeque<InstanceName>,
     pub through: Vec<StartTime>,
@@ -111,12 +110,15 @@
     fn from(parts: DepartureParts) -> Self {
         let through = parts.through.into_iter().chain(std::iter::repeat(StartTime::UNKNOWN));
         let at = parts.at.into_iter().chain(std::iter::repeat(0));
-        let kept = parts.names.into_iter().zip(through).zip(at);
-        let kept: VecDeque<Kept> = kept
-            .map(|((name, through), at)| Kept { departure: Departure { name, through }, at })
+        let records = parts.names.into_iter().zip(through).zip(at);
+        let records: VecDeque<DepartureRecord> = records
+            .map(|((name, through), at)| DepartureRecord {
+                departure: Departure { name, through },
+                at,
+            })
             .collect();
-        let newest = kept.iter().map(|kept| kept.at).max().unwrap_or(0);
-        let total = parts.total.max(kept.len() as u64);
-        DepartureLog { kept, total, newest }
+        let latest_at = records.iter().map(|record| record.at).max().unwrap_or(0);
+        let total = parts.total.max(records.len() as u64);
+        DepartureLog { records, total, latest_at }
     }
 }
--- a/crates/control-state/src/fleet.rs
+++ b/crates/control-state/src/fleet.rs
@@ -1,6 +1,5 @@
-//! What the fleet of generic services agrees on: the configuration in force, the
-//! versions of weights that are wanted, the servers that left, and which control
-//! node gives orders.
+//! Replicated state of the fleet of generic services: configuration, target versions of
+//! weights, departures, quarantine and the order lease.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -12,50 +11,50 @@
 use crate::departures::{DepartureLog, DepartureParts};
 use crate::quarantine::{Quarantine, QuarantinedRequest};
 
-/// An accepted configuration.
+/// Accepted configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct AcceptedCatalog {
-    /// Its version.
+    /// Version of the configuration.
     #[n(0)]
     pub version: u64,
-    /// The encoded `juniper_catalog::Catalog`, as routers get it.
+    /// Encoded `juniper_catalog::Catalog`, as sent to routers.
     #[cbor(n(1), with = "minicbor::bytes")]
     pub body: Vec<u8>,
-    /// The operator's own text, handed back unchanged.
+    /// Original document from the operator.
     #[cbor(n(2), with = "minicbor::bytes")]
     pub document: Vec<u8>,
 }
 
-/// The control node that gives orders to servers.
+/// Lease of the control node that issues orders to servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct OrderLease {
-    /// The node.
+    /// Node that holds the lease.
     #[n(0)]
     pub holder: NodeId,
-    /// Fencing token of its orders.
+    /// Fencing token of the holder's orders.
     #[n(1)]
     pub token: u64,
-    /// Node that gave orders before it, if another one did.
+    /// Latest other node that held the lease, if any.
     #[n(2)]
     pub previous: Option<NodeId>,
 }
 
-/// What a configuration came to.
+/// Answer to a new configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum CatalogAnswer {
-    /// It is the newest and in force.
+    /// The configuration is in force.
     #[n(0)]
     Accepted,
-    /// A version at least as high is in force; nothing was changed.
+    /// The same or a higher version was in force already and remains so.
     #[n(1)]
     Unchanged {
-        /// The version in force.
+        /// Version in force.
         #[n(0)]
         held: u64,
     },
 }
 
-/// What the fleet of generic services agrees on.
+/// Replicated state of the fleet of generic services.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FleetState {
     pub(crate) revision: u64,
@@ -66,7 +65,7 @@
     pub(crate) quarantine: Quarantine,
 }
 
-/// The encoded form of a [`FleetState`].
+/// Encoding of a [`FleetState`].
 #[derive(Encode, Decode)]
 pub(crate) struct EncodedFleet {
     #[n(0)]
@@ -81,16 +80,17 @@
     departures_total: u64,
     #[n(5)]
     order_lease: Option<OrderLease>,
-    /// None in a snapshot of an earlier version.
+    /// Absent in snapshots of earlier builds.
     #[n(6)]
     #[cbor(default)]
     quarantine: Quarantine,
-    /// For each departure the start time up to which incarnations have left. Empty in a snapshot of
-    /// an earlier version.
+    /// Latest start time of the departed incarnations, for each departure. Absent in snapshots of
+    /// earlier builds.
     #[n(7)]
     #[cbor(default)]
     departed_through: Vec<StartTime>,
-    /// When each departure was recorded. Empty in a snapshot of an earlier version.
+    /// Time of each departure, in seconds since the Unix epoch. Absent in snapshots of earlier
+    /// builds.
     #[n(8)]
     #[cbor(default)]
     departed_at: Vec<u64>,
@@ -133,37 +133,37 @@
 }
 
 impl FleetState {
-    /// Log position of the latest change; zero before the first.
+    /// Log index of the latest change; 0 before the first.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// The configuration in force.
+    /// Configuration in force.
     pub fn catalog(&self) -> Option<&Arc<AcceptedCatalog>> {
         self.catalog.as_ref()
     }
 
-    /// Version of the weights that each model should have.
+    /// Target version of the weights, by model.
     pub fn weights(&self) -> &BTreeMap<String, u64> {
         &self.weights
     }
 
-    /// Servers that are leaving or have left.
+    /// Departing and departed servers.
     pub fn departures(&self) -> &DepartureLog {
         &self.departures
     }
 
-    /// Whether the incarnation of a server is known to have left.
+    /// Whether a departure of the incarnation is recorded.
     pub fn has_departed(&self, id: &InstanceId) -> bool {
-        self.departures.has_left(id)
+        self.departures.has_departed(id)
     }
 
-    /// Who gives orders.
+    /// Order lease in force.
     pub fn order_lease(&self) -> Option<OrderLease> {
         self.order_lease
     }
 
-    /// Requests that are sent to no server.
+    /// Quarantined requests.
     pub fn quarantine(&self) -> &Quarantine {
         &self.quarantine
     }
@@ -181,8 +181,8 @@
     }
 
     pub(crate) fn put_catalog(&mut self, index: u64, catalog: AcceptedCatalog) -> CatalogAnswer {
-        let held = self.catalog.as_ref().map(|held| held.version);
-        if let Some(held) = held.filter(|held| *held >= catalog.version) {
+        let current = self.catalog.as_ref().map(|catalog| catalog.version);
+        if let Some(held) = current.filter(|current| *current >= catalog.version) {
             return CatalogAnswer::Unchanged { held };
         }
         self.catalog = Some(Arc::new(catalog));
@@ -190,23 +190,23 @@
         CatalogAnswer::Accepted
     }
 
-    /// Names the weights that `model` should have. A lower version than before
-    /// has no effect. Returns the version in force.
-    pub(crate) fn name_weights(&mut self, index: u64, model: String, version: u64) -> u64 {
-        let held = self.weights.get(&model).copied().unwrap_or(0);
-        if version > held {
+    /// Sets the target version of the weights of `model`. A lower version than the current
+    /// one has no effect. Returns the version in force.
+    pub(crate) fn set_target_weights(&mut self, index: u64, model: String, version: u64) -> u64 {
+        let current = self.weights.get(&model).copied().unwrap_or(0);
+        if version > current {
             self.weights.insert(model, version);
             self.revision = index;
         }
-        held.max(version)
+        current.max(version)
     }
 
-    pub(crate) fn depart(&mut self, index: u64, departure: Departure, at: u64) {
+    pub(crate) fn record_departure(&mut self, index: u64, departure: Departure, at: u64) {
         self.departures.add(departure, at);
         self.revision = index;
     }
 
-    /// Makes `node` the one that gives orders, under a new token.
+    /// Assigns the order lease to `node` with a new token.
     pub(crate) fn take_order_lease(&mut self, node: NodeId, token: u64) -> OrderLease {
         let previous = self.order_lease.and_then(|lease| match lease.holder == node {
             true => lease.previous,
--- a/crates/control-state/src/history.rs
+++ b/crates/control-state/src/history.rs
@@ -1,4 +1,4 @@
-//! The latest accepted changes, kept for diffs, rollback and lagging nodes.
+//! History of the latest accepted changes, for diffs, rollbacks and lagging subscribers.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -6,52 +6,52 @@
 use juniper_types::{ChangeId, Revision};
 use minicbor::{Decode, Encode};
 
-/// Most revisions kept: more than a day at 820 changes a day.
+/// Maximum number of retained revisions.
 pub const MAX_HISTORY_REVISIONS: usize = 1_000;
 
-/// Most bytes of changes kept.
+/// Maximum size of the retained changes, in bytes. The latest one is retained at any size.
 pub const MAX_HISTORY_BYTES: usize = 16 << 20;
 
-/// Largest diff that a conflict carries, in bytes.
+/// Maximum size of the diff included in a conflict, in bytes.
 pub const MAX_DIFF_BYTES: usize = 1 << 20;
 
-/// One accepted change.
+/// Accepted change.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 #[cbor(map)]
 pub struct HistoryEntry {
-    /// The revision it made.
+    /// Revision created by the change.
     #[n(0)]
     pub revision: Revision,
-    /// Its change id.
+    /// Change id chosen by the writer.
     #[n(1)]
     pub change_id: ChangeId,
-    /// Who wrote it.
+    /// Author of the change.
     #[n(2)]
     pub author: String,
-    /// When, by the proposer's clock, in milliseconds since the Unix epoch.
+    /// Wall clock of the proposer, in milliseconds since the Unix epoch.
     #[n(3)]
     pub at_ms: u64,
-    /// The revision that it rolled back to, if it was a rollback.
+    /// Restored revision, if the change was a rollback.
     #[n(4)]
     pub rolled_back_to: Option<Revision>,
-    /// What it did to each node, in path order.
+    /// Changes of each node, in path order.
     #[n(5)]
     pub changes: Vec<NodeChange>,
-    /// Encoded size of `changes`.
+    /// Encoded size of `changes`, in bytes.
     #[n(6)]
     pub bytes: u64,
 }
 
-/// Accepted changes with consecutive revisions, the latest last.
+/// Accepted changes with consecutive revisions, oldest first.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 #[cbor(transparent)]
 pub struct History(#[n(0)] VecDeque<HistoryEntry>);
 
 impl History {
-    /// Adds the latest change and forgets the oldest beyond the bounds.
+    /// Adds the latest change and evicts the oldest ones beyond the limits.
     pub fn push(&mut self, entry: HistoryEntry) {
         self.0.push_back(entry);
-        let mut bytes: u64 = self.0.iter().map(|kept| kept.bytes).sum();
+        let mut bytes: u64 = self.0.iter().map(|entry| entry.bytes).sum();
         while self.0.len() > MAX_HISTORY_REVISIONS
             || (bytes > MAX_HISTORY_BYTES as u64 && self.0.len() > 1)
         {
@@ -59,17 +59,17 @@
         }
     }
 
-    /// The kept changes, oldest first.
+    /// Retained changes, oldest first.
     pub fn entries(&self) -> impl DoubleEndedIterator<Item = &HistoryEntry> {
         self.0.iter()
     }
 
-    /// The oldest revision whose tree can be rebuilt; `current` if nothing is kept.
+    /// Oldest revision whose tree can be restored; `current` if no change is retained.
     pub fn oldest(&self, current: Revision) -> Revision {
         self.0.front().map_or(current, |entry| Revision(entry.revision.0 - 1))
     }
 
-    /// The changes after `from`, oldest first, if all of them are kept.
+    /// Changes after `from`, oldest first, if all of them are retained.
     pub fn after(
         &self,
         from: Revision,
@@ -82,7 +82,7 @@
         Some(self.0.range(skipped..))
     }
 
-    /// What separates revision `from` from revision `to`, in path order.
+    /// Difference between the revisions `from` and `to`, in path order.
     pub fn diff(&self, from: Revision, to: Revision, current: Revision) -> Option<Vec<NodeChange>> {
         if from > to {
             let backwards = self.diff(to, from, current)?;
@@ -92,16 +92,20 @@
             return None;
         }
         let between = self.after(from, current)?.take_while(|entry| entry.revision <= to);
-        let mut merged: BTreeMap<&SettingsPath, Ends<'_>> = BTreeMap::new();
+        let mut merged: BTreeMap<&SettingsPath, NodeStates<'_>> = BTreeMap::new();
         for change in between.flat_map(|entry| &entry.changes) {
-            let ends = Ends { before: change.before.as_ref(), after: change.after.as_ref() };
-            merged.entry(&change.path).and_modify(|known| known.after = ends.after).or_insert(ends);
+            let states =
+                NodeStates { before: change.before.as_ref(), after: change.after.as_ref() };
+            merged
+                .entry(&change.path)
+                .and_modify(|known| known.after = states.after)
+                .or_insert(states);
         }
-        let changed = merged.into_iter().filter(|(_, ends)| ends.before != ends.after);
-        Some(changed.map(|(path, ends)| ends.to_change(path)).collect())
+        let changed = merged.into_iter().filter(|(_, states)| states.before != states.after);
+        Some(changed.map(|(path, states)| states.to_change(path)).collect())
     }
 
-    /// The diff that a conflict carries, unless it is forgotten or too large.
+    /// Diff to include in a conflict, unless it is no longer retained or too large.
     pub fn conflict_diff(&self, base: Revision, current: Revision) -> Option<Vec<NodeChange>> {
         let bytes: u64 = self.after(base, current)?.map(|entry| entry.bytes).sum();
         if bytes > MAX_DIFF_BYTES as u64 {
@@ -111,13 +115,13 @@
     }
 }
 
-/// A node at both ends of a range of revisions.
-struct Ends<'a> {
+/// State of a node before and after a range of revisions.
+struct NodeStates<'a> {
     before: Option<&'a SettingsNode>,
     after: Option<&'a SettingsNode>,
 }
 
-impl Ends<'_> {
+impl NodeStates<'_> {
     fn to_change(&self, path: &SettingsPath) -> NodeChange {
         NodeChange { path: path.clone(), before: self.before.cloned(), after: self.after.cloned() }
     }
--- a/crates/control-state/src/lib.rs
+++ b/crates/control-state/src/lib.rs
@@ -1,8 +1,8 @@
-//! The replicated state machine: settings revisions, claims, fences and orders.
+//! Replicated state machine: settings revisions, claims, fencing tokens and orders.
 //!
 //! [`ControlState::apply`] is deterministic: it performs no I/O, reads no clock
-//! and draws no random number. Replicas that apply the same commands in the
-//! same order hold the same state and give the same answers.
+//! and draws no random numbers. Replicas that apply the same commands in the
+//! same order have the same state and return the same answers.
 
 pub mod answer;
 mod change_ids;
--- a/crates/control-state/src/orders.rs
+++ b/crates/control-state/src/orders.rs
@@ -1,124 +1,122 @@
 //! Orders to engines, recorded before they are sent.
 //!
-//! A leader sends an order only after the log has given it a token. The token
-//! counter is part of the state, so tokens grow across leaders, and an engine
-//! that has taken a later order refuses an earlier one. A leader that was frozen
-//! or cut off can record nothing; what it can still send is an order that was
-//! recorded, which takes effect once.
+//! A leader sends an order only after the log has assigned it a fencing token. The token
+//! counter is part of the state, so that tokens increase across leaders, and an engine
+//! that has accepted an order rejects earlier ones. A suspended or partitioned leader can't
+//! record orders; it can only resend a recorded one, which takes effect once.
 //!
-//! The limit on loads from the weight store holds across leaders for the same
-//! reason: a load takes a place when it is recorded and gives it back only by
-//! proof that it has ended. Silence of an engine proves nothing, since it may be
-//! loading on the other side of a cut.
+//! The limit on concurrent loads from the weight store also holds across leaders. A load
+//! acquires a slot when it is recorded and releases the slot only with a proof that it
+//! has ended. A missing reply is no proof, since a partitioned engine may still be loading.
 
 use std::collections::BTreeMap;
 
 use juniper_types::{AdapterName, EngineId, Incarnation, ModelName, WeightsVersion};
 use minicbor::{Decode, Encode};
 
-/// What an engine is ordered to do.
+/// Action that an engine is ordered to perform.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum OrderAction {
-    /// Load these weights in place of whatever is loaded.
+    /// Loads a model, replacing the loaded one.
     #[n(0)]
     LoadModel {
-        /// The model.
+        /// Name of the model.
         #[n(0)]
         model: ModelName,
-        /// Version of its weights.
+        /// Version of the weights.
         #[n(1)]
         weights: WeightsVersion,
     },
-    /// Load an adapter beside the model.
+    /// Loads an adapter in addition to the model.
     #[n(1)]
     LoadAdapter {
-        /// The adapter.
+        /// Name of the adapter.
         #[n(0)]
         adapter: AdapterName,
     },
-    /// Unload an adapter.
+    /// Unloads an adapter.
     #[n(2)]
     UnloadAdapter {
-        /// The adapter.
+        /// Name of the adapter.
         #[n(0)]
         adapter: AdapterName,
     },
 }
 
 impl OrderAction {
-    /// Whether it reads from the weight store, whose loads at once are limited.
+    /// Whether the action loads from the weight store and counts towards its load limit.
     pub fn is_load(&self) -> bool {
         !matches!(self, OrderAction::UnloadAdapter { .. })
     }
 }
 
-/// An order that may be under way.
+/// Order that may be in flight.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ActiveOrder {
-    /// Its fencing token.
+    /// Fencing token of the order.
     #[n(0)]
     pub token: u64,
-    /// Life of the engine that it is meant for.
+    /// Incarnation of the engine for which the order is valid.
     #[n(1)]
     pub incarnation: Incarnation,
-    /// What is ordered.
+    /// Ordered action.
     #[n(2)]
     pub action: OrderAction,
 }
 
-/// Why an order can't be under way any more.
+/// Proof that an order is no longer in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum EndProof {
-    /// The engine has answered that it took the order and is done with it.
+    /// The engine reported that it has executed the order.
     #[n(0)]
     Done,
-    /// The engine answers as another life, which has no part in the order.
+    /// The engine is running as another incarnation.
     #[n(1)]
-    NewLife,
-    /// The platform says that the machine is gone, or an operator does.
+    NewIncarnation,
+    /// The platform or an operator reported that the machine was removed.
     #[n(2)]
-    MachineGone,
+    MachineRemoved,
 }
 
-/// What the recording of an order came to.
+/// Answer to the recording of an order or its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum OrderAnswer {
-    /// It is recorded and may be sent with this token, as often as answers get lost.
+    /// The order is recorded and may be sent and resent with this token.
     #[n(0)]
     Recorded(#[n(0)] u64),
-    /// Another order to the engine, with this token, may be under way.
+    /// Another order to the engine, with this token, may be in flight.
     #[n(1)]
     Busy(#[n(0)] u64),
-    /// As many loads as the weight store takes may be under way.
+    /// The limit on concurrent loads from the weight store is reached.
     #[n(2)]
     LimitReached,
-    /// The order has ended, now or before.
+    /// The order has ended, now or earlier.
     #[n(3)]
     Ended,
 }
 
-/// Every order that may be under way, at most one for each engine.
+/// Orders that may be in flight, at most one per engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 #[cbor(transparent)]
 pub struct OrderBook(#[n(0)] BTreeMap<EngineId, ActiveOrder>);
 
 impl OrderBook {
-    /// The order to `engine` that may be under way.
+    /// Order to `engine` that may be in flight.
     pub fn active(&self, engine: EngineId) -> Option<&ActiveOrder> {
         self.0.get(&engine)
     }
 
-    /// All of them.
+    /// All orders that may be in flight.
     pub fn orders(&self) -> impl Iterator<Item = (EngineId, &ActiveOrder)> {
         self.0.iter().map(|(engine, order)| (*engine, order))
     }
 
-    /// Loads that may be under way.
+    /// Number of loads from the weight store that may be in flight.
     pub fn loads(&self) -> usize {
         self.0.values().filter(|order| order.action.is_load()).count()
     }
 
-    /// Records `order` unless the engine is busy or `limit` loads are under way.
+    /// Records `order` unless another order to the engine or `limit` loads are in flight.
     /// The same order recorded again, after a lost answer, keeps its token.
     pub(crate) fn begin(
         &mut self,
@@ -141,7 +139,7 @@
         OrderAnswer::Recorded(token)
     }
 
-    /// The order with `token` has ended. An order recorded since is left alone.
+    /// Removes the order with `token`. An order recorded later is unaffected.
     pub(crate) fn end(&mut self, engine: EngineId, token: u64) -> OrderAnswer {
         match self.0.get(&engine) {
             Some(known) if known.token > token => OrderAnswer::Busy(known.token),
--- a/crates/control-state/src/plan.rs
+++ b/crates/control-state/src/plan.rs
@@ -1,11 +1,10 @@
-//! Plans which engine loads which weights next. Pure: views and targets in, loads out.
+//! Planning of weight loads, as a pure function of engine views and targets.
 //!
-//! What restores service fastest comes first: empty engines take the model that
-//! lacks most of its share. Then engines move from models with too many to
-//! models with too few, and last engines with older weights take the new ones, a
-//! few at a time, so that enough of each model keeps serving. The plan is only a
-//! wish: the log decides ([`crate::orders`]), and a plan made from an old view
-//! can at worst be refused.
+//! The first loads fill empty engines with the models farthest below their allocation. The
+//! next ones reassign engines of models above their allocation, and the last ones replace
+//! outdated weights, while enough engines of each model keep serving. Planned loads take
+//! effect only once the log accepts them as orders ([`crate::orders`]), so that a plan made
+//! from a stale view can be rejected.
 
 use std::collections::BTreeMap;
 
@@ -13,135 +12,140 @@
 
 use crate::orders::{OrderAction, OrderBook};
 
-/// What an engine holds, as it said last.
+/// Weights of an engine according to its latest report.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Holding {
-    /// Nothing: it has just started.
-    Nothing,
-    /// Weights that serve.
+pub enum EngineWeights {
+    /// No weights are loaded.
+    None,
+    /// Weights are loaded and being served.
     Serving(ModelName, WeightsVersion),
-    /// Weights that are being loaded; nothing serves.
+    /// Weights are being loaded; the engine serves no requests.
     Loading(ModelName, WeightsVersion),
 }
 
-/// An engine that answers.
+/// Latest view of a reachable engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineView {
-    /// Which one.
+    /// Id of the engine.
     pub engine: EngineId,
-    /// Its present life.
+    /// Current incarnation of the engine.
     pub incarnation: Incarnation,
-    /// What it holds.
-    pub holding: Holding,
+    /// Loaded weights.
+    pub weights: EngineWeights,
 }
 
-/// A model that should be served.
+/// Model that should be served.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Target {
-    /// The model.
+    /// Name of the model.
     pub model: ModelName,
-    /// Version of its weights.
+    /// Target version of the weights.
     pub weights: WeightsVersion,
-    /// Its share of the demand, relative to the other targets.
+    /// Demand relative to the other targets.
     pub demand: f64,
 }
 
-/// Everything that a plan is made from.
+/// Input of a plan.
 #[derive(Clone, Copy, Debug)]
-pub struct Situation<'a> {
-    /// Engines that answer and aren't leaving.
+pub struct PlanInput<'a> {
+    /// Reachable engines that aren't departing.
     pub engines: &'a [EngineView],
-    /// Models to serve, each once.
+    /// Models to serve, each listed once.
     pub targets: &'a [Target],
-    /// Orders that may be under way.
+    /// Orders that may be in flight.
     pub orders: &'a OrderBook,
-    /// Loads that the weight store takes at once.
+    /// Maximum number of concurrent loads from the weight store.
     pub load_limit: u32,
-    /// Share of a model's engines, in percent, that keeps serving while others
-    /// take new weights.
+    /// Minimum share of a model's engines, in percent, that keeps serving while others
+    /// load weights.
     pub min_serving_percent: u8,
 }
 
-/// A load to record and then to order.
+/// Load to be recorded as an order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlannedLoad {
-    /// The engine.
+    /// Engine that loads the weights.
     pub engine: EngineId,
-    /// The life of it that was seen.
+    /// Incarnation of the engine for which the load is planned.
     pub incarnation: Incarnation,
-    /// What to load.
+    /// Load action.
     pub action: OrderAction,
 }
 
-/// Engines of one model while a plan is made.
+/// Number of engines for a model during planning.
 #[derive(Clone, Debug, Default)]
-struct Count {
+struct EngineCounts {
+    /// Engines allocated to the model.
     wanted: usize,
-    /// Engines that hold it, are loading it or are planned to.
+    /// Engines that serve the model, are loading it or have a planned load of it.
     assigned: usize,
     serving: usize,
 }
 
-/// The loads to order next, the most urgent first.
-pub fn plan(situation: Situation<'_>) -> Vec<PlannedLoad> {
-    let free = (situation.load_limit as usize).saturating_sub(situation.orders.loads());
-    let mut planner = Planner::new(situation);
+/// Plans the next loads, in descending order of urgency.
+pub fn plan(input: PlanInput<'_>) -> Vec<PlannedLoad> {
+    let free = (input.load_limit as usize).saturating_sub(input.orders.loads());
+    let mut planner = Planner::new(input);
     planner.fill_empty();
-    planner.move_surplus();
-    planner.renew_weights();
+    planner.reassign_surplus();
+    planner.replace_outdated_weights();
     planner.loads.truncate(free);
     planner.loads
 }
 
 struct Planner<'a> {
-    situation: Situation<'a>,
-    counts: BTreeMap<&'a ModelName, Count>,
+    input: PlanInput<'a>,
+    counts: BTreeMap<&'a ModelName, EngineCounts>,
     loads: Vec<PlannedLoad>,
 }
 
 impl<'a> Planner<'a> {
-    fn new(situation: Situation<'a>) -> Self {
-        let mut counts: BTreeMap<&ModelName, Count> = BTreeMap::new();
-        let wanted = share_out(situation.engines.len(), situation.targets);
-        for (target, wanted) in situation.targets.iter().zip(wanted) {
+    fn new(input: PlanInput<'a>) -> Self {
+        let mut counts: BTreeMap<&ModelName, EngineCounts> = BTreeMap::new();
+        let wanted = allocate_engines(input.engines.len(), input.targets);
+        for (target, wanted) in input.targets.iter().zip(wanted) {
             counts.entry(&target.model).or_default().wanted = wanted;
         }
-        let mut planner = Planner { situation, counts, loads: Vec::new() };
-        situation.engines.iter().for_each(|view| planner.count(view));
+        let mut planner = Planner { input, counts, loads: Vec::new() };
+        input.engines.iter().for_each(|view| planner.count(view));
         planner
     }
 
-    /// Counts what an engine will hold once the order to it is done.
+    /// Counts an engine for the model that it has after completion of any order in flight.
     fn count(&mut self, view: &'a EngineView) {
-        let ordered = self.situation.orders.active(view.engine);
+        let ordered = self.input.orders.active(view.engine);
         let ordered = ordered.filter(|order| order.incarnation == view.incarnation);
-        let (model, serves) = match (ordered.map(|order| &order.action), &view.holding) {
+        let (model, serves) = match (ordered.map(|order| &order.action), &view.weights) {
             (Some(OrderAction::LoadModel { model, .. }), _) => (model, false),
-            (_, Holding::Serving(model, _)) => (model, true),
-            (_, Holding::Loading(model, _)) => (model, false),
-            (_, Holding::Nothing) => return,
+            (_, EngineWeights::Serving(model, _)) => (model, true),
+            (_, EngineWeights::Loading(model, _)) => (model, false),
+            (_, EngineWeights::None) => return,
         };
         let count = self.counts.entry(model).or_default();
         count.assigned += 1;
         count.serving += usize::from(serves);
     }
 
-    /// Engines that no order is under way to, with what they hold.
-    fn idle(&self) -> impl Iterator<Item = &'a EngineView> + use<'a> {
-        let orders = self.situation.orders;
-        self.situation.engines.iter().filter(move |view| orders.active(view.engine).is_none())
+    /// Engines without an order in flight.
+    fn idle_engines(&self) -> impl Iterator<Item = &'a EngineView> + use<'a> {
+        let orders = self.input.orders;
+        self.input.engines.iter().filter(move |view| orders.active(view.engine).is_none())
     }
 
-    /// The target that lacks most of its share, if one lacks any.
-    fn neediest(&self) -> Option<&'a Target> {
-        let lack = |target: &&Target| {
+    /// Target with the largest relative shortfall of engines, if any has a shortfall.
+    fn most_underserved_target(&self) -> Option<&'a Target> {
+        let shortfall_permille = |target: &&Target| {
             let count = &self.counts[&target.model];
             count.wanted.saturating_sub(count.assigned) * 1_000 / count.wanted.max(1)
         };
-        self.situation.targets.iter().filter(|target| lack(target) > 0).max_by_key(lack)
+        self.input
+            .targets
+            .iter()
+            .filter(|target| shortfall_permille(target) > 0)
+            .max_by_key(shortfall_permille)
     }
 
-    fn order(&mut self, view: &EngineView, target: &'a Target) {
+    fn plan_load(&mut self, view: &EngineView, target: &'a Target) {
         self.counts.entry(&target.model).or_default().assigned += 1;
         let (model, weights) = (target.model.clone(), target.weights);
         self.loads.push(PlannedLoad {
@@ -152,32 +156,32 @@
     }
 
     fn fill_empty(&mut self) {
-        for view in self.idle().filter(|view| view.holding == Holding::Nothing) {
-            let Some(target) = self.neediest() else { return };
-            self.order(view, target);
+        for view in self.idle_engines().filter(|view| view.weights == EngineWeights::None) {
+            let Some(target) = self.most_underserved_target() else { return };
+            self.plan_load(view, target);
         }
     }
 
-    fn move_surplus(&mut self) {
-        for view in self.idle() {
-            let Holding::Serving(model, _) = &view.holding else { continue };
+    fn reassign_surplus(&mut self) {
+        for view in self.idle_engines() {
+            let EngineWeights::Serving(model, _) = &view.weights else { continue };
             let has_surplus = self.counts.get(model).is_some_and(|c| c.assigned > c.wanted);
             if !has_surplus || !self.may_stop_serving(model) {
                 continue;
             }
-            let Some(target) = self.neediest() else { return };
+            let Some(target) = self.most_underserved_target() else { return };
             self.stop_serving(model);
             if let Some(count) = self.counts.get_mut(model) {
                 count.assigned -= 1;
             }
-            self.order(view, target);
+            self.plan_load(view, target);
         }
     }
 
-    fn renew_weights(&mut self) {
-        for view in self.idle() {
-            let Holding::Serving(model, weights) = &view.holding else { continue };
-            let target = self.situation.targets.iter().find(|target| target.model == *model);
+    fn replace_outdated_weights(&mut self) {
+        for view in self.idle_engines() {
+            let EngineWeights::Serving(model, weights) = &view.weights else { continue };
+            let target = self.input.targets.iter().find(|target| target.model == *model);
             let Some(target) = target.filter(|target| target.weights != *weights) else { continue };
             let planned = self.loads.iter().any(|load| load.engine == view.engine);
             if planned || !self.may_stop_serving(model) {
@@ -187,17 +191,17 @@
             if let Some(count) = self.counts.get_mut(model) {
                 count.assigned -= 1;
             }
-            self.order(view, target);
+            self.plan_load(view, target);
         }
     }
 
-    /// Whether one engine less may serve `model` for a while. A model that is not
-    /// wanted needs none; a single engine must stop to change at all.
+    /// Whether one more engine may stop serving `model`. The required number of engines is at
+    /// most one less than the allocation, so that a single engine can be updated.
     fn may_stop_serving(&self, model: &ModelName) -> bool {
         let Some(count) = self.counts.get(model) else { return true };
-        let share = usize::from(self.situation.min_serving_percent);
-        let needed = (count.wanted * share).div_ceil(100).min(count.wanted.saturating_sub(1));
-        count.serving > needed
+        let percent = usize::from(self.input.min_serving_percent);
+        let required = (count.wanted * percent).div_ceil(100).min(count.wanted.saturating_sub(1));
+        count.serving > required
     }
 
     fn stop_serving(&mut self, model: &ModelName) {
@@ -207,9 +211,9 @@
     }
 }
 
-/// Engines for each target: by demand, rounded by the largest remainder, and one
-/// for each target with any demand while there are enough.
-fn share_out(engines: usize, targets: &[Target]) -> Vec<usize> {
+/// Allocates engines to the targets in proportion to their demand, rounded with the largest
+/// remainder method. Every target with demand gets at least one engine if there are enough.
+fn allocate_engines(engines: usize, targets: &[Target]) -> Vec<usize> {
     let demand: Vec<f64> = targets.iter().map(|target| target.demand.max(0.0)).collect();
     let total: f64 = demand.iter().sum();
     if total <= 0.0 {
--- a/crates/control-state/src/quarantine.rs
+++ b/crates/control-state/src/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests that are sent to no server any more, because servers ended under them.
+//! Replicated quarantine of requests under which servers crashed.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -6,69 +6,68 @@
 use juniper_types::RequestFingerprint;
 use minicbor::{Decode, Encode};
 
-/// Requests that are kept. When more come, the one that was recorded first may be sent again. At
-/// three ends of servers each, a day at the size designed for has room for hundreds.
+/// Maximum number of quarantined requests. The oldest one is released when the limit is exceeded.
 pub const MAX_QUARANTINED: usize = 1_024;
 
-/// Latest changes that are kept, to tell followers only what is new to them.
-const MAX_CHANGES: usize = 256;
+/// Maximum number of retained changes, from which subscribers get incremental updates.
+const MAX_RECENT_CHANGES: usize = 256;
 
-/// A request that is sent to no server.
+/// Request in quarantine.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct QuarantinedRequest {
-    /// The request.
+    /// Fingerprint of the request.
     #[n(0)]
     pub request: RequestFingerprint,
-    /// The servers that ended under it.
+    /// Servers that crashed under the request.
     #[n(1)]
     pub servers: Vec<InstanceName>,
-    /// The proposer's wall clock when it was recorded, in seconds since the Unix epoch.
+    /// Wall clock of the proposer of the quarantine, in seconds since the Unix epoch.
     #[n(2)]
     pub since: u64,
 }
 
-/// What a follower has to be told.
+/// Change of the quarantine for a subscriber.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct QuarantineChange {
-    /// Whether `added` is everything.
+    /// Whether `added` is the complete list, which replaces the subscriber's.
     pub is_whole: bool,
     /// Requests in quarantine.
     pub added: Vec<RequestFingerprint>,
-    /// Requests that may be sent again.
+    /// Requests released from quarantine.
     pub released: Vec<RequestFingerprint>,
 }
 
-/// The requests that are sent to no server.
+/// Quarantined requests, which no server receives.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct Quarantine {
-    /// In the order in which they were recorded.
+    /// Requests in the order in which they were recorded.
     #[n(0)]
     requests: VecDeque<QuarantinedRequest>,
-    /// Number of the latest change.
+    /// Number of changes so far.
     #[n(1)]
     changes: u64,
-    /// The requests of the latest changes, the oldest first.
+    /// Requests affected by the latest changes, oldest first.
     #[n(2)]
-    latest: VecDeque<RequestFingerprint>,
+    recent_changes: VecDeque<RequestFingerprint>,
 }
 
 impl Quarantine {
-    /// The requests, the one that was recorded first at the front.
+    /// Quarantined requests in the order in which they were recorded.
     pub fn requests(&self) -> impl Iterator<Item = &QuarantinedRequest> {
         self.requests.iter()
     }
 
-    /// Number of the latest change; zero before the first.
+    /// Number of changes so far.
     pub fn changes(&self) -> u64 {
         self.changes
     }
 
-    /// Whether the request is sent to no server.
+    /// Whether the request is in quarantine.
     pub fn contains(&self, request: &RequestFingerprint) -> bool {
         self.requests.iter().any(|known| known.request == *request)
     }
 
-    /// Returns whether anything has changed.
+    /// Adds a request. Returns false if the request is in quarantine already.
     pub(crate) fn add(&mut self, request: QuarantinedRequest) -> bool {
         if self.contains(&request.request) {
             return false;
@@ -76,46 +75,49 @@
         if self.requests.len() >= MAX_QUARANTINED
             && let Some(first) = self.requests.pop_front()
         {
-            self.note(first.request);
+            self.record_change(first.request);
         }
-        self.note(request.request);
+        self.record_change(request.request);
         self.requests.push_back(request);
         true
     }
 
-    /// Returns whether anything has changed.
+    /// Releases a request. Returns false if the request is not in quarantine.
     pub(crate) fn release(&mut self, request: &RequestFingerprint) -> bool {
-        let Some(place) = self.requests.iter().position(|known| known.request == *request) else {
+        let Some(position) = self.requests.iter().position(|known| known.request == *request)
+        else {
             return false;
         };
-        self.requests.remove(place);
-        self.note(*request);
+        self.requests.remove(position);
+        self.record_change(*request);
         true
     }
 
-    fn note(&mut self, request: RequestFingerprint) {
+    fn record_change(&mut self, request: RequestFingerprint) {
         self.changes += 1;
-        self.latest.push_back(request);
-        if self.latest.len() > MAX_CHANGES {
-            self.latest.pop_front();
+        self.recent_changes.push_back(request);
+        if self.recent_changes.len() > MAX_RECENT_CHANGES {
+            self.recent_changes.pop_front();
         }
     }
 
-    /// What a follower has to be told that knows everything up to the change `known`, or nothing.
+    /// Change for a subscriber that has received the first `known` changes. Complete if `known`
+    /// is `None` or the changes since are no longer retained.
     pub fn change_after(&self, known: Option<u64>) -> QuarantineChange {
         let missing = known.and_then(|known| self.changes.checked_sub(known));
         let missing = missing.and_then(|missing| usize::try_from(missing).ok());
-        let Some(missing) = missing.filter(|missing| *missing <= self.latest.len()) else {
+        let Some(missing) = missing.filter(|missing| *missing <= self.recent_changes.len()) else {
             let added = self.requests.iter().map(|known| known.request).collect();
             return QuarantineChange { is_whole: true, added, released: Vec::new() };
         };
-        let changed = self.latest.iter().rev().take(missing);
-        let kept: BTreeMap<RequestFingerprint, bool> =
+        let changed = self.recent_changes.iter().rev().take(missing);
+        let quarantined: BTreeMap<RequestFingerprint, bool> =
             changed.map(|request| (*request, self.contains(request))).collect();
-        let with = |wanted: bool| {
-            let requests = kept.iter().filter(move |(_, is_kept)| **is_kept == wanted);
+        let select = |wanted: bool| {
+            let requests =
+                quarantined.iter().filter(move |(_, is_quarantined)| **is_quarantined == wanted);
             requests.map(|(request, _)| *request).collect()
         };
-        QuarantineChange { is_whole: false, added: with(true), released: with(false) }
+        QuarantineChange { is_whole: false, added: select(true), released: select(false) }
     }
 }
--- a/crates/control-state/src/settings.rs
+++ b/crates/control-state/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings half of the state: tree, revision, history and change ids.
+//! Settings part of the replicated state: tree, revision, history and change ids.
 
 use juniper_settings::validated::to_change_set;
 use juniper_settings::{ChangeSet, NodeChange, TreeFault, ValidatedTree};
@@ -6,41 +6,41 @@
 use minicbor::Encode;
 
 use crate::answer::WriteAnswer;
-use crate::change_ids::{ChangeIds, Known};
+use crate::change_ids::{ChangeIds, RecordedWrite};
 use crate::command::WriteHeader;
 use crate::history::{History, HistoryEntry};
-use crate::rate::WriteRate;
+use crate::rate::WriteRateLimiter;
 
-/// Settings as the replicas hold them.
+/// Replicated settings.
 ///
-/// Invariants: `revision` grows by one with each accepted write and never
-/// otherwise; `tree` is valid; `history` ends at `revision`.
+/// Invariants: `revision` is incremented by each accepted write and by nothing else;
+/// `tree` is valid; `history` ends at `revision`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SettingsState {
     pub(crate) tree: ValidatedTree,
     pub(crate) revision: Revision,
     pub(crate) history: History,
     pub(crate) change_ids: ChangeIds,
-    pub(crate) rate: WriteRate,
+    pub(crate) write_rate: WriteRateLimiter,
 }
 
 impl SettingsState {
-    /// The tree in force.
+    /// Tree in force.
     pub fn tree(&self) -> &ValidatedTree {
         &self.tree
     }
 
-    /// The revision in force.
+    /// Revision in force.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// The kept changes.
+    /// Retained changes.
     pub fn history(&self) -> &History {
         &self.history
     }
 
-    /// The changes after `from`, oldest first, if all of them are kept.
+    /// Changes after `from`, oldest first, if all of them are retained.
     pub fn changes_after(
         &self,
         from: Revision,
@@ -48,14 +48,14 @@
         self.history.after(from, self.revision)
     }
 
-    /// What separates two kept revisions.
+    /// Difference between two revisions, if the changes between them are retained.
     pub fn diff(&self, from: Revision, to: Revision) -> Option<Vec<NodeChange>> {
         self.history.diff(from, to, self.revision)
     }
 
     pub(crate) fn change(&mut self, header: WriteHeader, change: &ChangeSet) -> WriteAnswer {
         let fingerprint = fingerprint(&(header.base, change));
-        if let Some(answer) = self.refuse_early(&header, &fingerprint) {
+        if let Some(answer) = self.check_header(&header, &fingerprint) {
             return answer;
         }
         match self.tree.apply(change) {
@@ -66,43 +66,46 @@
 
     pub(crate) fn rollback(&mut self, header: WriteHeader, to: Revision) -> WriteAnswer {
         let fingerprint = fingerprint(&(header.base, to));
-        if let Some(answer) = self.refuse_early(&header, &fingerprint) {
+        if let Some(answer) = self.check_header(&header, &fingerprint) {
             return answer;
         }
         let Some(changes) = self.diff(self.revision, to) else {
             let oldest = self.history.oldest(self.revision);
             return WriteAnswer::RevisionUnavailable { oldest, current: self.revision };
         };
-        match self.roll_tree_back(&changes) {
+        match self.apply_node_changes(&changes) {
             Ok(changes) => self.accept(header, fingerprint, Some(to), changes),
             Err(faults) => WriteAnswer::Invalid { faults },
         }
     }
 
-    fn roll_tree_back(
+    fn apply_node_changes(
         &mut self,
         changes: &[NodeChange],
     ) -> Result<Vec<NodeChange>, Vec<TreeFault>> {
         self.tree.apply(&to_change_set(changes))
     }
 
-    /// The answer to a write that need not be looked at further.
-    fn refuse_early(
+    /// Checks the change id, the base revision and the rate limit. Returns the answer to a
+    /// write that needs no further processing.
+    fn check_header(
         &mut self,
         header: &WriteHeader,
         fingerprint: &BlockHash,
     ) -> Option<WriteAnswer> {
         match self.change_ids.find(&header.change_id, fingerprint) {
-            Some(Known::Same(revision)) => return Some(WriteAnswer::Accepted { revision }),
-            Some(Known::Other(revision)) => return Some(WriteAnswer::ChangeIdReused { revision }),
+            Some(RecordedWrite::Same(revision)) => return Some(WriteAnswer::Accepted { revision }),
+            Some(RecordedWrite::Different(revision)) => {
+                return Some(WriteAnswer::ChangeIdReused { revision });
+            }
             None => {}
         }
         if header.base != self.revision {
             let diff = self.history.conflict_diff(header.base, self.revision);
             return Some(WriteAnswer::Conflict { current: self.revision, diff });
         }
-        let taken = self.rate.take(header.at_ms);
-        taken.err().map(|retry_after_ms| WriteAnswer::RateLimited { retry_after_ms })
+        let acquired = self.write_rate.try_acquire(header.at_ms);
+        acquired.err().map(|retry_after_ms| WriteAnswer::RateLimited { retry_after_ms })
     }
 
     fn accept(
@@ -129,7 +132,7 @@
     }
 }
 
-/// Identifies what a write asks for; the proposer's clock and the author don't count.
+/// Hash of the content of a write, without the proposer's clock and the author.
 fn fingerprint(content: &impl Encode<()>) -> BlockHash {
     let hash = blake3::hash(&crate::snapshot::to_bytes(content));
     let mut short = [0; 16];
--- a/crates/control-state/src/snapshot.rs
+++ b/crates/control-state/src/snapshot.rs
@@ -1,7 +1,7 @@
-//! The encoded form of the whole state.
+//! Encoding of the complete state.
 //!
-//! A snapshot starts with its version. A replica reads every version up to its
-//! own and writes its own, so replicas are upgraded one after the other.
+//! A snapshot starts with its format version. Replicas read every version up to their
+//! own and write their own, which allows rolling upgrades.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -15,24 +15,24 @@
 use crate::fleet::{EncodedFleet, FleetState};
 use crate::history::History;
 use crate::orders::OrderBook;
-use crate::rate::WriteRate;
+use crate::rate::WriteRateLimiter;
 use crate::settings::SettingsState;
 use crate::state::ControlState;
 
-/// Version of the snapshot that this program writes.
+/// Format version of snapshots written by this build.
 pub const SNAPSHOT_VERSION: u16 = 1;
 
-/// Why a snapshot can't be used.
+/// Error of decoding a snapshot.
 #[derive(Debug, thiserror::Error)]
 pub enum SnapshotError {
-    /// The bytes are no snapshot.
+    /// The bytes are not a valid snapshot.
     #[error("malformed snapshot: {0}")]
     Malformed(#[from] minicbor::decode::Error),
-    /// The snapshot was written by a newer program.
+    /// The snapshot was written by a newer build.
     #[error("snapshot version {0} is newer than {SNAPSHOT_VERSION}")]
     Version(u16),
-    /// The tree in the snapshot has faults.
-    #[error("the tree in the snapshot has {} fault(s)", .0.len())]
+    /// The settings tree in the snapshot is invalid.
+    #[error("the settings tree in the snapshot has {} fault(s)", .0.len())]
     Tree(Vec<TreeFault>),
 }
 
@@ -51,22 +51,22 @@
     #[n(5)]
     change_ids: VecDeque<ChangeRecord>,
     #[n(6)]
-    rate: WriteRate,
+    write_rate: WriteRateLimiter,
     #[n(7)]
     claims: Claims,
     #[n(8)]
     fences: BTreeMap<EngineId, u64>,
     #[n(9)]
     last_fence: u64,
-    /// Absent in snapshots written before there were orders.
+    /// Absent in snapshots written by builds without orders.
     #[n(10)]
     orders: Option<OrderBook>,
-    /// Absent in snapshots written before there were generic services.
+    /// Absent in snapshots written by builds without generic services.
     #[n(11)]
     fleet: Option<EncodedFleet>,
 }
 
-/// The same fields in the same order, borrowed.
+/// Borrowed equivalent of [`Decoded`], with the same fields in the same order.
 #[derive(Encode)]
 struct Encoded<'a> {
     #[n(0)]
@@ -82,7 +82,7 @@
     #[n(5)]
     change_ids: &'a VecDeque<ChangeRecord>,
     #[n(6)]
-    rate: &'a WriteRate,
+    write_rate: &'a WriteRateLimiter,
     #[n(7)]
     claims: &'a Claims,
     #[n(8)]
@@ -96,7 +96,7 @@
 }
 
 impl ControlState {
-    /// Encodes the whole state.
+    /// Encodes the complete state.
     pub fn to_snapshot(&self) -> Vec<u8> {
         to_bytes(&Encoded {
             version: SNAPSHOT_VERSION,
@@ -105,7 +105,7 @@
             tree: self.settings.tree.tree(),
             history: &self.settings.history,
             change_ids: self.settings.change_ids.records(),
-            rate: &self.settings.rate,
+            write_rate: &self.settings.write_rate,
             claims: &self.claims,
             fences: &self.fences,
             last_fence: self.last_fence,
@@ -114,7 +114,7 @@
         })
     }
 
-    /// Reads a whole state.
+    /// Decodes a complete state.
     pub fn from_snapshot(bytes: &[u8]) -> Result<Self, SnapshotError> {
         let mut header = minicbor::Decoder::new(bytes);
         header.array()?;
@@ -129,7 +129,7 @@
             revision: decoded.revision,
             history: decoded.history,
             change_ids: ChangeIds::from_records(decoded.change_ids),
-            rate: decoded.rate,
+            write_rate: decoded.write_rate,
         };
         Ok(ControlState {
             applied: decoded.applied,
@@ -143,11 +143,11 @@
     }
 }
 
-/// Encodes into memory, which can't fail.
+/// Encodes a value into a byte vector.
 pub fn to_bytes<T: Encode<()>>(value: &T) -> Vec<u8> {
     let mut bytes = Vec::new();
     match minicbor::encode(value, &mut bytes) {
         Ok(()) => bytes,
-        Err(error) => unreachable!("a vector takes every byte: {error}"),
+        Err(error) => unreachable!("encoding into a vector failed: {error}"),
     }
 }
--- a/crates/control-state/src/state.rs
+++ b/crates/control-state/src/state.rs
@@ -1,4 +1,4 @@
-//! The whole replicated state and the one way to change it.
+//! Complete replicated state and the application of commands.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,9 +14,8 @@
 use crate::orders::{ActiveOrder, OrderAction, OrderAnswer, OrderBook};
 use crate::settings::SettingsState;
 
-/// What the control replicas agree on. A clone shares the large parts, which are
-/// copied when they change; a snapshot can be written from one while the state
-/// goes on.
+/// Replicated state of the control replicas. Clones are cheap, because large parts are
+/// shared and copied on write, so that a snapshot can be encoded while commands are applied.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ControlState {
     pub(crate) applied: u64,
@@ -29,28 +28,28 @@
 }
 
 impl ControlState {
-    /// Index of the last command applied; zero before the first.
+    /// Log index of the last applied command; 0 before the first.
     pub fn applied(&self) -> u64 {
         self.applied
     }
 
-    /// The settings.
+    /// Settings tree with its history.
     pub fn settings(&self) -> &SettingsState {
         &self.settings
     }
 
-    /// The claims.
+    /// Claims of at-most-once requests.
     pub fn claims(&self) -> &Claims {
         &self.claims
     }
 
-    /// The latest fencing token drawn for an engine.
+    /// Latest fencing token drawn for an engine.
     pub fn fence(&self, engine: EngineId) -> Option<u64> {
         self.fences.get(&engine).copied()
     }
 
-    /// Applies the command at log position `index`. Commands must come in log
-    /// order; the effect depends on the state and the command alone.
+    /// Applies the command at log index `index`. Commands must be applied in log order. The
+    /// effect depends only on the state and the command.
     pub fn apply(&mut self, index: u64, command: Command) -> Answer {
         self.applied = index;
         match command {
@@ -78,12 +77,12 @@
                 Answer::Catalog(self.fleet_mut().put_catalog(index, catalog))
             }
             Command::NameWeights { model, version } => {
-                Answer::Weights(self.fleet_mut().name_weights(index, model, version))
+                Answer::Weights(self.fleet_mut().set_target_weights(index, model, version))
             }
             Command::Depart { instance, through, at } => {
                 let departure = Departure { name: instance, through };
                 if !self.fleet.departures().covers(&departure) {
-                    self.fleet_mut().depart(index, departure, at);
+                    self.fleet_mut().record_departure(index, departure, at);
                 }
                 Answer::Departed
             }
@@ -103,7 +102,7 @@
         }
     }
 
-    /// What the fleet of generic services agrees on.
+    /// State of the fleet of generic services.
     pub fn fleet(&self) -> &Arc<FleetState> {
         &self.fleet
     }
@@ -112,12 +111,12 @@
         Arc::make_mut(&mut self.fleet)
     }
 
-    /// Orders that may be under way.
+    /// Orders that may be in flight.
     pub fn orders(&self) -> &OrderBook {
         &self.orders
     }
 
-    /// Loads from the weight store that the tree allows at once.
+    /// Maximum number of concurrent loads from the weight store, according to the settings.
     pub fn load_limit(&self) -> u32 {
         let root = self.settings.tree().tree().effective(&SettingsPath::Root);
         root.weight_loads_at_once
@@ -138,7 +137,7 @@
         answer
     }
 
-    /// Tokens come from one counter, so they also order orders to different engines.
+    /// Draws a token for `engine` from the counter shared by all engines.
     fn next_fence(&mut self, engine: EngineId) -> u64 {
         self.last_fence += 1;
         self.fences.insert(engine, self.last_fence);
--- a/crates/control-state/tests/claims.rs
+++ b/crates/control-state/tests/claims.rs
@@ -1,4 +1,4 @@
-//! Claims: never granted twice, whatever is resent, settled or forgotten.
+//! Claims of at-most-once requests: no key is granted to two attempts.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_claim_goes_through_its_life() {
+fn claims_are_granted_settled_and_expired() {
     let mut state = ControlState::default();
     let mut index = 0;
     let mut apply = |command| {
@@ -51,14 +51,14 @@
     assert_eq!(apply(Command::AdvanceHorizon { to: 50 }), Answer::Horizon(101));
     let expired = ClaimAnswer::Expired { horizon: 101 };
     assert_eq!(apply(claim(100, 1, 16, 100)), Answer::Claim(expired));
-    // It may have been kept by an earlier sending; that it wasn't held is not known.
+    // The answer is not `NotHeld`, because an earlier settlement may have been recorded.
     let expired = SettleAnswer::Expired { horizon: 101 };
     assert_eq!(apply(settle(100, 11, 3)), Answer::Settle(expired));
     assert_eq!(apply(settle(101, 11, 3)), Answer::Settle(SettleAnswer::NotHeld));
 }
 
 #[test]
-fn a_large_outcome_is_cut_and_says_so() {
+fn a_large_outcome_is_truncated_and_marked() {
     let mut state = ControlState::default();
     state.apply(1, claim(100, 1, 11, 100));
     state.apply(2, settle(100, 11, 100_000));
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn fences_only_grow() {
+fn fencing_tokens_increase() {
     let mut state = ControlState::default();
     let draw = |state: &mut ControlState, index, engine| {
         state.apply(index, Command::NextFence { engine: EngineId(engine) })
@@ -83,15 +83,15 @@
     assert_eq!((state.fence(EngineId(4)), state.fence(EngineId(5))), (Some(3), Some(2)));
 }
 
-/// A command over few keys and attempts, with clocks that run wild.
+/// Random command with few keys and attempts and arbitrary clocks.
 #[derive(Clone, Debug)]
-struct WildCommand(Command);
+struct ArbitraryCommand(Command);
 
-impl Arbitrary for WildCommand {
+impl Arbitrary for ArbitraryCommand {
     fn arbitrary(gen_: &mut Gen) -> Self {
         let small = |gen_: &mut Gen, below: u8| u64::from(u8::arbitrary(gen_) % below);
         let (made_at, attempt) = (small(gen_, 4), small(gen_, 5));
-        WildCommand(match u8::arbitrary(gen_) % 8 {
+        ArbitraryCommand(match u8::arbitrary(gen_) % 8 {
             0 => Command::AdvanceHorizon { to: small(gen_, 6) },
             1 | 2 => settle(made_at, attempt, 1),
             _ => claim(made_at, small(gen_, 2) as u8, attempt, small(gen_, 200)),
@@ -100,14 +100,14 @@
 }
 
 #[test]
-fn no_key_is_ever_granted_to_two_attempts_and_replicas_agree() {
-    fn property(commands: Vec<WildCommand>) -> bool {
+fn no_key_is_granted_to_two_attempts_and_replicas_agree() {
+    fn property(commands: Vec<ArbitraryCommand>) -> bool {
         let mut state = ControlState::default();
         let mut replica = ControlState::default();
         let mut granted: BTreeMap<u64, BTreeSet<u64>> = BTreeMap::new();
-        for (place, WildCommand(command)) in commands.into_iter().enumerate() {
-            let index = place as u64 + 1;
-            if place % 7 == 3 {
+        for (position, ArbitraryCommand(command)) in commands.into_iter().enumerate() {
+            let index = position as u64 + 1;
+            if position % 7 == 3 {
                 replica = ControlState::from_snapshot(&replica.to_snapshot()).unwrap();
             }
             let answer = state.apply(index, command.clone());
@@ -123,5 +123,5 @@
     }
     let random = Gen::from_size_and_seed(COMMANDS, SEED);
     let mut check = QuickCheck::new().rng(random).tests(CASES);
-    check.quickcheck(property as fn(Vec<WildCommand>) -> bool);
+    check.quickcheck(property as fn(Vec<ArbitraryCommand>) -> bool);
 }
--- a/crates/control-state/tests/fleet.rs
+++ b/crates/control-state/tests/fleet.rs
@@ -1,6 +1,6 @@
-//! The replicated state of generic services.
+//! Replicated state of the fleet of generic services.
 
-use juniper_control_state::departures::KEPT_DEPARTURES;
+use juniper_control_state::departures::MIN_RETAINED_DEPARTURES;
 use juniper_control_state::{
     AcceptedCatalog, Answer, CatalogAnswer, Command, ControlState, OrderLease,
 };
@@ -13,16 +13,16 @@
 }
 
 fn document(state: &ControlState) -> Option<String> {
-    let held = state.fleet().catalog()?;
-    String::from_utf8(held.document.clone()).ok()
+    let catalog = state.fleet().catalog()?;
+    String::from_utf8(catalog.document.clone()).ok()
 }
 
-/// A departure as builds before this one record it.
+/// Records a departure in the form of earlier builds, without start time and clock.
 fn depart(state: &mut ControlState, index: u64, id: &str) {
     depart_at(state, index, (id, 0), 0);
 }
 
-/// The departure of an incarnation that started at a time, recorded at another.
+/// Records at `at` the departure of the incarnation that started at `started`.
 fn depart_at(state: &mut ControlState, index: u64, (id, started): (&str, u64), at: u64) {
     let (instance, through) = (InstanceName::new(id), StartTime::from_unix_ms(started));
     let command = Command::Depart { instance, through, at };
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn the_highest_version_is_in_force_and_never_goes_back() {
+fn only_a_higher_catalog_version_replaces_the_current_one() {
     let mut state = ControlState::default();
     assert_eq!(put(&mut state, 1, 4, "four"), Answer::Catalog(CatalogAnswer::Accepted));
     let unchanged = |held| Answer::Catalog(CatalogAnswer::Unchanged { held });
@@ -47,19 +47,19 @@
 }
 
 #[test]
-fn weights_only_rise() {
+fn target_weights_only_increase() {
     let mut state = ControlState::default();
-    let name = |state: &mut ControlState, index, version| {
+    let set = |state: &mut ControlState, index, version| {
         state.apply(index, Command::NameWeights { model: "m".into(), version })
     };
-    assert_eq!(name(&mut state, 1, 3), Answer::Weights(3));
-    assert_eq!(name(&mut state, 2, 2), Answer::Weights(3));
+    assert_eq!(set(&mut state, 1, 3), Answer::Weights(3));
+    assert_eq!(set(&mut state, 2, 2), Answer::Weights(3));
     assert_eq!(state.fleet().weights().get("m"), Some(&3));
     assert_eq!(state.fleet().revision(), 1);
 }
 
 #[test]
-fn departures_are_kept_once_and_told_from_any_point_on() {
+fn departures_are_recorded_once_and_listed_from_any_position() {
     let mut state = ControlState::default();
     depart(&mut state, 1, "a");
     depart(&mut state, 2, "b");
@@ -67,27 +67,29 @@
     let fleet = state.fleet();
     assert_eq!((fleet.departures().total(), fleet.revision()), (2, 2));
     let departures = fleet.departures();
-    let after = |known| departures.after(known).map(|it| it.name.as_str()).collect::<Vec<_>>();
+    let after = |known| {
+        departures.after(known).map(|departure| departure.name.as_str()).collect::<Vec<_>>()
+    };
     assert_eq!(after(0), ["a", "b"]);
     assert_eq!(after(1), ["b"]);
     assert_eq!(after(7), [""; 0]);
 }
 
 #[test]
-fn the_oldest_departures_are_forgotten_in_the_end() {
+fn the_oldest_departures_are_evicted() {
     let mut state = ControlState::default();
-    for number in 0..=KEPT_DEPARTURES as u64 {
+    for number in 0..=MIN_RETAINED_DEPARTURES as u64 {
         depart(&mut state, number + 1, &format!("i-{number}"));
     }
     let fleet = state.fleet();
     assert!(!fleet.has_departed(&InstanceId::new("i-0")));
     assert!(fleet.has_departed(&InstanceId::new("i-1")));
-    assert_eq!(fleet.departures().kept(), KEPT_DEPARTURES);
-    assert_eq!(fleet.departures().after(KEPT_DEPARTURES as u64).count(), 1);
+    assert_eq!(fleet.departures().kept(), MIN_RETAINED_DEPARTURES);
+    assert_eq!(fleet.departures().after(MIN_RETAINED_DEPARTURES as u64).count(), 1);
 }
 
 #[test]
-fn tokens_of_orders_rise_with_each_lease() {
+fn each_order_lease_has_a_higher_token() {
     let mut state = ControlState::default();
     let mut take =
         |index, node| match state.apply(index, Command::TakeOrderLease { node: NodeId(node) }) {
@@ -105,7 +107,7 @@
 }
 
 #[test]
-fn a_snapshot_holds_everything() {
+fn the_fleet_state_round_trips_through_a_snapshot() {
     let mut state = ControlState::default();
     put(&mut state, 1, 4, "four");
     depart(&mut state, 2, "a");
@@ -116,42 +118,45 @@
 }
 
 #[test]
-fn a_departure_names_the_incarnations_that_left() {
+fn a_departure_covers_only_incarnations_up_to_its_start_time() {
     let mut state = ControlState::default();
     depart_at(&mut state, 1, ("a", 100), 10);
     assert!(state.fleet().has_departed(&incarnation("a", 100)));
-    assert!(!state.fleet().has_departed(&incarnation("a", 200)), "it started again");
-    // An earlier incarnation's word that comes late changes nothing.
+    assert!(
+        !state.fleet().has_departed(&incarnation("a", 200)),
+        "a later incarnation counts as departed"
+    );
+    // A late departure of an earlier incarnation changes nothing.
     depart_at(&mut state, 2, ("a", 50), 11);
     assert_eq!((state.fleet().revision(), state.fleet().departures().total()), (1, 1));
-    // The later one leaves too, and whoever follows is told.
+    // The departure of the later incarnation is recorded for subscribers.
     depart_at(&mut state, 3, ("a", 200), 12);
     assert!(state.fleet().has_departed(&incarnation("a", 200)));
-    let told: Vec<u64> =
-        state.fleet().departures().after(1).map(|it| it.through.unix_ms()).collect();
-    assert_eq!(told, [200]);
+    let through: Vec<u64> =
+        state.fleet().departures().after(1).map(|departure| departure.through.unix_ms()).collect();
+    assert_eq!(through, [200]);
     let read = ControlState::from_snapshot(&state.to_snapshot()).expect("a snapshot");
     assert_eq!(read, state);
 }
 
-/// A bound by number alone would forget servers that still serve while a large fleet is replaced.
+/// A limit on the number alone would evict servers that still serve during the replacement of
+/// a large fleet.
 #[test]
-fn departures_are_kept_for_a_time_whatever_the_size_of_the_fleet() {
-    let kept_at = |a_second: u64| {
+fn the_retention_time_of_departures_is_independent_of_their_rate() {
+    let retained_seconds = |per_second: u64| {
         let mut state = ControlState::default();
-        for number in 0..a_second * 400 {
+        for number in 0..per_second * 400 {
             let name = format!("i-{number}");
-            depart_at(&mut state, number + 1, (&name, 1), 1 + number / a_second);
+            depart_at(&mut state, number + 1, (&name, 1), 1 + number / per_second);
         }
-        let last = a_second * 400 - 1;
-        let is_kept = |ago: u64| {
-            let number = last - ago * a_second;
+        let last = per_second * 400 - 1;
+        let is_retained = |ago: u64| {
+            let number = last - ago * per_second;
             state.fleet().has_departed(&incarnation(&format!("i-{number}"), 1))
         };
-        assert!(is_kept(0) && is_kept(100), "{a_second} a second");
-        state.fleet().departures().kept() as u64 / a_second
+        assert!(is_retained(0) && is_retained(100), "{per_second} departures per second");
+        state.fleet().departures().kept() as u64 / per_second
     };
-    // As many seconds at each size, so that what is kept grows with the fleet and no faster.
-    let seconds = [10, 20, 40].map(kept_at);
-    assert!(seconds.iter().all(|kept| (145..=160).contains(kept)), "{seconds:?}");
+    let seconds = [10, 20, 40].map(retained_seconds);
+    assert!(seconds.iter().all(|retained| (145..=160).contains(retained)), "{seconds:?}");
 }
--- a/crates/control-state/tests/hostile.rs
+++ b/crates/control-state/tests/hostile.rs
@@ -1,4 +1,4 @@
-//! Commands and snapshots that nobody should write: refused or applied, never a panic.
+//! Corrupt commands and snapshots: rejected or applied, without a panic.
 
 use juniper_control_state::{Command, ControlState, to_bytes};
 use juniper_types::{BlockHash, ClaimKey, TenantName};
@@ -18,11 +18,11 @@
     }
 }
 
-fn damaged(bytes: &[u8], random: &mut Gen) -> Vec<u8> {
+fn corrupt(bytes: &[u8], random: &mut Gen) -> Vec<u8> {
     let mut bytes = bytes.to_vec();
     for _ in 0..=usize::arbitrary(random) % 4 {
-        let place = usize::arbitrary(random) % bytes.len();
-        bytes[place] = u8::arbitrary(random);
+        let position = usize::arbitrary(random) % bytes.len();
+        bytes[position] = u8::arbitrary(random);
     }
     if bool::arbitrary(random) {
         bytes.truncate(usize::arbitrary(random) % bytes.len());
@@ -31,22 +31,22 @@
 }
 
 #[test]
-fn damaged_commands_never_panic() {
+fn corrupt_commands_cause_no_panic() {
     let mut random = Gen::from_size_and_seed(SIZE, SEED);
     let mut state = ControlState::default();
     let mut index = 0;
     for attempt in 0..CASES as u64 {
-        let bytes = damaged(&to_bytes(&command(attempt)), &mut random);
+        let bytes = corrupt(&to_bytes(&command(attempt)), &mut random);
         if let Ok(command) = minicbor::decode::<Command>(&bytes) {
             index += 1;
             state.apply(index, command);
         }
     }
-    assert!(index > 0, "every command was refused");
+    assert!(index > 0, "no corrupt command could be decoded");
 }
 
 #[test]
-fn damaged_snapshots_never_panic() {
+fn corrupt_snapshots_cause_no_panic() {
     let mut random = Gen::from_size_and_seed(SIZE, SEED);
     let mut state = ControlState::default();
     for attempt in 1..20 {
@@ -55,9 +55,9 @@
     let bytes = state.to_snapshot();
     assert!(ControlState::from_snapshot(&bytes).is_ok());
     for _ in 0..CASES {
-        let damaged = damaged(&bytes, &mut random);
-        if let Ok(read) = ControlState::from_snapshot(&damaged) {
-            let _ = read.to_snapshot();
+        let corrupt = corrupt(&bytes, &mut random);
+        if let Ok(decoded) = ControlState::from_snapshot(&corrupt) {
+            let _ = decoded.to_snapshot();
         }
     }
 }
--- a/crates/control-state/tests/orders.rs
+++ b/crates/control-state/tests/orders.rs
@@ -1,17 +1,17 @@
-//! Orders under crashes, late and repeated delivery and leaders with old views: the
-//! limit on loads holds at every step, and the fleet ends up as the targets ask.
+//! Orders under crashes, delayed and duplicate delivery, and leaders with stale views: the
+//! load limit holds at every step, and the fleet converges to the targets.
 
 use std::collections::BTreeMap;
 
 use juniper_control_state::orders::{EndProof, OrderAction, OrderAnswer};
-use juniper_control_state::plan::{EngineView, Holding, Situation, Target, plan};
+use juniper_control_state::plan::{EngineView, EngineWeights, PlanInput, Target, plan};
 use juniper_control_state::{Answer, Command, ControlState};
 use juniper_types::{EngineId, Incarnation, ModelName, WeightsVersion};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 const CASES: u64 = 1_500;
 const ENGINES: u32 = 6;
-/// The limit that an empty tree sets.
+/// Default load limit of an empty settings tree.
 const LOAD_LIMIT: u32 = 2;
 const MIN_SERVING_PERCENT: u8 = 50;
 
@@ -25,16 +25,17 @@
     vec![target("large", 2.0), target("small", 1.0)]
 }
 
-/// An engine as far as orders concern it. Its newest token outlives its crashes.
+/// Simulated engine.
 #[derive(Clone, Debug)]
 struct Engine {
     view: EngineView,
-    newest: u64,
+    /// Highest accepted token, which survives crashes.
+    latest_token: u64,
 }
 
-/// A recorded order, which may be delivered at any time and any number of times.
+/// Recorded order, which may be delivered at any time and repeatedly.
 #[derive(Clone, Debug)]
-struct Letter {
+struct RecordedOrder {
     engine: EngineId,
     token: u64,
     incarnation: Incarnation,
@@ -45,8 +46,8 @@
     state: ControlState,
     index: u64,
     engines: BTreeMap<EngineId, Engine>,
-    letters: Vec<Letter>,
-    /// What each of two leaders believes.
+    recorded_orders: Vec<RecordedOrder>,
+    /// Views of the engines, for each of two leaders.
     views: [Vec<EngineView>; 2],
     targets: Vec<Target>,
 }
@@ -55,14 +56,14 @@
     fn new() -> Self {
         let engine = |number| {
             let (engine, incarnation) = (EngineId(number), Incarnation(1));
-            let view = EngineView { engine, incarnation, holding: Holding::Nothing };
-            (engine, Engine { view, newest: 0 })
+            let view = EngineView { engine, incarnation, weights: EngineWeights::None };
+            (engine, Engine { view, latest_token: 0 })
         };
         World {
             state: ControlState::default(),
             index: 0,
             engines: (1..=ENGINES).map(engine).collect(),
-            letters: Vec::new(),
+            recorded_orders: Vec::new(),
             views: [Vec::new(), Vec::new()],
             targets: targets(1),
         }
@@ -80,9 +81,9 @@
         self.views[leader] = self.engines.values().map(|engine| engine.view.clone()).collect();
     }
 
-    /// A leader plans from what it believes and records its orders.
+    /// Records the orders that a leader plans from its view.
     fn record(&mut self, leader: usize) {
-        let loads = plan(Situation {
+        let loads = plan(PlanInput {
             engines: &self.views[leader],
             targets: &self.targets,
             orders: self.state.orders(),
@@ -93,46 +94,46 @@
             let (engine, incarnation, action) = (load.engine, load.incarnation, load.action);
             let command = Command::BeginOrder { engine, incarnation, action: action.clone() };
             if let OrderAnswer::Recorded(token) = self.commit(command) {
-                self.letters.push(Letter { engine, token, incarnation, action });
+                self.recorded_orders.push(RecordedOrder { engine, token, incarnation, action });
             }
         }
     }
 
-    fn deliver(&mut self, letter: usize) {
-        let Some(letter) = self.letters.get(letter).cloned() else { return };
-        let engine = self.engines.get_mut(&letter.engine).unwrap();
-        let is_refused =
-            engine.view.incarnation != letter.incarnation || letter.token <= engine.newest;
-        if is_refused {
+    fn deliver(&mut self, number: usize) {
+        let Some(order) = self.recorded_orders.get(number).cloned() else { return };
+        let engine = self.engines.get_mut(&order.engine).unwrap();
+        let is_rejected =
+            engine.view.incarnation != order.incarnation || order.token <= engine.latest_token;
+        if is_rejected {
             return;
         }
-        engine.newest = letter.token;
-        let OrderAction::LoadModel { model, weights } = letter.action else { return };
-        engine.view.holding = Holding::Loading(model, weights);
+        engine.latest_token = order.token;
+        let OrderAction::LoadModel { model, weights } = order.action else { return };
+        engine.view.weights = EngineWeights::Loading(model, weights);
     }
 
     fn finish_load(&mut self, engine: EngineId) {
         let engine = self.engines.get_mut(&engine).unwrap();
-        if let Holding::Loading(model, weights) = engine.view.holding.clone() {
-            engine.view.holding = Holding::Serving(model, weights);
+        if let EngineWeights::Loading(model, weights) = engine.view.weights.clone() {
+            engine.view.weights = EngineWeights::Serving(model, weights);
         }
     }
 
     fn crash(&mut self, engine: EngineId) {
         let engine = self.engines.get_mut(&engine).unwrap();
         engine.view.incarnation.0 += 1;
-        engine.view.holding = Holding::Nothing;
+        engine.view.weights = EngineWeights::None;
     }
 
-    /// Records the end of every order that the engines' answers prove to be over.
+    /// Records the end of every order that has provably ended.
     fn end_orders(&mut self) {
         let orders: Vec<_> = self.state.orders().orders().map(|(e, o)| (e, o.clone())).collect();
         for (id, order) in orders {
             let engine = &self.engines[&id];
-            let loading = matches!(engine.view.holding, Holding::Loading(..));
+            let loading = matches!(engine.view.weights, EngineWeights::Loading(..));
             let proof = if engine.view.incarnation != order.incarnation {
-                EndProof::NewLife
-            } else if engine.newest >= order.token && !loading {
+                EndProof::NewIncarnation
+            } else if engine.latest_token >= order.token && !loading {
                 EndProof::Done
             } else {
                 continue;
@@ -142,27 +143,28 @@
     }
 
     fn loading(&self) -> usize {
-        let is_loading = |engine: &&Engine| matches!(engine.view.holding, Holding::Loading(..));
+        let is_loading =
+            |engine: &&Engine| matches!(engine.view.weights, EngineWeights::Loading(..));
         self.engines.values().filter(is_loading).count()
     }
 
-    fn serving(&self, wanted: &Target) -> usize {
-        let holds = Holding::Serving(wanted.model.clone(), wanted.weights);
-        self.engines.values().filter(|engine| engine.view.holding == holds).count()
+    fn serving(&self, target: &Target) -> usize {
+        let weights = EngineWeights::Serving(target.model.clone(), target.weights);
+        self.engines.values().filter(|engine| engine.view.weights == weights).count()
     }
 
     fn serving_any_version(&self, name: &str) -> usize {
-        let serves = |engine: &&Engine| matches!(&engine.view.holding, Holding::Serving(model, _) if *model == crate::model(name));
+        let serves = |engine: &&Engine| matches!(&engine.view.weights, EngineWeights::Serving(model, _) if *model == crate::model(name));
         self.engines.values().filter(serves).count()
     }
 
-    /// Lets everything happen in turn until nothing changes any more.
-    fn settle(&mut self, mut after_each: impl FnMut(&World)) {
+    /// Runs rounds of planning, delivery and completion until the fleet has converged.
+    fn converge(&mut self, mut after_each: impl FnMut(&World)) {
         for _ in 0..60 {
             self.observe(0);
             self.record(0);
-            for letter in 0..self.letters.len() {
-                self.deliver(letter);
+            for number in 0..self.recorded_orders.len() {
+                self.deliver(number);
             }
             after_each(self);
             for number in 1..=ENGINES {
@@ -200,13 +202,13 @@
     }
 }
 
-fn limit_holds_and_the_fleet_settles(steps: Vec<Step>) -> bool {
+fn limit_holds_and_the_fleet_converges(steps: Vec<Step>) -> bool {
     let mut world = World::new();
     for step in steps {
         match step {
             Step::Observe(leader) => world.observe(leader),
             Step::Record(leader) => world.record(leader),
-            Step::Deliver(letter) => world.deliver(letter),
+            Step::Deliver(number) => world.deliver(number),
             Step::Finish(engine) => world.finish_load(engine),
             Step::Crash(engine) => world.crash(engine),
             Step::End => world.end_orders(),
@@ -216,41 +218,41 @@
             return false;
         }
     }
-    world.settle(|_| {});
-    let last = world.targets.clone();
+    world.converge(|_| {});
+    let targets = world.targets.clone();
     let restored = ControlState::from_snapshot(&world.state.to_snapshot()).unwrap();
-    restored == world.state && (world.serving(&last[0]), world.serving(&last[1])) == (4, 2)
+    restored == world.state && (world.serving(&targets[0]), world.serving(&targets[1])) == (4, 2)
 }
 
 #[test]
-fn the_limit_on_loads_holds_and_the_fleet_settles_whatever_happens() {
+fn the_load_limit_holds_and_the_fleet_converges() {
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(120, 0x0de5))
         .tests(CASES)
-        .quickcheck(limit_holds_and_the_fleet_settles as fn(Vec<Step>) -> bool);
+        .quickcheck(limit_holds_and_the_fleet_converges as fn(Vec<Step>) -> bool);
 }
 
 #[test]
-fn a_rolling_change_of_weights_keeps_half_of_each_model_serving() {
+fn a_rollout_of_new_weights_keeps_half_of_each_model_serving() {
     let mut world = World::new();
-    world.settle(|_| {});
+    world.converge(|_| {});
     world.targets = targets(2);
-    world.settle(|world| {
+    world.converge(|world| {
         assert!(world.serving_any_version("large") >= 2);
         assert!(world.serving_any_version("small") >= 1);
     });
-    let wanted = targets(2);
-    assert_eq!((world.serving(&wanted[0]), world.serving(&wanted[1])), (4, 2));
+    let targets = targets(2);
+    assert_eq!((world.serving(&targets[0]), world.serving(&targets[1])), (4, 2));
 }
 
 #[test]
-fn empty_engines_come_before_moves_and_newer_weights() {
+fn empty_engines_are_planned_first() {
     let mut world = World::new();
-    world.settle(|_| {});
+    world.converge(|_| {});
     world.targets = targets(2);
     world.crash(EngineId(5));
     world.observe(0);
-    let loads = plan(Situation {
+    let loads = plan(PlanInput {
         engines: &world.views[0],
         targets: &world.targets,
         orders: world.state.orders(),
@@ -261,7 +263,7 @@
 }
 
 #[test]
-fn a_resent_record_keeps_its_token_and_tokens_grow() {
+fn a_repeated_recording_keeps_its_token_and_tokens_increase() {
     let mut world = World::new();
     let load = |version| OrderAction::LoadModel {
         model: model("large"),
--- a/crates/control-state/tests/quarantine.rs
+++ b/crates/control-state/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Which requests are sent to no server: recorded once, bounded, and told in steps.
+//! Quarantined requests: recorded once, bounded in number, and sent to subscribers incrementally.
 
 use std::collections::BTreeSet;
 
@@ -25,12 +25,12 @@
     Command::Release { request: fingerprint(number) }
 }
 
-fn held(state: &ControlState) -> BTreeSet<RequestFingerprint> {
+fn quarantined(state: &ControlState) -> BTreeSet<RequestFingerprint> {
     state.fleet().quarantine().requests().map(|known| known.request).collect()
 }
 
 #[test]
-fn a_request_is_recorded_once_and_changes_nothing_again() {
+fn repeated_quarantines_and_unknown_releases_change_nothing() {
     let mut state = ControlState::default();
     assert_eq!(state.apply(3, quarantine(1)), Answer::Recorded);
     assert_eq!(state.fleet().revision(), 3);
@@ -39,60 +39,64 @@
     assert_eq!((state.fleet().revision(), state.fleet().quarantine().changes()), (3, 1));
     state.apply(6, release(1));
     assert_eq!(state.fleet().revision(), 6);
-    assert!(held(&state).is_empty());
+    assert!(quarantined(&state).is_empty());
 }
 
 #[test]
-fn the_first_recorded_goes_when_there_are_too_many() {
+fn the_oldest_request_is_released_beyond_the_limit() {
     let mut state = ControlState::default();
     let count = u32::try_from(MAX_QUARANTINED).expect("small") + 1;
     for number in 0..count {
         state.apply(u64::from(number) + 1, quarantine(number));
     }
-    assert_eq!(held(&state).len(), MAX_QUARANTINED);
-    assert!(!held(&state).contains(&fingerprint(0)) && held(&state).contains(&fingerprint(1)));
+    assert_eq!(quarantined(&state).len(), MAX_QUARANTINED);
+    assert!(
+        !quarantined(&state).contains(&fingerprint(0))
+            && quarantined(&state).contains(&fingerprint(1))
+    );
 }
 
 #[test]
-fn a_snapshot_keeps_it() {
+fn the_quarantine_round_trips_through_a_snapshot() {
     let mut state = ControlState::default();
     state.apply(1, quarantine(1));
     state.apply(2, quarantine(2));
-    let read = ControlState::from_snapshot(&state.to_snapshot()).expect("it is whole");
+    let read = ControlState::from_snapshot(&state.to_snapshot()).expect("the snapshot is valid");
     assert_eq!(read.fleet().quarantine(), state.fleet().quarantine());
-    assert_eq!(held(&read), held(&state));
+    assert_eq!(quarantined(&read), quarantined(&state));
 }
 
 #[test]
-fn commands_are_read_as_they_were_written() {
+fn quarantine_commands_round_trip() {
     for command in [quarantine(5), release(5)] {
-        let read: Command = minicbor::decode(&to_bytes(&command)).expect("it is whole");
-        assert_eq!(read, command);
+        let decoded: Command =
+            minicbor::decode(&to_bytes(&command)).expect("the encoded command is valid");
+        assert_eq!(decoded, command);
     }
 }
 
 quickcheck! {
-    /// A follower that is told at any times holds what the replica holds.
-    fn followers_that_are_told_in_steps_hold_the_same(steps: Vec<(bool, u8, bool)>) -> bool {
+    /// A subscriber that is updated at arbitrary times has the same quarantine as the replica.
+    fn incremental_updates_yield_the_replicas_quarantine(steps: Vec<(bool, u8, bool)>) -> bool {
         let mut state = ControlState::default();
         let mut known = None;
-        let mut follower = BTreeSet::new();
-        for (index, (adds, number, is_told)) in steps.into_iter().enumerate() {
+        let mut subscriber = BTreeSet::new();
+        for (index, (adds, number, is_updated)) in steps.into_iter().enumerate() {
             let number = u32::from(number % 8);
             let command = if adds { quarantine(number) } else { release(number) };
             state.apply(index as u64 + 1, command);
-            if !is_told {
+            if !is_updated {
                 continue;
             }
             let quarantine = state.fleet().quarantine();
             let change = quarantine.change_after(known);
             if change.is_whole {
-                follower.clear();
+                subscriber.clear();
             }
-            follower.extend(change.added);
-            change.released.iter().for_each(|request| { follower.remove(request); });
+            subscriber.extend(change.added);
+            change.released.iter().for_each(|request| { subscriber.remove(request); });
             known = Some(quarantine.changes());
-            if follower != held(&state) {
+            if subscriber != quarantined(&state) {
                 return false;
             }
         }
--- a/crates/control-state/tests/settings.rs
+++ b/crates/control-state/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings writes: races, resends, rollback, limits and the snapshot.
+//! Settings writes: conflicts, retries, rollbacks, rate limit and snapshots.
 
 use juniper_control_state::{
     Answer, Command, ControlState, MAX_CHANGE_IDS, WriteAnswer, WriteHeader,
@@ -6,8 +6,8 @@
 use juniper_settings::{ChangeSet, Edit, SettingsNode};
 use juniper_types::{ChangeId, Revision};
 
-/// Far enough apart for the rate limit to allow every write.
-const PACE_MS: u64 = 1_000;
+/// Time between writes, long enough for the rate limit to allow every write.
+const WRITE_INTERVAL_MS: u64 = 1_000;
 
 #[derive(Default)]
 struct Writer {
@@ -20,7 +20,7 @@
         self.index += 1;
         match self.state.apply(self.index, command) {
             Answer::Write(answer) => answer,
-            other => panic!("expected the answer to a write, got {other:?}"),
+            other => panic!("expected a write answer, got {other:?}"),
         }
     }
 
@@ -29,7 +29,7 @@
             base: Revision(base),
             change_id: ChangeId::new(id).unwrap(),
             author: "test".to_owned(),
-            at_ms: self.index * PACE_MS,
+            at_ms: self.index * WRITE_INTERVAL_MS,
         }
     }
 
@@ -56,19 +56,19 @@
 }
 
 #[test]
-fn of_two_writers_with_equal_revisions_exactly_one_wins() {
+fn one_of_two_writes_with_the_same_base_is_accepted() {
     let mut writer = Writer::default();
     assert_eq!(writer.put(0, "a", "hartford", 1), accepted(1));
     let WriteAnswer::Conflict { current, diff: Some(diff) } = writer.put(0, "b", "portland", 2)
     else {
-        panic!("the second writer must lose");
+        panic!("the second write got no conflict");
     };
     assert_eq!((current, diff.len()), (Revision(1), 1));
     assert_eq!(diff[0].path.to_string(), "/hartford");
 }
 
 #[test]
-fn a_resent_write_gets_its_first_answer_also_from_a_restored_state() {
+fn a_retried_write_gets_the_original_answer_after_a_restore() {
     let mut writer = Writer::default();
     writer.put(0, "a", "hartford", 1);
     writer.put(1, "b", "hartford", 2);
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_forgotten_change_id_can_not_be_applied_twice() {
+fn a_write_with_an_evicted_change_id_is_not_applied_twice() {
     let mut writer = Writer::default();
     for revision in 0..=MAX_CHANGE_IDS as u64 {
         let answer = writer.put(revision, &format!("id-{revision}"), "hartford", 1);
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_rollback_makes_a_new_revision_with_the_old_tree() {
+fn a_rollback_creates_a_new_revision_with_the_old_tree() {
     let mut writer = Writer::default();
     writer.put(0, "a", "hartford", 1);
     let old = writer.state.settings().tree().clone();
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn the_diff_between_two_revisions_skips_what_was_undone() {
+fn a_diff_excludes_overwritten_changes() {
     let mut writer = Writer::default();
     writer.put(0, "a", "hartford", 1);
     writer.put(1, "b", "portland", 2);
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn too_many_writes_get_a_time_to_come_back_and_are_accepted_then() {
+fn a_rate_limited_write_is_accepted_after_the_stated_delay() {
     let mut writer = Writer::default();
     let mut revision = 0;
     let retry_after_ms = loop {
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn one_writer_whose_clock_is_a_day_ahead_does_not_shut_the_others_out() {
+fn a_clock_one_day_ahead_does_not_block_other_writers() {
     const DAY_MS: u64 = 86_400_000;
     let mut writer = Writer::default();
     let mut header = writer.header(0, "ahead");
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn a_snapshot_of_a_newer_version_is_refused_and_damage_is_an_error() {
+fn newer_and_truncated_snapshots_are_rejected() {
     let mut snapshot = ControlState::default().to_snapshot();
     assert!(ControlState::from_snapshot(&snapshot[..snapshot.len() - 1]).is_err());
     snapshot[1] = 2;
