--- a/crates/consensus/src/error.rs
+++ b/crates/consensus/src/error.rs
@@ -29,7 +29,7 @@
 
 /// Reason for rejecting a membership change.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum MembersError {
+pub enum MembershipChangeError {
     /// The proposal was rejected.
     #[error(transparent)]
     Propose(#[from] ProposeError),
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -20,7 +20,7 @@
 pub use entry::{
     Entry, HardState, Index, Payload, Position, Restored, Snapshot, SnapshotMeta, Term,
 };
-pub use error::{CompactError, MembersError, ProposeError, ReadError, TransferError};
+pub use error::{CompactError, MembershipChangeError, ProposeError, ReadError, TransferError};
 pub use identity::{ClusterEpoch, DiskIdentity, ReplicaId};
 pub use membership::{
     MAX_MEMBERS, Member, MemberRole, Membership, MembershipChange, MembershipError,
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -121,10 +121,10 @@
     WrongRole(ReplicaId),
     /// The replacement of a voter must finish first.
     #[error("a voter is being replaced")]
-    Replacing,
+    ReplacementInProgress,
     /// No voter is being replaced.
     #[error("no voter is being replaced")]
-    NotReplacing,
+    NoReplacement,
     /// The last voter can't be removed or demoted.
     #[error("the last voter can't be removed or demoted")]
     LastVoter,
@@ -217,14 +217,14 @@
     ///
     /// # Errors
     /// Fails if the change is invalid for this membership.
-    pub fn changed(&self, change: &MembershipChange) -> Result<Membership, MembershipError> {
+    pub fn with_change(&self, change: &MembershipChange) -> Result<Membership, MembershipError> {
         let mut next = self.clone();
         let changes_votes = !matches!(
             change,
             MembershipChange::AddLearner { .. } | MembershipChange::FinishReplacement
         );
         if changes_votes && self.is_joint() {
-            return Err(MembershipError::Replacing);
+            return Err(MembershipError::ReplacementInProgress);
         }
         match change {
             MembershipChange::AddLearner { id, zone } => next.add_learner(*id, zone.clone())?,
@@ -272,7 +272,7 @@
 
     fn finish_replacement(&mut self) -> Result<(), MembershipError> {
         if !self.is_joint() {
-            return Err(MembershipError::NotReplacing);
+            return Err(MembershipError::NoReplacement);
         }
         for member in &mut self.members {
             member.role = match member.role {
--- a/crates/consensus/src/replica/membership.rs
+++ b/crates/consensus/src/replica/membership.rs
@@ -15,7 +15,7 @@
 
 use super::{LeaderState, Replica, State};
 use crate::entry::{Index, Payload};
-use crate::error::{MembersError, ProposeError};
+use crate::error::{MembershipChangeError, ProposeError};
 use crate::identity::ReplicaId;
 use crate::membership::{MAX_MEMBERS, Member, MemberRole, Membership, MembershipChange};
 use crate::message::Message;
@@ -39,23 +39,23 @@
     pub(super) fn change_members(
         &mut self,
         change: &MembershipChange,
-    ) -> Result<Proposal, MembersError> {
+    ) -> Result<Proposal, MembershipChangeError> {
         let State::Leader(leader_state) = &self.state else {
             let leader = self.leader.map(|leader| leader.node);
             return Err(ProposeError::NotLeader { leader }.into());
         };
         if self.log.membership_index() > self.commit || !self.has_committed_in_term() {
-            return Err(MembersError::Pending);
+            return Err(MembershipChangeError::Pending);
         }
         let own = self.id();
         let removes_leader =
             *change == MembershipChange::Demote(own) || *change == MembershipChange::Remove(own);
         if removes_leader {
-            return Err(MembersError::IsLeader);
+            return Err(MembershipChangeError::IsLeader);
         }
-        let next = self.log.membership().changed(change)?;
+        let next = self.log.membership().with_change(change)?;
         if !self.is_safe(leader_state, change, &next) {
-            return Err(MembersError::Unsafe);
+            return Err(MembershipChangeError::Unsafe);
         }
         Ok(self.propose_payload(Payload::Members(next))?)
     }
--- a/crates/consensus/src/replica/mod.rs
+++ b/crates/consensus/src/replica/mod.rs
@@ -17,7 +17,7 @@
 
 use crate::config::ReplicaConfig;
 use crate::entry::{HardState, Index, Payload, Restored, Term};
-use crate::error::{MembersError, ProposeError, TransferError};
+use crate::error::{MembershipChangeError, ProposeError, TransferError};
 use crate::identity::ReplicaId;
 use crate::log::Log;
 use crate::membership::MembershipChange;
@@ -149,7 +149,10 @@
     ///
     /// # Errors
     /// Fails if this replica isn't the leader or the change isn't safe; nothing is appended.
-    pub fn propose_members(&mut self, change: &MembershipChange) -> Result<Proposal, MembersError> {
+    pub fn propose_members(
+        &mut self,
+        change: &MembershipChange,
+    ) -> Result<Proposal, MembershipChangeError> {
         self.change_members(change)
     }
 
--- a/crates/consensus/tests/members.rs
+++ b/crates/consensus/tests/members.rs
@@ -3,8 +3,8 @@
 mod support;
 
 use juniper_consensus::{
-    Body, ClusterEpoch, Entry, MembersError, Membership, MembershipChange, MembershipError,
-    Message, Payload, Restored, StopReason,
+    Body, ClusterEpoch, Entry, Membership, MembershipChange, MembershipChangeError,
+    MembershipError, Message, Payload, Restored, StopReason,
 };
 use juniper_types::NodeId;
 use support::{Cluster, ELECTION, id, initial_disk, zone};
@@ -141,7 +141,7 @@
     let voter = id(third, third.into());
     let replace = MembershipChange::Replace { voter, standby: id(4, 4) };
     let rejected = cluster.node(leader).replica.propose_members(&replace);
-    assert_eq!(rejected, Err(MembersError::Unsafe));
+    assert_eq!(rejected, Err(MembershipChangeError::Unsafe));
     cluster.partitioned.clear();
     cluster.tick(2);
     cluster.node(leader).replica.propose_members(&replace).unwrap();
@@ -153,18 +153,18 @@
     let membership = Membership::of_voters(ClusterEpoch::first(7), voters);
     let standby = MembershipChange::AddLearner { id: id(4, 4), zone: zone(4) };
     let replace = MembershipChange::Replace { voter: id(3, 3), standby: id(4, 4) };
-    let joint = membership.changed(&standby).unwrap().changed(&replace).unwrap();
+    let joint = membership.with_change(&standby).unwrap().with_change(&replace).unwrap();
     let has_majority = |nodes: &[u64]| joint.has_majority(|id| nodes.contains(&id.node.0));
     assert!(joint.is_joint() && joint.voters().count() == 4);
     assert!(has_majority(&[1, 2]) && has_majority(&[1, 3, 4]));
     assert!(!has_majority(&[1, 3]) && !has_majority(&[2, 4]) && !has_majority(&[3, 4]));
-    let rejected = joint.changed(&MembershipChange::Remove(id(1, 1)));
-    assert_eq!(rejected, Err(MembershipError::Replacing));
-    let next = joint.changed(&MembershipChange::FinishReplacement).unwrap();
+    let rejected = joint.with_change(&MembershipChange::Remove(id(1, 1)));
+    assert_eq!(rejected, Err(MembershipError::ReplacementInProgress));
+    let next = joint.with_change(&MembershipChange::FinishReplacement).unwrap();
     let votes = |node: u64| next.is_voter(id(node, node.into()));
     assert!(!next.is_joint() && votes(1) && votes(2) && votes(4) && !votes(3));
-    let again = next.changed(&MembershipChange::FinishReplacement);
-    assert_eq!(again, Err(MembershipError::NotReplacing));
+    let again = next.with_change(&MembershipChange::FinishReplacement);
+    assert_eq!(again, Err(MembershipError::NoReplacement));
 }
 
 #[test]
@@ -176,16 +176,16 @@
     let replica = |cluster: &mut Cluster, node| cluster.node(node).replica.status().id;
     let own = replica(&mut cluster, leader);
     let rejected = cluster.node(leader).replica.propose_members(&MembershipChange::Remove(own));
-    assert_eq!(rejected, Err(MembersError::IsLeader));
+    assert_eq!(rejected, Err(MembershipChangeError::IsLeader));
     cluster.partitioned.insert(silent);
     cluster.tick(15);
     let change = MembershipChange::Remove(replica(&mut cluster, third));
     let rejected = cluster.node(leader).replica.propose_members(&change);
-    assert_eq!(rejected, Err(MembersError::Unsafe));
+    assert_eq!(rejected, Err(MembershipChangeError::Unsafe));
     let newcomer = MembershipChange::AddLearner { id: id(5, 5), zone: zone(5) };
     cluster.node(leader).replica.propose_members(&newcomer).unwrap();
     let again = cluster.node(leader).replica.propose_members(&newcomer);
-    assert_eq!(again, Err(MembersError::Pending));
+    assert_eq!(again, Err(MembershipChangeError::Pending));
 }
 
 #[test]
@@ -198,7 +198,7 @@
     cluster.partitioned.insert(lost);
     let change = MembershipChange::Demote(id(third, third.into()));
     let rejected = cluster.node(leader).replica.propose_members(&change);
-    assert_eq!(rejected, Err(MembersError::Unsafe));
+    assert_eq!(rejected, Err(MembershipChangeError::Unsafe));
     cluster.start(id(lost, 99), Restored::default());
     cluster.partitioned.clear();
     cluster.tick(REPLACEMENT);
@@ -236,7 +236,7 @@
 fn a_replica_with_an_uncommitted_demotion_is_elected_and_then_steps_down() {
     let voters = (1..=4).map(|node| (id(node, node.into()), zone(node)));
     let membership = Membership::of_voters(ClusterEpoch::first(7), voters);
-    let demoted = membership.changed(&MembershipChange::Demote(id(1, 1))).unwrap();
+    let demoted = membership.with_change(&MembershipChange::Demote(id(1, 1))).unwrap();
     let disk = initial_disk(&membership);
     let mut ahead = disk.clone();
     let payload = Payload::Members(demoted);
--- a/crates/control-state/src/departures.rs
+++ b/crates/control-state/src/departures.rs
@@ -39,7 +39,7 @@
     }
 
     /// Number of retained departures.
-    pub fn kept(&self) -> usize {
+    pub fn retained(&self) -> usize {
         self.records.len()
     }
 
--- a/crates/control-state/src/fleet.rs
+++ b/crates/control-state/src/fleet.rs
@@ -50,7 +50,7 @@
     Unchanged {
         /// Version in force.
         #[n(0)]
-        held: u64,
+        current: u64,
     },
 }
 
@@ -182,8 +182,8 @@
 
     pub(crate) fn put_catalog(&mut self, index: u64, catalog: AcceptedCatalog) -> CatalogAnswer {
         let current = self.catalog.as_ref().map(|catalog| catalog.version);
-        if let Some(held) = current.filter(|current| *current >= catalog.version) {
-            return CatalogAnswer::Unchanged { held };
+        if let Some(current) = current.filter(|current| *current >= catalog.version) {
+            return CatalogAnswer::Unchanged { current };
         }
         self.catalog = Some(Arc::new(catalog));
         self.revision = index;
--- a/crates/control-state/tests/fleet.rs
+++ b/crates/control-state/tests/fleet.rs
@@ -37,7 +37,7 @@
 fn only_a_higher_catalog_version_replaces_the_current_one() {
     let mut state = ControlState::default();
     assert_eq!(put(&mut state, 1, 4, "four"), Answer::Catalog(CatalogAnswer::Accepted));
-    let unchanged = |held| Answer::Catalog(CatalogAnswer::Unchanged { held });
+    let unchanged = |current| Answer::Catalog(CatalogAnswer::Unchanged { current });
     assert_eq!(put(&mut state, 2, 3, "three"), unchanged(4));
     assert_eq!(put(&mut state, 3, 4, "other content"), unchanged(4));
     assert_eq!(document(&state).as_deref(), Some("four"));
@@ -84,7 +84,7 @@
     let fleet = state.fleet();
     assert!(!fleet.has_departed(&InstanceId::new("i-0")));
     assert!(fleet.has_departed(&InstanceId::new("i-1")));
-    assert_eq!(fleet.departures().kept(), MIN_RETAINED_DEPARTURES);
+    assert_eq!(fleet.departures().retained(), MIN_RETAINED_DEPARTURES);
     assert_eq!(fleet.departures().after(MIN_RETAINED_DEPARTURES as u64).count(), 1);
 }
 
@@ -155,7 +155,7 @@
             state.fleet().has_departed(&incarnation(&format!("i-{number}"), 1))
         };
         assert!(is_retained(0) && is_retained(100), "{per_second} departures per second");
-        state.fleet().departures().kept() as u64 / per_second
+        state.fleet().departures().retained() as u64 / per_second
     };
     let seconds = [10, 20, 40].map(retained_seconds);
     assert!(seconds.iter().all(|retained| (145..=160).contains(retained)), "{seconds:?}");
