--- a/crates/consensus/src/entry.rs
+++ b/crates/consensus/src/entry.rs
@@ -125,7 +125,7 @@
 
 /// Persistent state read from storage, from which a replica starts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Restored {
+pub struct RestoredState {
     /// Latest hard state.
     pub hard_state: HardState,
     /// Latest snapshot.
@@ -134,7 +134,7 @@
     pub entries: Vec<Entry>,
 }
 
-impl Restored {
+impl RestoredState {
     /// Position of the last entry, or the end of the snapshot if there are no entries.
     pub fn last(&self) -> Position {
         let snapshot_end =
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -18,7 +18,7 @@
 
 pub use config::ReplicaConfig;
 pub use entry::{
-    Entry, HardState, Index, Payload, Position, Restored, Snapshot, SnapshotMeta, Term,
+    Entry, HardState, Index, Payload, Position, RestoredState, Snapshot, SnapshotMeta, Term,
 };
 pub use error::{CompactError, MembershipChangeError, ProposeError, ReadError, TransferError};
 pub use identity::{ClusterEpoch, DiskIdentity, ReplicaId};
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use crate::entry::{Entry, Index, Payload, Position, Restored, Snapshot, SnapshotMeta};
+use crate::entry::{Entry, Index, Payload, Position, RestoredState, Snapshot, SnapshotMeta};
 use crate::membership::Membership;
 
 /// Log entries after a base position, with the latest snapshot.
@@ -27,7 +27,7 @@
 
 impl Log {
     /// Restores the log from persistent state.
-    pub(crate) fn restore(restored: Restored) -> Self {
+    pub(crate) fn restore(restored: RestoredState) -> Self {
         let base = restored.snapshot.as_ref().map_or(Position::default(), |s| s.meta.position);
         let membership = restored.snapshot.as_ref().map(|s| s.meta.membership.clone());
         let mut log = Log {
--- a/crates/consensus/src/replica/mod.rs
+++ b/crates/consensus/src/replica/mod.rs
@@ -16,7 +16,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::config::ReplicaConfig;
-use crate::entry::{HardState, Index, Payload, Restored, Term};
+use crate::entry::{HardState, Index, Payload, RestoredState, Term};
 use crate::error::{MembershipChangeError, ProposeError, TransferError};
 use crate::identity::ReplicaId;
 use crate::log::Log;
@@ -93,7 +93,7 @@
     ///
     /// `seed` must be random and differ between incarnations of the replica. It randomizes
     /// election timeouts and identifies replies to an earlier incarnation.
-    pub fn new(config: ReplicaConfig, restored: Restored, seed: u64) -> Self {
+    pub fn new(config: ReplicaConfig, restored: RestoredState, seed: u64) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let installed = restored.snapshot.clone();
         let hard_state = restored.hard_state;
--- a/crates/consensus/tests/growth.rs
+++ b/crates/consensus/tests/growth.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use juniper_consensus::{Body, Restored};
+use juniper_consensus::{Body, RestoredState};
 use juniper_types::NodeId;
 use support::{Cluster, ELECTION, id};
 
@@ -11,7 +11,7 @@
     let mut cluster = Cluster::with_seeds(5, Some((1..=5).map(NodeId).collect()));
     let leader = cluster.elect();
     for node in 6..=members {
-        cluster.start(id(node, u128::from(node)), Restored::default());
+        cluster.start(id(node, u128::from(node)), RestoredState::default());
         cluster.tick(2);
     }
     cluster.tick(ELECTION);
--- a/crates/consensus/tests/members.rs
+++ b/crates/consensus/tests/members.rs
@@ -4,7 +4,7 @@
 
 use juniper_consensus::{
     Body, ClusterEpoch, Entry, Membership, MembershipChange, MembershipChangeError,
-    MembershipError, Message, Payload, Restored, StopReason,
+    MembershipError, Message, Payload, RestoredState, StopReason,
 };
 use juniper_types::NodeId;
 use support::{Cluster, ELECTION, id, initial_disk, zone};
@@ -33,7 +33,7 @@
     cluster.propose(leader, b"one");
     let wiped = follower(&mut cluster);
     let new = id(wiped, 99);
-    cluster.start(new, Restored::default());
+    cluster.start(new, RestoredState::default());
     assert!(!cluster.node(wiped).replica.status().membership.is_voter(new));
     cluster.tick(REPLACEMENT);
     let membership = cluster.node(leader).replica.status().membership;
@@ -47,7 +47,7 @@
     let mut cluster = Cluster::of_voters(3);
     let leader = cluster.elect();
     let wiped = follower(&mut cluster);
-    cluster.start(id(wiped, 99), Restored::default());
+    cluster.start(id(wiped, 99), RestoredState::default());
     let third = (1..=3).find(|node| *node != leader && *node != wiped).unwrap();
     cluster.partitioned.insert(leader);
     cluster.tick(REPLACEMENT);
@@ -63,7 +63,7 @@
     cluster.propose(leader, b"one");
     let first = follower(&mut cluster);
     let second = (1..=3).find(|node| *node != leader && *node != first).unwrap();
-    cluster.start(id(first, 99), Restored::default());
+    cluster.start(id(first, 99), RestoredState::default());
     cluster.partitioned.insert(second);
     cluster.tick(REPLACEMENT);
     assert!(
@@ -81,7 +81,7 @@
 fn a_standby_replaces_a_lost_voter() {
     let mut cluster = Cluster::of_voters(3);
     cluster.elect();
-    cluster.start(id(4, 4), Restored::default());
+    cluster.start(id(4, 4), RestoredState::default());
     cluster.tick(REPLACEMENT);
     let lost = follower(&mut cluster);
     cluster.partitioned.insert(lost);
@@ -98,7 +98,7 @@
     for lost_after in 0..12 {
         let mut cluster = Cluster::of_voters(3);
         let leader = cluster.elect();
-        cluster.start(id(4, 4), Restored::default());
+        cluster.start(id(4, 4), RestoredState::default());
         cluster.tick(ELECTION);
         cluster.propose(leader, b"one");
         let lost = follower(&mut cluster);
@@ -132,7 +132,7 @@
 fn no_voter_is_replaced_while_the_new_majority_depends_on_the_standby() {
     let mut cluster = Cluster::of_voters(3);
     let leader = cluster.elect();
-    cluster.start(id(4, 4), Restored::default());
+    cluster.start(id(4, 4), RestoredState::default());
     cluster.tick(ELECTION);
     let silent = follower(&mut cluster);
     let third = (1..=3).find(|node| *node != leader && *node != silent).unwrap();
@@ -199,7 +199,7 @@
     let change = MembershipChange::Demote(id(third, third.into()));
     let rejected = cluster.node(leader).replica.propose_members(&change);
     assert_eq!(rejected, Err(MembershipChangeError::Unsafe));
-    cluster.start(id(lost, 99), Restored::default());
+    cluster.start(id(lost, 99), RestoredState::default());
     cluster.partitioned.clear();
     cluster.tick(REPLACEMENT);
     let status = cluster.node(leader).replica.status();
@@ -213,7 +213,7 @@
         let leader = cluster.elect();
         let wiped = follower(&mut cluster);
         let repaired = id(wiped, 99);
-        cluster.start(repaired, Restored::default());
+        cluster.start(repaired, RestoredState::default());
         while !cluster.node(leader).replica.status().membership.contains(repaired) {
             cluster.tick(1);
         }
@@ -224,7 +224,7 @@
             cluster.node(leader).replica.is_leader(),
             "the leader stepped down despite two voters out of three"
         );
-        cluster.start(id(wiped, 100), Restored::default());
+        cluster.start(id(wiped, 100), RestoredState::default());
         cluster.partitioned.clear();
         cluster.tick(REPLACEMENT);
         let membership = cluster.node(leader).replica.status().membership;
--- a/crates/consensus/tests/open_membership.rs
+++ b/crates/consensus/tests/open_membership.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use juniper_consensus::Restored;
+use juniper_consensus::RestoredState;
 use juniper_types::NodeId;
 use support::{Cluster, ELECTION, id};
 
@@ -34,7 +34,7 @@
     let mut cluster = open_cluster();
     let leader = cluster.elect();
     cluster.propose(leader, b"one");
-    cluster.start(id(NEWCOMER, 99), Restored::default());
+    cluster.start(id(NEWCOMER, 99), RestoredState::default());
     cluster.tick(ELECTION);
     let newcomer = id(NEWCOMER, 99);
     assert!(cluster.node(leader).replica.status().membership.contains(newcomer));
@@ -47,7 +47,7 @@
     let leader = cluster.elect();
     let follower = follower(&mut cluster);
     cluster.seeds = Some(vec![NodeId(follower)]);
-    cluster.start(id(NEWCOMER, 99), Restored::default());
+    cluster.start(id(NEWCOMER, 99), RestoredState::default());
     cluster.tick(ELECTION);
     let membership = cluster.node(leader).replica.status().membership;
     assert!(membership.contains(id(NEWCOMER, 99)), "{membership:?}");
@@ -57,7 +57,7 @@
 fn an_unlisted_node_cannot_join_a_closed_cluster() {
     let mut cluster = Cluster::of_voters(3);
     let leader = cluster.elect();
-    cluster.start(id(NEWCOMER, 99), Restored::default());
+    cluster.start(id(NEWCOMER, 99), RestoredState::default());
     cluster.tick(ELECTION);
     assert_eq!(cluster.node(leader).replica.status().membership.members.len(), 3);
 }
--- a/crates/consensus/tests/support/mod.rs
+++ b/crates/consensus/tests/support/mod.rs
@@ -7,7 +7,7 @@
 
 use juniper_consensus::{
     ClusterEpoch, DiskIdentity, Entry, HardState, Membership, Message, Payload, Replica,
-    ReplicaConfig, ReplicaId, Restored, Write,
+    ReplicaConfig, ReplicaId, RestoredState, Write,
 };
 use juniper_types::{NodeId, ZoneName};
 
@@ -20,7 +20,7 @@
 /// Node with a replica, its disk, and the applied commands and read results.
 pub struct Node {
     pub replica: Replica,
-    pub disk: Restored,
+    pub disk: RestoredState,
     pub applied: Vec<Vec<u8>>,
     pub reads: Vec<u64>,
     pub dropped_reads: Vec<u64>,
@@ -58,10 +58,14 @@
 }
 
 /// Initial disk content of a voter in a new cluster.
-pub fn initial_disk(membership: &Membership) -> Restored {
+pub fn initial_disk(membership: &Membership) -> RestoredState {
     let hard_state = HardState { epoch: membership.epoch, term: 1, vote: None, commit: 1 };
     let payload = Payload::Members(membership.clone());
-    Restored { hard_state, snapshot: None, entries: vec![Entry { term: 1, index: 1, payload }] }
+    RestoredState {
+        hard_state,
+        snapshot: None,
+        entries: vec![Entry { term: 1, index: 1, payload }],
+    }
 }
 
 impl Cluster {
@@ -87,7 +91,7 @@
         cluster
     }
 
-    pub fn start(&mut self, id: ReplicaId, disk: Restored) {
+    pub fn start(&mut self, id: ReplicaId, disk: RestoredState) {
         self.seed += 1;
         let mut config = config(id);
         if let Some(seeds) = &self.seeds {
@@ -182,7 +186,7 @@
 }
 
 /// Applies a write to the disk content.
-fn apply_write(disk: &mut Restored, write: &Write) {
+fn apply_write(disk: &mut RestoredState, write: &Write) {
     disk.hard_state = write.hard_state.unwrap_or(disk.hard_state);
     if let Some(snapshot) = &write.snapshot {
         let end = snapshot.meta.position;
--- a/crates/control/src/replica/folder.rs
+++ b/crates/control/src/replica/folder.rs
@@ -7,7 +7,7 @@
 
 use std::path::PathBuf;
 
-use juniper_consensus::{ClusterEpoch, DiskIdentity, Membership, ReplicaId, Restored};
+use juniper_consensus::{ClusterEpoch, DiskIdentity, Membership, ReplicaId, RestoredState};
 use juniper_settings::{ControlSettings, PeerDiscovery};
 use juniper_storage::{Disk, Folder, OpenError, Storage, format, new_disk_identity, wipe};
 use juniper_types::{NodeId, ZoneName};
@@ -51,7 +51,7 @@
 pub(super) fn open<D: Disk>(
     settings: &ControlSettings,
     disk: impl Fn(Folder) -> D,
-) -> Result<(Storage<D>, Restored), ControlError> {
+) -> Result<(Storage<D>, RestoredState), ControlError> {
     let node = settings.common.node;
     match Storage::open(disk(open_folder(settings)?), node) {
         Err(OpenError::NotFormatted) => format_blank(settings)?,
--- a/crates/simulation/src/process.rs
+++ b/crates/simulation/src/process.rs
@@ -4,8 +4,8 @@
 use std::rc::Rc;
 
 use juniper_consensus::{
-    Entry, Index, Message, Payload, Position, Proposal, Replica, ReplicaConfig, Restored, Snapshot,
-    Term, Write,
+    Entry, Index, Message, Payload, Position, Proposal, Replica, ReplicaConfig, RestoredState,
+    Snapshot, Term, Write,
 };
 use juniper_control_state::{Answer, Command, ControlState, SnapshotError, to_bytes};
 use juniper_storage::{Storage, StorageError};
@@ -75,7 +75,7 @@
     pub fn new(
         options: ProcessOptions,
         storage: Storage<SimulatedDisk>,
-        mut restored: Restored,
+        mut restored: RestoredState,
         seed: u64,
     ) -> Self {
         if options.planted == Some(Planted::VoteForgotten) {
--- a/crates/simulation/tests/storage.rs
+++ b/crates/simulation/tests/storage.rs
@@ -2,7 +2,7 @@
 
 use juniper_consensus::{
     ClusterEpoch, DiskIdentity, Entry, HardState, Membership, Payload, Position, ReplicaId,
-    Restored, Snapshot, SnapshotMeta, Write,
+    RestoredState, Snapshot, SnapshotMeta, Write,
 };
 use juniper_simulation::{Random, SimulatedDisk};
 use juniper_storage::{OpenError, Storage, StorageError, format};
@@ -25,12 +25,12 @@
     disk
 }
 
-fn open(disk: &SimulatedDisk) -> Result<(Storage<SimulatedDisk>, Restored), OpenError> {
+fn open(disk: &SimulatedDisk) -> Result<(Storage<SimulatedDisk>, RestoredState), OpenError> {
     Storage::open(disk.clone(), NODE)
 }
 
 /// Opens as a daemon does that is started again after the disk failed once.
-fn open_again(disk: &SimulatedDisk) -> Result<(Storage<SimulatedDisk>, Restored), OpenError> {
+fn open_again(disk: &SimulatedDisk) -> Result<(Storage<SimulatedDisk>, RestoredState), OpenError> {
     match open(disk) {
         Err(OpenError::Disk(_)) => open(disk),
         opened => opened,
@@ -72,7 +72,7 @@
     last
 }
 
-fn check(restored: &Restored, acknowledged: Position, what: &str) {
+fn check(restored: &RestoredState, acknowledged: Position, what: &str) {
     assert!(restored.last() >= acknowledged, "{what}: {acknowledged:?} is lost");
     let start = restored.snapshot.as_ref().map_or(0, |s| s.meta.position.index);
     for (place, entry) in restored.entries.iter().enumerate() {
--- a/crates/storage/src/recovery.rs
+++ b/crates/storage/src/recovery.rs
@@ -98,7 +98,7 @@
     let replay = read_segments(disk, snapshot.as_ref(), mark)?.replay;
     let position = snapshot.as_ref().map_or(Position::default(), |s| s.meta.position);
     let (hard_state, entries) = replay.into_parts();
-    let restored = juniper_consensus::Restored { hard_state, snapshot, entries };
+    let restored = juniper_consensus::RestoredState { hard_state, snapshot, entries };
     Ok(FolderReport {
         id,
         epoch: hard_state.epoch,
--- a/crates/storage/src/storage.rs
+++ b/crates/storage/src/storage.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use juniper_consensus::{HardState, Index, Position, ReplicaId, Restored, Write};
+use juniper_consensus::{HardState, Index, Position, ReplicaId, RestoredState, Write};
 use juniper_types::NodeId;
 
 use crate::disk::{Disk, DiskError};
@@ -54,7 +54,7 @@
     /// # Errors
     /// Fails when the folder isn't this node's, is a copy, or has lost something
     /// that was synced. In the last two cases it counts as a lost disk.
-    pub fn open(mut disk: D, node: NodeId) -> Result<(Self, Restored), OpenError> {
+    pub fn open(mut disk: D, node: NodeId) -> Result<(Self, RestoredState), OpenError> {
         disk.lock()?;
         let id = read_identity(&mut disk)?;
         if id.node != node {
@@ -76,7 +76,7 @@
         };
         storage.start_over(&read, mark)?;
         let (hard_state, entries) = read.replay.into_parts();
-        Ok((storage, Restored { hard_state, snapshot, entries }))
+        Ok((storage, RestoredState { hard_state, snapshot, entries }))
     }
 
     /// The replica that the folder belongs to.
--- a/crates/storage/tests/support/mod.rs
+++ b/crates/storage/tests/support/mod.rs
@@ -4,7 +4,7 @@
 
 use juniper_consensus::{
     ClusterEpoch, DiskIdentity, Entry, HardState, Membership, Payload, Position, ReplicaId,
-    Restored, Write,
+    RestoredState, Write,
 };
 use juniper_storage::{Folder, OpenError, Storage};
 use juniper_types::{NodeId, ZoneName};
@@ -19,7 +19,7 @@
     Membership::of_voters(ClusterEpoch::first(5), [(id(1), ZoneName::new("taf").unwrap())])
 }
 
-pub fn open(folder: &Path) -> Result<(Storage<Folder>, Restored), OpenError> {
+pub fn open(folder: &Path) -> Result<(Storage<Folder>, RestoredState), OpenError> {
     Storage::open(Folder::new(folder).unwrap(), NODE)
 }
 
