--- a/crates/consensus/src/replica/mod.rs
+++ b/crates/consensus/src/replica/mod.rs
@@ -149,7 +149,7 @@
     ///
     /// # Errors
     /// Fails if this replica isn't the leader or the change isn't safe; nothing is appended.
-    pub fn propose_members(
+    pub fn propose_membership_change(
         &mut self,
         change: &MembershipChange,
     ) -> Result<Proposal, MembershipChangeError> {
--- a/crates/consensus/tests/members.rs
+++ b/crates/consensus/tests/members.rs
@@ -140,11 +140,11 @@
     cluster.tick(2 * SILENCE);
     let voter = id(third, third.into());
     let replace = MembershipChange::Replace { voter, standby: id(4, 4) };
-    let rejected = cluster.node(leader).replica.propose_members(&replace);
+    let rejected = cluster.node(leader).replica.propose_membership_change(&replace);
     assert_eq!(rejected, Err(MembershipChangeError::Unsafe));
     cluster.partitioned.clear();
     cluster.tick(2);
-    cluster.node(leader).replica.propose_members(&replace).unwrap();
+    cluster.node(leader).replica.propose_membership_change(&replace).unwrap();
 }
 
 #[test]
@@ -175,16 +175,17 @@
     let third = (1..=3).find(|node| *node != leader && *node != silent).unwrap();
     let replica = |cluster: &mut Cluster, node| cluster.node(node).replica.status().id;
     let own = replica(&mut cluster, leader);
-    let rejected = cluster.node(leader).replica.propose_members(&MembershipChange::Remove(own));
+    let rejected =
+        cluster.node(leader).replica.propose_membership_change(&MembershipChange::Remove(own));
     assert_eq!(rejected, Err(MembershipChangeError::IsLeader));
     cluster.partitioned.insert(silent);
     cluster.tick(15);
     let change = MembershipChange::Remove(replica(&mut cluster, third));
-    let rejected = cluster.node(leader).replica.propose_members(&change);
+    let rejected = cluster.node(leader).replica.propose_membership_change(&change);
     assert_eq!(rejected, Err(MembershipChangeError::Unsafe));
     let newcomer = MembershipChange::AddLearner { id: id(5, 5), zone: zone(5) };
-    cluster.node(leader).replica.propose_members(&newcomer).unwrap();
-    let again = cluster.node(leader).replica.propose_members(&newcomer);
+    cluster.node(leader).replica.propose_membership_change(&newcomer).unwrap();
+    let again = cluster.node(leader).replica.propose_membership_change(&newcomer);
     assert_eq!(again, Err(MembershipChangeError::Pending));
 }
 
@@ -197,7 +198,7 @@
     // The leader has not detected the loss of this disk yet.
     cluster.partitioned.insert(lost);
     let change = MembershipChange::Demote(id(third, third.into()));
-    let rejected = cluster.node(leader).replica.propose_members(&change);
+    let rejected = cluster.node(leader).replica.propose_membership_change(&change);
     assert_eq!(rejected, Err(MembershipChangeError::Unsafe));
     cluster.start(id(lost, 99), RestoredState::default());
     cluster.partitioned.clear();
--- a/crates/simulation/src/world/strike.rs
+++ b/crates/simulation/src/world/strike.rs
@@ -259,7 +259,7 @@
             true => MembershipChange::Remove(id),
             false => MembershipChange::Demote(id),
         };
-        let taken = process.replica_mut().propose_members(&change);
+        let taken = process.replica_mut().propose_membership_change(&change);
         self.note(|| format!("operator: {change:?}: {taken:?}"));
     }
 }
