--- a/crates/consensus/src/entry.rs
+++ b/crates/consensus/src/entry.rs
@@ -48,7 +48,7 @@
     Data(#[cbor(n(0), with = "minicbor::bytes")] Vec<u8>),
     /// Complete membership. In force on a replica as soon as the entry is appended.
     #[n(2)]
-    Members(#[n(0)] Membership),
+    Membership(#[n(0)] Membership),
 }
 
 /// Entry of the log.
@@ -79,7 +79,7 @@
             + match &self.payload {
                 Payload::Empty => 0,
                 Payload::Data(data) => data.len(),
-                Payload::Members(membership) => membership.members.len() * MEMBER_BYTES,
+                Payload::Membership(membership) => membership.members.len() * MEMBER_BYTES,
             }
     }
 }
@@ -144,9 +144,9 @@
 
     /// Latest membership in the log or the snapshot.
     pub fn membership(&self) -> Option<&Membership> {
-        let members = |entry: &'_ Entry| matches!(entry.payload, Payload::Members(_));
+        let members = |entry: &'_ Entry| matches!(entry.payload, Payload::Membership(_));
         match self.entries.iter().rev().find(|entry| members(entry)).map(|entry| &entry.payload) {
-            Some(Payload::Members(membership)) => Some(membership),
+            Some(Payload::Membership(membership)) => Some(membership),
             _ => self.snapshot.as_ref().map(|snapshot| &snapshot.meta.membership),
         }
     }
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -142,7 +142,7 @@
     /// Appends an entry.
     pub(crate) fn push(&mut self, entry: Entry) {
         debug_assert_eq!(entry.index, self.last().index + 1);
-        if let Payload::Members(membership) = &entry.payload {
+        if let Payload::Membership(membership) = &entry.payload {
             self.memberships.push((entry.index, membership.clone()));
         }
         self.entries.push_back(entry);
--- a/crates/consensus/src/replica/leader.rs
+++ b/crates/consensus/src/replica/leader.rs
@@ -87,7 +87,7 @@
     pub(super) fn append_as_leader(&mut self, payload: Payload) -> Proposal {
         let index = self.log.last().index + 1;
         let term = self.term();
-        let changes_members = matches!(payload, Payload::Members(_));
+        let changes_members = matches!(payload, Payload::Membership(_));
         let entry = Entry { term, index, payload };
         if let State::Leader(leader_state) = &mut self.state {
             leader_state.uncommitted_bytes += entry.size();
--- a/crates/consensus/src/replica/membership.rs
+++ b/crates/consensus/src/replica/membership.rs
@@ -57,7 +57,7 @@
         if !self.is_safe(leader_state, change, &next) {
             return Err(MembershipChangeError::Unsafe);
         }
-        Ok(self.propose_payload(Payload::Members(next))?)
+        Ok(self.propose_payload(Payload::Membership(next))?)
     }
 
     /// Whether the active voters of `next` can commit, a new voter has caught up, and no
--- a/crates/consensus/tests/hostile.rs
+++ b/crates/consensus/tests/hostile.rs
@@ -34,7 +34,7 @@
 
 fn arbitrary_entries(random: &mut Gen) -> Vec<Entry> {
     let payload = |random: &mut Gen| match small_number(random) {
-        0 => Payload::Members(Membership::default()),
+        0 => Payload::Membership(Membership::default()),
         1 => Payload::Empty,
         _ => Payload::Data(Vec::arbitrary(random)),
     };
--- a/crates/consensus/tests/members.rs
+++ b/crates/consensus/tests/members.rs
@@ -240,7 +240,7 @@
     let demoted = membership.with_change(&MembershipChange::Demote(id(1, 1))).unwrap();
     let disk = initial_disk(&membership);
     let mut ahead = disk.clone();
-    let payload = Payload::Members(demoted);
+    let payload = Payload::Membership(demoted);
     ahead.entries.push(Entry { term: 1, index: 2, payload });
     let mut cluster = Cluster::of_voters(0);
     // Node 4, the former leader, is lost. Nodes 2 and 3 can't win without the vote of
--- a/crates/consensus/tests/support/mod.rs
+++ b/crates/consensus/tests/support/mod.rs
@@ -60,7 +60,7 @@
 /// Initial disk content of a voter in a new cluster.
 pub fn initial_disk(membership: &Membership) -> RestoredState {
     let hard_state = HardState { epoch: membership.epoch, term: 1, vote: None, commit: 1 };
-    let payload = Payload::Members(membership.clone());
+    let payload = Payload::Membership(membership.clone());
     RestoredState {
         hard_state,
         snapshot: None,
--- a/crates/storage/src/format.rs
+++ b/crates/storage/src/format.rs
@@ -55,7 +55,7 @@
             ..Record::default()
         };
     };
-    let payload = Payload::Members(membership.clone());
+    let payload = Payload::Membership(membership.clone());
     let hard_state = HardState { epoch: membership.epoch, term: FIRST, vote: None, commit: FIRST };
     Record {
         continues: Some(Default::default()),
--- a/crates/storage/src/recovery.rs
+++ b/crates/storage/src/recovery.rs
@@ -157,7 +157,7 @@
     }
     let term = restored.hard_state.term.max(restored.last().term) + 1;
     let index = restored.last().index + 1;
-    let payload = Payload::Members(plan.membership.clone());
+    let payload = Payload::Membership(plan.membership.clone());
     let write = Write {
         number: 1,
         hard_state: Some(HardState { epoch: plan.epoch, term, vote: None, commit: index }),
