--- a/crates/consensus/src/entry.rs
+++ b/crates/consensus/src/entry.rs
@@ -16,7 +16,7 @@
 /// Highest term or index accepted from a message or a file.
 ///
 /// Prevents overflow in arithmetic on terms and indexes.
-pub const MAX_NUMBER: u64 = 1 << 62;
+pub const MAX_TERM_OR_INDEX: u64 = 1 << 62;
 
 /// Index and term of a log entry.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
@@ -31,9 +31,9 @@
 }
 
 impl Position {
-    /// Whether the term and the index are at most [`MAX_NUMBER`].
+    /// Whether the term and the index are at most [`MAX_TERM_OR_INDEX`].
     pub fn is_in_bounds(&self) -> bool {
-        self.term.max(self.index) <= MAX_NUMBER
+        self.term.max(self.index) <= MAX_TERM_OR_INDEX
     }
 }
 
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -3,7 +3,7 @@
 use juniper_types::{NodeId, ZoneName};
 use minicbor::{Decode, Encode};
 
-use crate::entry::{Entry, Index, MAX_NUMBER, Position, SnapshotMeta, Term};
+use crate::entry::{Entry, Index, MAX_TERM_OR_INDEX, Position, SnapshotMeta, Term};
 use crate::identity::{ClusterEpoch, DiskIdentity, ReplicaId};
 
 /// Message from one replica to another.
@@ -190,7 +190,7 @@
 }
 
 impl Message {
-    /// Whether every term and index in the message is at most [`MAX_NUMBER`].
+    /// Whether every term and index in the message is at most [`MAX_TERM_OR_INDEX`].
     pub(crate) fn is_in_bounds(&self) -> bool {
         let position = |position: &Position| position.term.max(position.index);
         let highest = match &self.body {
@@ -204,6 +204,6 @@
             Body::SnapshotChunk { meta, .. } => position(&meta.position),
             _ => 0,
         };
-        self.term.max(highest) <= MAX_NUMBER
+        self.term.max(highest) <= MAX_TERM_OR_INDEX
     }
 }
--- a/crates/storage/src/frame.rs
+++ b/crates/storage/src/frame.rs
@@ -4,7 +4,7 @@
 //! written only after everything before it was synced, so a valid frame proves
 //! that whatever stands before it in the segment was durable once.
 
-use juniper_consensus::entry::MAX_NUMBER;
+use juniper_consensus::entry::MAX_TERM_OR_INDEX;
 use juniper_consensus::{Entry, HardState, Position};
 use minicbor::{Decode, Encode};
 
@@ -41,7 +41,7 @@
         let entries = self.entries.iter().map(Entry::position);
         let mut positions = entries.chain(self.continues).chain(self.snapshot);
         let promises = self.hard_state.unwrap_or_default();
-        promises.term <= MAX_NUMBER && positions.all(|position| position.is_in_bounds())
+        promises.term <= MAX_TERM_OR_INDEX && positions.all(|position| position.is_in_bounds())
     }
 }
 
