--- a/crates/control-state/src/command.rs
+++ b/crates/control-state/src/command.rs
@@ -146,7 +146,7 @@
     },
     /// Sets the target version of a model's weights.
     #[n(9)]
-    NameWeights {
+    SetTargetWeights {
         /// Name of the model.
         #[n(0)]
         model: String,
--- a/crates/control-state/src/state.rs
+++ b/crates/control-state/src/state.rs
@@ -76,7 +76,7 @@
             Command::PutCatalog { catalog } => {
                 Answer::Catalog(self.fleet_mut().put_catalog(index, catalog))
             }
-            Command::NameWeights { model, version } => {
+            Command::SetTargetWeights { model, version } => {
                 Answer::Weights(self.fleet_mut().set_target_weights(index, model, version))
             }
             Command::Depart { instance, through, at } => {
--- a/crates/control-state/tests/fleet.rs
+++ b/crates/control-state/tests/fleet.rs
@@ -50,7 +50,7 @@
 fn target_weights_only_increase() {
     let mut state = ControlState::default();
     let set = |state: &mut ControlState, index, version| {
-        state.apply(index, Command::NameWeights { model: "m".into(), version })
+        state.apply(index, Command::SetTargetWeights { model: "m".into(), version })
     };
     assert_eq!(set(&mut state, 1, 3), Answer::Weights(3));
     assert_eq!(set(&mut state, 2, 2), Answer::Weights(3));
@@ -111,7 +111,7 @@
     let mut state = ControlState::default();
     put(&mut state, 1, 4, "four");
     depart(&mut state, 2, "a");
-    state.apply(3, Command::NameWeights { model: "m".into(), version: 2 });
+    state.apply(3, Command::SetTargetWeights { model: "m".into(), version: 2 });
     state.apply(4, Command::TakeOrderLease { node: NodeId(1) });
     let read = ControlState::from_snapshot(&state.to_snapshot()).expect("a snapshot");
     assert_eq!(read, state);
