--- a/crates/control-state/src/command.rs
+++ b/crates/control-state/src/command.rs
@@ -156,7 +156,7 @@
     },
     /// Records that a server is departing or has departed.
     #[n(10)]
-    Depart {
+    RecordDeparture {
         /// Name under which the server announces itself.
         #[n(0)]
         instance: InstanceName,
--- a/crates/control-state/src/state.rs
+++ b/crates/control-state/src/state.rs
@@ -79,7 +79,7 @@
             Command::SetTargetWeights { model, version } => {
                 Answer::Weights(self.fleet_mut().set_target_weights(index, model, version))
             }
-            Command::Depart { instance, through, at } => {
+            Command::RecordDeparture { instance, through, at } => {
                 let departure = Departure { name: instance, through };
                 if !self.fleet.departures().covers(&departure) {
                     self.fleet_mut().record_departure(index, departure, at);
--- a/crates/control-state/tests/fleet.rs
+++ b/crates/control-state/tests/fleet.rs
@@ -25,7 +25,7 @@
 /// Records at `at` the departure of the incarnation that started at `started`.
 fn depart_at(state: &mut ControlState, index: u64, (id, started): (&str, u64), at: u64) {
     let (instance, through) = (InstanceName::new(id), StartTime::from_unix_ms(started));
-    let command = Command::Depart { instance, through, at };
+    let command = Command::RecordDeparture { instance, through, at };
     assert_eq!(state.apply(index, command), Answer::Departed);
 }
 
--- a/crates/control/src/fleet.rs
+++ b/crates/control/src/fleet.rs
@@ -128,7 +128,7 @@
             return Ok(());
         }
         let Departure { name: instance, through } = Departure::of(id);
-        let command = Command::Depart { instance, through, at: unix_seconds() };
+        let command = Command::RecordDeparture { instance, through, at: unix_seconds() };
         self.write("departure", command).await?;
         let started = id.started().unix_ms();
         log::info!("event=departure_recorded instance={id} started={started} word={word}");
