--- a/crates/control-state/src/answer.rs
+++ b/crates/control-state/src/answer.rs
@@ -108,7 +108,7 @@
 pub enum SettleAnswer {
     /// The outcome is recorded, now or by an earlier settlement.
     #[n(0)]
-    Kept,
+    Recorded,
     /// The attempt doesn't hold the claim.
     #[n(1)]
     NotHeld,
--- a/crates/control-state/src/claims.rs
+++ b/crates/control-state/src/claims.rs
@@ -159,7 +159,7 @@
             self.body_bytes += outcome.body.len() as u64;
             claim.outcome = Some(outcome);
         }
-        SettleAnswer::Kept
+        SettleAnswer::Recorded
     }
 
     pub(crate) fn advance_horizon(&mut self, to: u64) -> u64 {
--- a/crates/control-state/tests/claims.rs
+++ b/crates/control-state/tests/claims.rs
@@ -43,7 +43,7 @@
     assert_eq!(apply(claim(100, 1, 12, 100)), Answer::Claim(ClaimAnswer::OutcomeUnknown));
     assert_eq!(apply(claim(100, 2, 13, 100)), Answer::Claim(ClaimAnswer::KeyReused));
     assert_eq!(apply(settle(100, 12, 3)), Answer::Settle(SettleAnswer::NotHeld));
-    assert_eq!(apply(settle(100, 11, 3)), Answer::Settle(SettleAnswer::Kept));
+    assert_eq!(apply(settle(100, 11, 3)), Answer::Settle(SettleAnswer::Recorded));
     let again = apply(claim(100, 1, 14, 100));
     assert!(matches!(again, Answer::Claim(ClaimAnswer::Settled(ref o)) if o.whole), "{again:?}");
     assert_eq!(apply(claim(9_999, 1, 15, 100)), Answer::Claim(ClaimAnswer::TooEarly));
--- a/crates/lab/src/prove/claims/linear.rs
+++ b/crates/lab/src/prove/claims/linear.rs
@@ -42,7 +42,7 @@
             }
             KeyOperation::Settle { attempt, answer } => {
                 let held = state.holder.is_some_and(|(holder, _)| holder == *attempt);
-                let expected = if held { SettleAnswer::Kept } else { SettleAnswer::NotHeld };
+                let expected = if held { SettleAnswer::Recorded } else { SettleAnswer::NotHeld };
                 let valid = answer.is_none_or(|answer| answer == expected);
                 let holder = if held { Some((*attempt, true)) } else { state.holder };
                 (valid, if valid { KeyState { holder, ..*state } } else { *state })
