--- a/crates/consensus/src/config.rs
+++ b/crates/consensus/src/config.rs
@@ -44,7 +44,7 @@
     /// Maximum size of a command, in bytes.
     pub max_command_bytes: usize,
     /// Number of entries covered by the snapshot that stay in memory for lagging followers.
-    pub keep_entries: usize,
+    pub retained_entries: usize,
     /// Maximum number of unanswered reads.
     pub max_pending_reads: usize,
 }
@@ -69,7 +69,7 @@
             max_in_flight_entries: 4_096,
             max_uncommitted_bytes: 16 << 20,
             max_command_bytes: 4 << 20,
-            keep_entries: 4_096,
+            retained_entries: 4_096,
             max_pending_reads: 16_384,
         }
     }
--- a/crates/consensus/src/replica/snapshot.rs
+++ b/crates/consensus/src/replica/snapshot.rs
@@ -32,7 +32,7 @@
         }
         let snapshot = Snapshot { meta, data: Arc::new(data) };
         self.output.queue_snapshot(snapshot.clone(), false);
-        self.log.compact(snapshot, self.config.keep_entries);
+        self.log.compact(snapshot, self.config.retained_entries);
         Ok(())
     }
 
--- a/crates/consensus/tests/support/mod.rs
+++ b/crates/consensus/tests/support/mod.rs
@@ -53,7 +53,7 @@
 pub fn config(id: ReplicaId) -> ReplicaConfig {
     let peers = (1..=5).map(NodeId).collect();
     let mut config = ReplicaConfig::new(id, zone(id.node.0), peers);
-    (config.lost_voter_ticks, config.keep_entries, config.snapshot_chunk_bytes) = (100, 2, 16);
+    (config.lost_voter_ticks, config.retained_entries, config.snapshot_chunk_bytes) = (100, 2, 16);
     config
 }
 
--- a/crates/control/src/replica/start.rs
+++ b/crates/control/src/replica/start.rs
@@ -160,7 +160,7 @@
     let tick_ms = u64::try_from(TICK.as_millis()).unwrap_or(1);
     config.target_voters = tuning.target_voters;
     config.lost_voter_ticks = tuning.lost_voter_ms / tick_ms;
-    config.keep_entries = tuning.keep_entries;
+    config.retained_entries = tuning.keep_entries;
     if let PeerDiscovery::Seeded { seeds, .. } = &settings.discovery {
         config.peers = seeds.clone();
         config.admits_any_node = true;
--- a/crates/simulation/src/world/setup.rs
+++ b/crates/simulation/src/world/setup.rs
@@ -70,7 +70,7 @@
     replica.target_voters = if machines >= 5 && random.chance(350) { 5 } else { 3 };
     replica.lost_voter_ticks = random.between(30, 80);
     replica.lost_learner_ticks = 300;
-    replica.keep_entries = random.between(0, 20) as usize;
+    replica.retained_entries = random.between(0, 20) as usize;
     replica.max_append_bytes = random.between(200, 6_000) as usize;
     replica.max_in_flight_entries = random.between(2, 64);
     replica.snapshot_chunk_bytes = random.between(300, 4_000) as usize;
