--- a/crates/control-state/src/quarantine.rs
+++ b/crates/control-state/src/quarantine.rs
@@ -58,7 +58,7 @@
     }
 
     /// Number of changes so far.
-    pub fn changes(&self) -> u64 {
+    pub fn change_count(&self) -> u64 {
         self.changes
     }
 
--- a/crates/control-state/tests/quarantine.rs
+++ b/crates/control-state/tests/quarantine.rs
@@ -36,7 +36,7 @@
     assert_eq!(state.fleet().revision(), 3);
     state.apply(4, quarantine(1));
     state.apply(5, release(2));
-    assert_eq!((state.fleet().revision(), state.fleet().quarantine().changes()), (3, 1));
+    assert_eq!((state.fleet().revision(), state.fleet().quarantine().change_count()), (3, 1));
     state.apply(6, release(1));
     assert_eq!(state.fleet().revision(), 6);
     assert!(quarantined(&state).is_empty());
@@ -95,7 +95,7 @@
             }
             subscriber.extend(change.added);
             change.released.iter().for_each(|request| { subscriber.remove(request); });
-            known = Some(quarantine.changes());
+            known = Some(quarantine.change_count());
             if subscriber != quarantined(&state) {
                 return false;
             }
--- a/crates/control/src/internal/follower.rs
+++ b/crates/control/src/internal/follower.rs
@@ -164,7 +164,7 @@
         }
         let news = news_after(&state, sent, members.clone());
         let (revision, departures) = (state.revision(), state.departures().total());
-        let quarantine = state.quarantine().changes();
+        let quarantine = state.quarantine().change_count();
         self.fleet = Some(SentFleet { revision, members, departures, quarantine });
         self.send(Push::Fleet(news)).await
     }
@@ -248,7 +248,7 @@
 /// What has changed of the quarantine since `sent`; everything for a follower that was sent nothing.
 fn quarantine_after(state: &FleetState, sent: Option<u64>) -> Option<QuarantineUpdate> {
     let quarantine = state.quarantine();
-    if sent == Some(quarantine.changes()) {
+    if sent == Some(quarantine.change_count()) {
         return None;
     }
     let QuarantineChange { is_whole, added, released } = quarantine.change_after(sent);
