--- a/crates/control/src/internal/follower.rs
+++ b/crates/control/src/internal/follower.rs
@@ -168,7 +168,7 @@
         }
         let update = update_since(&state, sent, members.clone());
         let (revision, departures) = (state.revision(), state.departures().total());
-        let quarantine = state.quarantine().changes();
+        let quarantine = state.quarantine().change_count();
         self.fleet = Some(SentFleet { revision, members, departures, quarantine });
         self.send(Push::Fleet(update)).await
     }
@@ -255,7 +255,7 @@
 /// Builds the update of quarantined requests since change `sent`; complete if nothing was sent.
 fn quarantine_since(state: &FleetState, sent: Option<u64>) -> Option<QuarantineUpdate> {
     let quarantine = state.quarantine();
-    if sent == Some(quarantine.changes()) {
+    if sent == Some(quarantine.change_count()) {
         return None;
     }
     let QuarantineChange { is_whole, added, released } = quarantine.change_after(sent);
--- a/crates/storage/src/recovery.rs
+++ b/crates/storage/src/recovery.rs
@@ -98,7 +98,7 @@
     let replay = read_segments(disk, snapshot.as_ref(), mark)?.replay;
     let position = snapshot.as_ref().map_or(Position::default(), |s| s.meta.position);
     let (hard_state, entries) = replay.into_parts();
-    let restored = juniper_consensus::Restored { hard_state, snapshot, entries };
+    let restored = juniper_consensus::RestoredState { hard_state, snapshot, entries };
     Ok(FolderReport {
         id,
         epoch: hard_state.epoch,
@@ -157,7 +157,7 @@
     }
     let term = restored.hard_state.term.max(restored.last().term) + 1;
     let index = restored.last().index + 1;
-    let payload = Payload::Members(plan.membership.clone());
+    let payload = Payload::Membership(plan.membership.clone());
     let write = Write {
         number: 1,
         hard_state: Some(HardState { epoch: plan.epoch, term, vote: None, commit: index }),
