--- a/crates/router/src/access.rs
+++ b/crates/router/src/access.rs
@@ -1,4 +1,4 @@
-//! Who calls: API key to tenant, and the operators' key.
+//! Authentication of callers by API key and of operators by operator key.
 
 use axum::http::{HeaderMap, header};
 use juniper_settings::{ApiKeyHash, EffectiveSettings, TrafficKind};
@@ -9,29 +9,29 @@
 use crate::error::RequestError;
 use crate::in_force::{InForce, TenantHome};
 
-/// Header that names the service of a request.
+/// Header with the service name of a request.
 pub const SERVICE_HEADER: &str = "x-service";
 
-/// Header that carries the request id, in both directions.
+/// Header with the request id, in requests and responses.
 pub const REQUEST_ID_HEADER: &str = "x-request-id";
 
-/// A caller whose key is known, with the settings of the service it asked for.
+/// An authenticated caller with the settings of the requested service.
 #[derive(Clone, Debug)]
 pub struct Caller {
-    /// The tenant.
+    /// Tenant of the API key.
     pub home: TenantHome,
-    /// The service.
+    /// Requested service.
     pub service: ServiceName,
-    /// Its settings.
+    /// Effective settings of the service.
     pub settings: Arc<EffectiveSettings>,
 }
 
-/// The bearer token of a request.
+/// Returns the bearer token of a request.
 pub fn bearer(headers: &HeaderMap) -> Option<&str> {
     headers.get(header::AUTHORIZATION)?.to_str().ok()?.strip_prefix("Bearer ")
 }
 
-/// Finds the tenant and service that a request belongs to.
+/// Resolves the tenant and service of a request.
 pub fn authenticate(
     in_force: &InForce,
     headers: &HeaderMap,
@@ -59,7 +59,7 @@
     named.map_or_else(|| format!("of kind {kind:?}"), |name| name.to_string())
 }
 
-/// The caller's request id, or a new one.
+/// Returns the caller's request id, or a new one if the header is missing.
 pub fn request_id(headers: &HeaderMap) -> Result<RequestId, RequestError> {
     match headers.get(REQUEST_ID_HEADER) {
         Some(value) => value
@@ -71,8 +71,8 @@
     }
 }
 
-/// Whether `headers` carry a key of the operators. Every hash is compared, so
-/// that the time taken tells nothing about which one matched.
+/// Whether `headers` carry an operator key. All hashes are compared, so that the
+/// duration doesn't reveal which one matched.
 pub fn is_operator(headers: &HeaderMap, operator_keys: &[ApiKeyHash]) -> bool {
     let Some(key) = bearer(headers) else {
         return false;
--- a/crates/router/src/applications.rs
+++ b/crates/router/src/applications.rs
@@ -1,4 +1,4 @@
-//! Relays application requests: those that run at most once, and repeatable ones.
+//! Relays at-most-once and repeatable requests to application servers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,27 +15,29 @@
 
 use crate::access::{Caller, REQUEST_ID_HEADER, authenticate, request_id};
 use crate::backends::Lease;
-use crate::claims::{Claim, Claimed, KEY_HEADER, MAX_KEPT_BODY_BYTES, fingerprint, key_of};
-use crate::crashes::{AskedRequest, SentTo};
+use crate::claims::{
+    Claim, ClaimResult, IDEMPOTENCY_KEY_HEADER, MAX_STORED_BODY_BYTES, fingerprint, idempotency_key,
+};
+use crate::crashes::{RequestIdentity, SentAttempt};
 use crate::error::RequestError;
-use crate::faces::{answer_or_error, insert, read_body};
-use crate::shared::{InFlight, Shared};
+use crate::http_api::{insert_header, into_counted_response, read_body};
+use crate::router_state::{InFlight, RouterState};
 
-/// Largest answer that is buffered, in bytes.
+/// Largest buffered answer, in bytes.
 const MAX_ANSWER_BYTES: usize = 8 << 20;
 
-/// Suggested pause when no server can be reached, in milliseconds.
+/// Retry delay suggested to callers when no server is reachable, in milliseconds.
 const NO_SERVER_RETRY_MS: u64 = 1_000;
 
-/// Servers tried for one repeatable request.
+/// Maximum number of servers tried for one repeatable request.
 const MAX_ATTEMPTS: usize = 3;
 
-/// How long an at-most-once request may go on after its caller stopped waiting.
+/// Maximum execution time of an at-most-once request, which may exceed the caller's deadline.
 const EXECUTION_LIMIT: Duration = Duration::from_secs(120);
 
-/// A request on its way to an application server.
+/// A request to forward to an application server.
 #[derive(Clone, Debug)]
-struct Forward {
+struct ForwardedRequest {
     method: reqwest::Method,
     path: String,
     content_type: Option<HeaderValue>,
@@ -45,7 +47,7 @@
     body: Bytes,
 }
 
-/// A whole answer of an application server.
+/// Buffered answer of an application server.
 #[derive(Clone, Debug)]
 struct Answer {
     status: u16,
@@ -53,10 +55,10 @@
     body: Bytes,
 }
 
-/// Why sending to one server failed.
+/// Error of one attempt on an application server.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 enum ForwardError {
-    #[error("the server can't be reached; nothing was sent")]
+    #[error("the server is unreachable; nothing was sent")]
     Unreachable,
     #[error("the connection broke after the request was sent")]
     Broken,
@@ -64,11 +66,12 @@
     TooLarge,
 }
 
-impl Forward {
-    /// What is asked, as the same request asks it again; its key is a new one then.
-    fn asked(&self) -> AskedRequest<'_> {
+impl ForwardedRequest {
+    /// Content that identifies the request across retries; excludes the idempotency key, which
+    /// may differ for each submission.
+    fn identity(&self) -> RequestIdentity<'_> {
         let (method, path) = (self.method.as_str(), self.path.as_str());
-        AskedRequest { method, path, tenant: &self.tenant, body: &self.body }
+        RequestIdentity { method, path, tenant: &self.tenant, body: &self.body }
     }
 }
 
@@ -76,35 +79,35 @@
     fn into_response(self) -> Response {
         let status = StatusCode::from_u16(self.status).unwrap_or(StatusCode::BAD_GATEWAY);
         let mut response = (status, Body::from(self.body)).into_response();
-        insert(response.headers_mut(), "content-type", &self.content_type);
+        insert_header(response.headers_mut(), "content-type", &self.content_type);
         response
     }
 }
 
-/// Serves `POST /apply/...`: runs at most once.
-pub async fn apply(State(shared): State<Arc<Shared>>, request: Request) -> Response {
+/// Serves `POST /apply/...` with at-most-once execution.
+pub async fn apply(State(shared): State<Arc<RouterState>>, request: Request) -> Response {
     let result = serve_at_most_once(&shared, request).await;
-    answer_or_error(&shared, "at_most_once", result)
+    into_counted_response(&shared, "at_most_once", result)
 }
 
-/// Serves `GET /board/...`: may be repeated.
-pub async fn board(State(shared): State<Arc<Shared>>, request: Request) -> Response {
+/// Serves `GET /board/...`, which is safe to retry.
+pub async fn board(State(shared): State<Arc<RouterState>>, request: Request) -> Response {
     let result = serve_repeatable(&shared, request).await;
-    answer_or_error(&shared, "repeatable", result)
+    into_counted_response(&shared, "repeatable", result)
 }
 
 async fn accept(
-    shared: &Shared,
+    shared: &RouterState,
     request: Request,
     kind: TrafficKind,
-) -> Result<(Caller, Forward), RequestError> {
+) -> Result<(Caller, ForwardedRequest), RequestError> {
     let view = shared.view();
     let (parts, body) = request.into_parts();
     let caller = authenticate(&view.in_force, &parts.headers, kind)?;
     shared.check_cut_off(&caller.settings)?;
     let body = read_body(body, caller.settings.max_body_bytes).await?;
     let path = parts.uri.path_and_query().map_or("/", |path| path.as_str()).to_owned();
-    let forward = Forward {
+    let forward = ForwardedRequest {
         method: parts.method,
         path,
         content_type: parts.headers.get(header::CONTENT_TYPE).cloned(),
@@ -115,7 +118,7 @@
     };
     let forward = match kind {
         TrafficKind::AtMostOnce => {
-            Forward { key: Some(key_of(&parts.headers)?.to_string()), ..forward }
+            ForwardedRequest { key: Some(idempotency_key(&parts.headers)?.to_string()), ..forward }
         }
         _ => forward,
     };
@@ -130,27 +133,27 @@
 }
 
 async fn serve_at_most_once(
-    shared: &Arc<Shared>,
+    shared: &Arc<RouterState>,
     request: Request,
 ) -> Result<Response, RequestError> {
-    let mut in_flight = shared.enter()?;
+    let mut in_flight = shared.begin_request()?;
     let started = Instant::now();
     let (caller, forward) = accept(shared, request, TrafficKind::AtMostOnce).await?;
     shared.admit(&mut in_flight, &caller)?;
     let key_text = forward.key.clone().unwrap_or_default();
     let claim = Claim {
         tenant: caller.home.tenant.clone(),
-        key: key_text
-            .parse()
-            .map_err(|error| RequestError::Malformed(format!("{KEY_HEADER}: {error}")))?,
+        key: key_text.parse().map_err(|error| {
+            RequestError::Malformed(format!("{IDEMPOTENCY_KEY_HEADER}: {error}"))
+        })?,
         fingerprint: fingerprint(forward.method.as_str(), &forward.path, &forward.body),
         attempt: rand::random(),
     };
     let request_id = forward.request_id;
-    let mut response = match claim.take(&shared.plane.control).await? {
-        Claimed::Settled(outcome) => replay(outcome)?,
-        Claimed::Granted => {
-            // The execution outlives its caller: whoever asks again must find the outcome.
+    let mut response = match claim.acquire(&shared.plane.control).await? {
+        ClaimResult::Settled(outcome) => replay(outcome)?,
+        ClaimResult::Granted => {
+            // Runs to completion even if the caller disconnects, so that a retry finds the outcome.
             let execution = tokio::spawn(execute(Arc::clone(shared), claim, forward, in_flight));
             let deadline = started + Duration::from_millis(caller.settings.deadline_ms);
             match timeout_at(deadline, execution).await {
@@ -159,12 +162,12 @@
             }
         }
     };
-    insert(response.headers_mut(), KEY_HEADER, &key_text);
-    insert(response.headers_mut(), REQUEST_ID_HEADER, &request_id.to_string());
+    insert_header(response.headers_mut(), IDEMPOTENCY_KEY_HEADER, &key_text);
+    insert_header(response.headers_mut(), REQUEST_ID_HEADER, &request_id.to_string());
     Ok(response)
 }
 
-/// Answers a repeat with the kept outcome.
+/// Answers a retried request with the recorded outcome.
 fn replay(outcome: ClaimOutcome) -> Result<Response, RequestError> {
     if !outcome.whole {
         return Err(RequestError::AnswerNotKept { status: outcome.status });
@@ -175,21 +178,22 @@
         body: Bytes::from(outcome.body),
     };
     let mut response = answer.into_response();
-    insert(response.headers_mut(), "x-idempotent-replay", "true");
+    insert_header(response.headers_mut(), "x-idempotent-replay", "true");
     Ok(response)
 }
 
-/// Runs a claimed request once and keeps its outcome.
+/// Runs a claimed request at most once and records its outcome.
 async fn execute(
-    shared: Arc<Shared>,
+    shared: Arc<RouterState>,
     claim: Claim,
-    forward: Forward,
+    forward: ForwardedRequest,
     _in_flight: InFlight,
 ) -> Result<Answer, RequestError> {
     let mut excluded = Vec::new();
     let deadline = Instant::now() + EXECUTION_LIMIT;
     loop {
-        if let Err(error) = shared.crashes.check(&forward.request_id.to_string(), &forward.asked())
+        if let Err(error) =
+            shared.crashes.check(&forward.request_id.to_string(), &forward.identity())
         {
             claim.settle(&shared.plane.control, not_run_outcome(&error)).await;
             return Err(error);
@@ -209,9 +213,9 @@
                 tokio::spawn(async move { claim.settle(&control, outcome).await });
                 return Ok(answer);
             }
-            // Not a byte left for the server, so another one may be tried.
+            // Nothing was sent, so another server may be tried.
             Ok(Err(ForwardError::Unreachable)) => {}
-            // It may have run: it is never sent again.
+            // The request may have run, so it must not be sent again.
             Ok(Err(ForwardError::Broken | ForwardError::TooLarge)) | Err(_) => {
                 return Err(RequestError::OutcomeUnknown);
             }
@@ -220,7 +224,7 @@
 }
 
 fn outcome_of(answer: &Answer) -> ClaimOutcome {
-    let whole = answer.body.len() <= MAX_KEPT_BODY_BYTES;
+    let whole = answer.body.len() <= MAX_STORED_BODY_BYTES;
     ClaimOutcome {
         status: answer.status,
         content_type: answer.content_type.clone(),
@@ -239,10 +243,10 @@
 }
 
 async fn serve_repeatable(
-    shared: &Arc<Shared>,
+    shared: &Arc<RouterState>,
     request: Request,
 ) -> Result<Response, RequestError> {
-    let mut in_flight = shared.enter()?;
+    let mut in_flight = shared.begin_request()?;
     let started = Instant::now();
     let (caller, forward) = accept(shared, request, TrafficKind::Repeatable).await?;
     shared.admit(&mut in_flight, &caller)?;
@@ -250,7 +254,7 @@
     let mut excluded = Vec::new();
     let mut sent = false;
     while excluded.len() < MAX_ATTEMPTS {
-        shared.crashes.check(&forward.request_id.to_string(), &forward.asked())?;
+        shared.crashes.check(&forward.request_id.to_string(), &forward.identity())?;
         let zone = &shared.config.zone;
         let chosen = shared.back_ends.choose(BackEndKind::Application, zone, &excluded);
         let Some(lease) = chosen else { break };
@@ -270,7 +274,11 @@
     Err(RequestError::NoBackEnd { retry_after_ms: NO_SERVER_RETRY_MS })
 }
 
-async fn send(shared: &Shared, lease: &Lease, forward: &Forward) -> Result<Answer, ForwardError> {
+async fn send(
+    shared: &RouterState,
+    lease: &Lease,
+    forward: &ForwardedRequest,
+) -> Result<Answer, ForwardError> {
     let url = format!("http://{}{}", lease.target.address, forward.path);
     let mut request = shared
         .http
@@ -282,9 +290,9 @@
         request = request.header(header::CONTENT_TYPE, content_type);
     }
     if let Some(key) = &forward.key {
-        request = request.header(KEY_HEADER, key);
+        request = request.header(IDEMPOTENCY_KEY_HEADER, key);
     }
-    let sent = SentTo {
+    let sent = SentAttempt {
         back_end: lease.target.id,
         address: lease.target.address,
         incarnation: None,
@@ -292,11 +300,11 @@
     };
     let answered = match request.send().await {
         Ok(response) => {
-            lease.answered();
+            lease.record_success();
             read_answer(response).await
         }
         Err(error) => {
-            lease.failed();
+            lease.record_failure();
             Err(match error.is_connect() {
                 true => ForwardError::Unreachable,
                 false => ForwardError::Broken,
@@ -305,8 +313,12 @@
     };
     let id = forward.request_id.to_string();
     match &answered {
-        Ok(answer) if answer.status < 500 => shared.crashes.note_answered(&id, &forward.asked()),
-        Err(ForwardError::Broken) => shared.crashes.note_cut(&id, &forward.asked(), sent),
+        Ok(answer) if answer.status < 500 => {
+            shared.crashes.record_completed(&id, &forward.identity())
+        }
+        Err(ForwardError::Broken) => {
+            shared.crashes.record_interrupted(&id, &forward.identity(), sent)
+        }
         _ => {}
     }
     answered
--- a/crates/router/src/backends.rs
+++ b/crates/router/src/backends.rs
@@ -1,6 +1,6 @@
-//! Addresses of all back ends, and the choice among application and preview servers.
+//! Addresses of all back ends, and load balancing over application and preview servers.
 //!
-//! Model engines are chosen by the decision crates (`crate::engines`).
+//! Model engines are chosen in [`crate::engines`].
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,12 +12,12 @@
 
 use crate::in_force::InForce;
 
-/// A back end picked for one attempt.
+/// Back end chosen for one attempt.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// The back end.
+    /// Id of the back end.
     pub id: EngineId,
-    /// Its address.
+    /// Address of the back end.
     pub address: SocketAddr,
 }
 
@@ -35,15 +35,15 @@
 #[derive(Debug, Default)]
 pub struct BackEnds {
     table: Mutex<BTreeMap<EngineId, BackEndState>>,
-    /// Set once the back ends of some settings in force were taken over.
-    followed: AtomicBool,
+    /// Set once back ends from a nonzero settings revision were applied.
+    has_settings: AtomicBool,
 }
 
-/// Counts one request against a back end until it is dropped.
+/// Counts one request as in flight at a back end until dropped.
 #[derive(Debug)]
 pub struct Lease {
     back_ends: Arc<BackEnds>,
-    /// The back end.
+    /// Chosen back end.
     pub target: Target,
 }
 
@@ -56,15 +56,15 @@
 }
 
 impl Lease {
-    /// Notes that the back end failed, so that others are preferred.
-    pub fn failed(&self) {
+    /// Records a failure of the back end, so that others are preferred.
+    pub fn record_failure(&self) {
         if let Some(state) = self.back_ends.lock().get_mut(&self.target.id) {
             state.failures = state.failures.saturating_add(1);
         }
     }
 
-    /// Notes that the back end answered.
-    pub fn answered(&self) {
+    /// Records an answer of the back end and resets its failure count.
+    pub fn record_success(&self) {
         if let Some(state) = self.back_ends.lock().get_mut(&self.target.id) {
             state.failures = 0;
         }
@@ -76,7 +76,7 @@
         self.table.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Takes over the back ends of new settings; work in flight stays counted.
+    /// Applies the back ends of new settings and keeps the counts of requests in flight.
     pub fn follow(&self, in_force: &InForce) {
         let mut table = self.lock();
         let mut next = BTreeMap::new();
@@ -94,27 +94,27 @@
         }
         *table = next;
         if in_force.revision.0 > 0 {
-            self.followed.store(true, Ordering::Release);
+            self.has_settings.store(true, Ordering::Release);
         }
     }
 
-    /// Whether the back ends of some settings in force were taken over.
+    /// Whether back ends from a nonzero settings revision were applied.
     pub fn has_followed(&self) -> bool {
-        self.followed.load(Ordering::Acquire)
+        self.has_settings.load(Ordering::Acquire)
     }
 
-    /// Whether the settings say that the back end is leaving, or don't name it any more.
+    /// Whether the back end is marked as leaving in the settings or removed from them.
     pub fn is_leaving(&self, id: EngineId) -> bool {
         self.lock().get(&id).is_none_or(|state| state.leaving)
     }
 
-    /// Where the back end is reached.
+    /// Returns the address of the back end.
     pub fn address(&self, id: EngineId) -> Option<SocketAddr> {
         self.lock().get(&id).map(|state| state.address)
     }
 
-    /// Picks the least busy back end of `kind`, own zone first among equals,
-    /// passing over those in `excluded`.
+    /// Chooses the back end of `kind` with the fewest failures and requests in flight,
+    /// preferring `zone` among equals and skipping those in `excluded`.
     pub fn choose(
         self: &Arc<Self>,
         kind: BackEndKind,
--- a/crates/router/src/chat.rs
+++ b/crates/router/src/chat.rs
@@ -1,4 +1,4 @@
-//! Chat-completion requests as callers send them.
+//! Parsing and validation of chat-completion requests.
 
 use juniper_types::ModelName;
 use serde::Deserialize;
@@ -6,10 +6,10 @@
 
 use crate::error::RequestError;
 
-/// Most messages in one request.
+/// Maximum number of messages in one request.
 pub const MAX_MESSAGES: usize = 1_024;
 
-/// The fields that the router reads; the rest is passed on as it came.
+/// Request fields that the router reads; other fields are forwarded unchanged.
 #[derive(Debug, Deserialize)]
 struct ChatBody {
     #[serde(default)]
@@ -26,19 +26,19 @@
 /// One message of the conversation.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ChatMessage {
-    /// Who speaks.
+    /// Role of the author, such as `system` or `user`.
     pub role: String,
-    /// What is said.
+    /// Content of the message.
     pub content: Content,
 }
 
-/// Text, whole or in parts.
+/// Message content as a single string or as a list of parts.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(untagged)]
 pub enum Content {
-    /// Whole.
+    /// Single string.
     Text(String),
-    /// In parts.
+    /// List of parts.
     Parts(Vec<Part>),
 }
 
@@ -48,25 +48,25 @@
     /// Kind of the part; only `text` is accepted.
     #[serde(rename = "type")]
     pub kind: String,
-    /// The text.
+    /// Text of the part.
     pub text: String,
 }
 
-/// A checked chat request.
+/// A validated chat request.
 #[derive(Clone, Debug)]
 pub struct ChatRequest {
-    /// Prompt as engines see it.
+    /// Prompt from which block hashes are computed.
     pub prompt: Vec<u8>,
-    /// Whether the caller wants the answer as a stream.
+    /// Whether the caller requested a streamed answer.
     pub stream: bool,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
     /// Body to send to the engine.
     pub engine_body: Vec<u8>,
 }
 
 impl ChatRequest {
-    /// Parses and checks `body` for a service that serves `model`.
+    /// Parses and validates `body` for a service of `model`.
     pub fn parse(
         body: &[u8],
         model: &ModelName,
@@ -101,7 +101,7 @@
 }
 
 impl Content {
-    /// The text, with its parts joined; engines are sent whole text only.
+    /// Joins the parts into one string, the only form that is sent to engines.
     fn into_text(self) -> Result<String, RequestError> {
         let parts = match self {
             Content::Text(text) => return Ok(text),
--- a/crates/router/src/claims.rs
+++ b/crates/router/src/claims.rs
@@ -1,4 +1,4 @@
-//! Claims of at-most-once requests, as the router makes them.
+//! Claims of at-most-once requests at the control replicas.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -9,49 +9,49 @@
 use crate::control_client::{ControlCallError, ControlClient};
 use crate::error::RequestError;
 
-/// Header with the caller's idempotency key; the answer carries it too.
-pub const KEY_HEADER: &str = "idempotency-key";
+/// Header with the idempotency key, in requests and responses.
+pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
-/// Longest wait for a claim.
+/// Timeout of a claim.
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How long the outcome of a request that has run is offered to the replicas.
+/// Time for which recording the outcome of an executed request is retried.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Suggested pause when no quorum answers, in milliseconds.
+/// Retry delay suggested to callers when no quorum answers, in milliseconds.
 const NO_QUORUM_RETRY_MS: u64 = 2_000;
 
-/// Largest body kept with an outcome, in bytes.
-pub const MAX_KEPT_BODY_BYTES: usize = 16 << 10;
+/// Largest body stored with an outcome, in bytes.
+pub const MAX_STORED_BODY_BYTES: usize = 16 << 10;
 
-/// One attempt to run a request at most once.
+/// Claim for one attempt to run an at-most-once request.
 #[derive(Clone, Debug)]
 pub struct Claim {
-    /// Whose request it is.
+    /// Tenant of the request.
     pub tenant: TenantName,
-    /// The idempotency key.
+    /// Idempotency key.
     pub key: ClaimKey,
     /// Hash of the request.
     pub fingerprint: BlockHash,
-    /// Drawn for this attempt.
+    /// Random id of this attempt.
     pub attempt: u64,
 }
 
-/// What a claim allows.
+/// Result of a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Claimed {
-    /// Run the request now.
+pub enum ClaimResult {
+    /// The request may run now.
     Granted,
-    /// Answer with the kept outcome.
+    /// The request has already run with this outcome.
     Settled(ClaimOutcome),
 }
 
-/// The caller's key, or a new one stamped with the present second.
-pub fn key_of(headers: &HeaderMap) -> Result<ClaimKey, RequestError> {
+/// Returns the caller's idempotency key, or a new one with the current time in seconds.
+pub fn idempotency_key(headers: &HeaderMap) -> Result<ClaimKey, RequestError> {
     let malformed = |error: juniper_types::ClaimKeyError| {
-        RequestError::Malformed(format!("{KEY_HEADER}: {error}"))
+        RequestError::Malformed(format!("{IDEMPOTENCY_KEY_HEADER}: {error}"))
     };
-    match headers.get(KEY_HEADER) {
+    match headers.get(IDEMPOTENCY_KEY_HEADER) {
         Some(value) => value.to_str().unwrap_or_default().parse().map_err(malformed),
         None => {
             let seconds = SystemTime::now().duration_since(UNIX_EPOCH);
@@ -62,7 +62,7 @@
     }
 }
 
-/// Hash of everything that makes the request what it is.
+/// Hashes the method, path and body of a request.
 pub fn fingerprint(method: &str, path: &str, body: &[u8]) -> BlockHash {
     let mut hasher = blake3::Hasher::new();
     for part in [method.as_bytes(), path.as_bytes(), body] {
@@ -75,9 +75,11 @@
 }
 
 impl Claim {
-    /// Claims the request through a quorum. An error means that nothing ran
-    /// in this attempt, and that nothing will.
-    pub async fn take(&self, control: &ControlClient) -> Result<Claimed, RequestError> {
+    /// Claims the request through a quorum.
+    ///
+    /// # Errors
+    /// Fails when the claim isn't granted; nothing has run or will run in this attempt.
+    pub async fn acquire(&self, control: &ControlClient) -> Result<ClaimResult, RequestError> {
         let request = Request::Claim {
             tenant: self.tenant.clone(),
             key: self.key.clone(),
@@ -93,8 +95,8 @@
         }
     }
 
-    /// Keeps the outcome, so that a repeat gets it. Failing is harmless: the
-    /// repeat then gets "outcome unknown".
+    /// Records the outcome for retries of the request. If this fails, a retry gets
+    /// [`RequestError::OutcomeUnknown`].
     pub async fn settle(&self, control: &ControlClient, outcome: ClaimOutcome) {
         let request = Request::Settle {
             tenant: self.tenant.clone(),
@@ -112,10 +114,10 @@
     }
 }
 
-fn read_answer(answer: ClaimAnswer) -> Result<Claimed, RequestError> {
+fn read_answer(answer: ClaimAnswer) -> Result<ClaimResult, RequestError> {
     match answer {
-        ClaimAnswer::Granted => Ok(Claimed::Granted),
-        ClaimAnswer::Settled(outcome) => Ok(Claimed::Settled(outcome)),
+        ClaimAnswer::Granted => Ok(ClaimResult::Granted),
+        ClaimAnswer::Settled(outcome) => Ok(ClaimResult::Settled(outcome)),
         ClaimAnswer::OutcomeUnknown => Err(RequestError::OutcomeUnknown),
         ClaimAnswer::KeyReused => Err(RequestError::KeyReused),
         ClaimAnswer::Expired { .. } | ClaimAnswer::TooEarly => Err(RequestError::KeyOutOfRange),
--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -1,4 +1,4 @@
-//! What a router process is started with.
+//! Configuration of a router process.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -8,20 +8,20 @@
 use juniper_settings::node_file::{Peer, RouterLimits, RouterSettings};
 use juniper_types::{NodeId, ZoneName};
 
-/// Settings of one router process, ready for use.
+/// Validated configuration of one router process.
 #[derive(Clone)]
 pub struct RouterConfig {
-    /// Number of this node.
+    /// Id of this node.
     pub node: NodeId,
-    /// Zone this node runs in.
+    /// Zone of this node.
     pub zone: ZoneName,
-    /// Where callers connect.
+    /// Listen address of the caller API.
     pub caller: SocketAddr,
-    /// Where operators connect.
+    /// Listen address of the operator API.
     pub operator: SocketAddr,
-    /// Where other daemons connect.
+    /// Listen address of the internal API and of gossip (UDP).
     pub internal: SocketAddr,
-    /// Hashes of the operators' keys.
+    /// Hashes of the operator keys.
     pub operator_keys: Vec<ApiKeyHash>,
     /// Secret shared by the daemons.
     pub cluster_key: ClusterKey,
@@ -29,14 +29,14 @@
     pub control: Vec<Peer>,
     /// Other routers.
     pub peers: Vec<Peer>,
-    /// Folder for the last settings in force; absent on a machine without a disk.
+    /// Folder of the settings file; absent on a machine without a disk.
     pub data_folder: Option<PathBuf>,
-    /// Bounds.
+    /// Resource limits.
     pub limits: RouterLimits,
 }
 
 impl RouterConfig {
-    /// Takes over the checked settings of a node file.
+    /// Converts the validated settings of a node file.
     pub fn from_settings(settings: RouterSettings) -> Result<Self, ClusterKeyError> {
         let common = settings.common;
         Ok(RouterConfig {
@@ -54,7 +54,7 @@
         })
     }
 
-    /// Who this router is to other daemons.
+    /// Returns the identity that this router presents to other daemons.
     pub fn identity(&self) -> PeerIdentity {
         PeerIdentity { node: self.node, role: PeerRole::Router, zone: self.zone.clone() }
     }
--- a/crates/router/src/control_client.rs
+++ b/crates/router/src/control_client.rs
@@ -1,4 +1,4 @@
-//! Calls to the control replicas: follows the leader, retries what is safe.
+//! Client of the control replicas that follows the leader and retries failed calls.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -13,27 +13,27 @@
 use crate::link::{Link, LinkTarget};
 use crate::reachability::Reachability;
 
-/// Longest wait for one replica before the next one is asked.
+/// Timeout of a call to one replica, after which the next one is tried.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Pause before all replicas are asked again.
+/// Delay after all replicas were tried once.
 const ROUND_PAUSE: Duration = Duration::from_millis(60);
 
-/// Why the control replicas gave no answer.
+/// Error of a call to the control replicas.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ControlCallError {
-    /// No replica took the call.
+    /// No replica answered within the time limit.
     #[error("no control replica answered in time: {0}")]
     Unavailable(CallError),
-    /// A replica answered with a refusal that asking another won't change.
+    /// A replica refused the call for a reason that holds for all replicas.
     #[error("refused by the control replica: {0}")]
     Refused(Refusal),
-    /// The replica answered with something else than the call takes.
+    /// The type of the reply doesn't match the call.
     #[error("unexpected reply from the control replica")]
     UnexpectedReply,
 }
 
-/// Links to every control replica.
+/// Client with a link to each control replica.
 pub struct ControlClient {
     replicas: Vec<(NodeId, Link)>,
     by_node: HashMap<NodeId, usize>,
@@ -41,10 +41,10 @@
 }
 
 impl ControlClient {
-    /// Makes the links; none connects before the first call.
+    /// Creates the links; each one connects at its first call.
     pub fn new(config: &RouterConfig, traffic: &Arc<Traffic>, reachability: &Reachability) -> Self {
         let own = config.identity();
-        let make = |peer: &Peer| {
+        let new_link = |peer: &Peer| {
             let key = config.cluster_key.clone();
             let traffic = Arc::clone(traffic);
             let reachability = reachability.clone();
@@ -52,7 +52,7 @@
             let target = LinkTarget { address: peer.address, key, own, traffic, reachability };
             (peer.id, Link::spawn(target))
         };
-        let replicas: Vec<_> = config.control.iter().map(make).collect();
+        let replicas: Vec<_> = config.control.iter().map(new_link).collect();
         let by_node = replicas.iter().enumerate().map(|(at, (node, _))| (*node, at)).collect();
         let preferred = Mutex::new(config.node.0 as usize % replicas.len().max(1));
         ControlClient { replicas, by_node, preferred }
@@ -66,19 +66,18 @@
         *self.preferred.lock().unwrap_or_else(|poisoned| poisoned.into_inner()) = replica;
     }
 
-    /// Calls the leader until `limit` has passed. Every call of this protocol
-    /// may be repeated: it carries its own ids, so a lost answer is safe to ask
-    /// for again.
+    /// Calls the leader and retries until `limit` has passed. All calls of this protocol
+    /// are idempotent, so retrying after a lost reply is safe.
     pub async fn call(&self, request: Request, limit: Duration) -> Result<Reply, ControlCallError> {
         let deadline = Instant::now() + limit;
-        let mut last = CallError::Unreachable;
+        let mut last_error = CallError::Unreachable;
         let mut replica = self.preferred();
-        let mut asked = 0;
+        let mut attempts = 0;
         while Instant::now() < deadline && !self.replicas.is_empty() {
             let remaining = deadline - Instant::now();
             let link = &self.replicas[replica].1;
             let answer = link.call(request.clone(), ATTEMPT_TIMEOUT.min(remaining)).await;
-            asked += 1;
+            attempts += 1;
             let hint = match answer {
                 Ok(Reply::Refused(Refusal::NotLeader { leader })) => {
                     leader.and_then(|node| self.by_node.get(&node).copied())
@@ -90,20 +89,20 @@
                     return Ok(reply);
                 }
                 Err(error) => {
-                    last = error;
+                    last_error = error;
                     None
                 }
             };
             replica =
                 hint.filter(|next| *next != replica).unwrap_or((replica + 1) % self.replicas.len());
-            if asked % self.replicas.len() == 0 {
+            if attempts % self.replicas.len() == 0 {
                 tokio::time::sleep(ROUND_PAUSE.min(remaining)).await;
             }
         }
-        Err(ControlCallError::Unavailable(last))
+        Err(ControlCallError::Unavailable(last_error))
     }
 
-    /// The latest revision, confirmed by a quorum at the time of the call.
+    /// Returns the latest revision, confirmed by a quorum during the call.
     pub async fn confirmed_revision(&self, limit: Duration) -> Result<Revision, ControlCallError> {
         match self.call(Request::ConfirmedRevision, limit).await? {
             Reply::ConfirmedRevision { revision } => Ok(revision),
--- a/crates/router/src/control_plane.rs
+++ b/crates/router/src/control_plane.rs
@@ -1,8 +1,7 @@
-//! Everything that a router runs besides serving: settings, membership and
-//! shared engine knowledge.
+//! Control side of a router: settings subscription, membership and cache-state sharing.
 //!
-//! The router daemon runs one; the lab runs many in one process to measure what
-//! a node spends on control.
+//! The router daemon runs one; the lab runs many in one process to measure the
+//! control overhead of a node.
 
 use std::sync::Arc;
 
@@ -24,15 +23,15 @@
 use crate::sharing::{self, SharingHub};
 use crate::subscription::{SettingsActor, SettingsView, SubscriptionArguments, keep_subscribed};
 
-/// The control side of one router, running.
+/// Running control side of one router.
 pub struct ControlPlane {
-    /// Settings tree in force.
+    /// Settings in force.
     pub settings: watch::Receiver<SettingsView>,
-    /// Calls to the control replicas.
+    /// Client of the control replicas.
     pub control: Arc<ControlClient>,
-    /// Model engines: cache index, load, retries.
+    /// Cache index, load and retry budget of the model engines.
     pub engines: Arc<Engines>,
-    /// Engine knowledge shared with the other routers of the zone.
+    /// Cache and load state shared with the other routers of the zone.
     pub hub: Arc<SharingHub>,
     /// Routers that are up.
     pub peers: watch::Receiver<PeerView>,
@@ -44,10 +43,10 @@
 }
 
 impl ControlPlane {
-    /// Opens the internal address and starts every part.
+    /// Binds the internal address and starts all tasks.
     ///
     /// # Errors
-    /// Fails when the address is taken or the settings file is unusable.
+    /// Fails when the address can't be bound or the settings file is unusable.
     pub async fn start(
         config: &Arc<RouterConfig>,
         reachability: &Reachability,
@@ -64,14 +63,14 @@
         let subscription = SettingsActor::spawn(SettingsActor::new(view_sender, file)?);
         let control = Arc::new(ControlClient::new(config, &traffic, reachability));
         let engines = Arc::new(Engines::new());
-        let life = Incarnation(rand::random());
-        let own = RouterLife { node: config.node, life };
+        let incarnation = Incarnation(rand::random());
+        let own = RouterLife { node: config.node, life: incarnation };
         let hub =
             Arc::new(SharingHub::new(own, config, Arc::clone(&engines), &traffic, reachability));
         let (peer_sender, peers) = watch::channel(PeerView::default());
         let membership = peers::spawn(MembershipArguments {
             config: Arc::clone(config),
-            life,
+            incarnation,
             socket,
             view: peer_sender,
             traffic: Arc::clone(&traffic),
@@ -103,12 +102,12 @@
         })
     }
 
-    /// Tells the group that this node leaves.
+    /// Announces to the group that this node is departing.
     pub async fn leave(&self) {
         let _ = self.membership.ask(Leave).await;
     }
 
-    /// Stops every part at once, as a crash would.
+    /// Aborts all tasks without announcing a departure, like a crash.
     pub async fn abort(self) {
         for task in self.tasks {
             task.abort();
--- a/crates/router/src/crashes.rs
+++ b/crates/router/src/crashes.rs
@@ -1,4 +1,4 @@
-//! Requests that end the back ends that run them, as this router sees them.
+//! Detects requests that crash back ends, and refuses quarantined requests.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -20,53 +20,54 @@
 use crate::engines::Engines;
 use crate::error::RequestError;
 
-/// Time for which a back end is looked at after a connection to it broke: a supervisor has an
-/// engine back, and a load report of its next life read, within some seconds.
-const LOOK_FOR: Duration = Duration::from_secs(4);
+/// Time for which a back end is probed after a connection to it broke; long enough for a
+/// supervisor to restart an engine and for a load report of its next incarnation to arrive.
+const PROBE_DURATION: Duration = Duration::from_secs(4);
 
-/// Pause between two looks.
-const LOOK_PAUSE: Duration = Duration::from_millis(150);
+/// Time between two probes.
+const PROBE_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Time within which a connection must stand.
+/// Timeout of a probe connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// A request by what it asks.
+/// Content that identifies a request across retries.
 #[derive(Clone, Copy, Debug)]
-pub struct AskedRequest<'a> {
-    /// The method.
+pub struct RequestIdentity<'a> {
+    /// HTTP method.
     pub method: &'a str,
     /// Path and query.
     pub path: &'a str,
-    /// Whose request it is.
+    /// Tenant of the request.
     pub tenant: &'a str,
-    /// What is sent to the back end.
+    /// Body sent to the back end.
     pub body: &'a [u8],
 }
 
-/// A back end to which a request was sent.
+/// One attempt of a request at a back end.
 #[derive(Clone, Copy, Debug)]
-pub struct SentTo {
-    /// The back end.
+pub struct SentAttempt {
+    /// Back end that the request was sent to.
     pub back_end: EngineId,
-    /// Where.
+    /// Address of the back end.
     pub address: SocketAddr,
-    /// Its life, of an engine that has told it.
+    /// Incarnation of the back end; only engines report one.
     pub incarnation: Option<Incarnation>,
-    /// When the request was sent.
+    /// Time when the request was sent.
     pub sent_at: Timestamp,
 }
 
-/// Reports ends of back ends to the watch, and asks it before anything is sent.
+/// Reports crashes of back ends to the crash watch, and checks requests for quarantine.
 pub struct Crashes {
     watch: Arc<CrashWatch>,
     key: FingerprintKey,
     node: NodeId,
     engines: Arc<Engines>,
     back_ends: Arc<BackEnds>,
-    /// Ends seen of each back end. Back ends other than engines don't tell which life they are in.
-    ends_seen: Mutex<BTreeMap<EngineId, u64>>,
-    /// Back ends that are being looked at.
-    looked_at: Mutex<BTreeSet<InstanceId>>,
+    /// Number of crashes observed of each back end. Distinguishes the incarnations of back ends
+    /// that don't report one.
+    crash_counts: Mutex<BTreeMap<EngineId, u64>>,
+    /// Instances that are being probed.
+    probed: Mutex<BTreeSet<InstanceId>>,
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -74,38 +75,38 @@
 }
 
 impl Crashes {
-    /// Uses the watch, which runs beside it.
+    /// Creates a reporter for `watch`, which the caller runs.
     pub fn new(
         watch: Arc<CrashWatch>,
         key: FingerprintKey,
         node: NodeId,
         (engines, back_ends): (Arc<Engines>, Arc<BackEnds>),
     ) -> Self {
-        let (ends_seen, looked_at) = (Mutex::default(), Mutex::default());
-        Crashes { watch, key, node, engines, back_ends, ends_seen, looked_at }
+        let (crash_counts, probed) = (Mutex::default(), Mutex::default());
+        Crashes { watch, key, node, engines, back_ends, crash_counts, probed }
     }
 
-    /// The time of what is reported.
+    /// Returns the current time on the crash watch's clock.
     pub fn now(&self) -> Timestamp {
         self.watch.now()
     }
 
-    fn name(&self, asked: &AskedRequest<'_>) -> RequestFingerprint {
+    fn fingerprint(&self, request: &RequestIdentity<'_>) -> RequestFingerprint {
         self.key.fingerprint(&RequestContent {
-            method: asked.method,
+            method: request.method,
             host: "",
-            path: asked.path,
-            tenant: Some(asked.tenant),
-            body: asked.body,
+            path: request.path,
+            tenant: Some(request.tenant),
+            body: request.body,
         })
     }
 
-    /// Refuses a request under which back ends ended.
+    /// Checks a request for quarantine.
     ///
     /// # Errors
-    /// Fails when it must be sent to none.
-    pub fn check(&self, id: &str, asked: &AskedRequest<'_>) -> Result<(), RequestError> {
-        match self.watch.quarantined(|| self.name(asked)) {
+    /// [`RequestError::Quarantined`] when the request must not be sent to any back end.
+    pub fn check(&self, id: &str, request: &RequestIdentity<'_>) -> Result<(), RequestError> {
+        match self.watch.quarantined(|| self.fingerprint(request)) {
             None => Ok(()),
             Some(fingerprint) => {
                 log::info!("event=quarantined request={id} fingerprint={fingerprint}");
@@ -114,27 +115,32 @@
         }
     }
 
-    /// A back end has answered the request whole.
-    pub fn note_answered(&self, id: &str, asked: &AskedRequest<'_>) {
-        self.watch.note_answered(id, self.name(asked));
+    /// Records that a back end has answered the request completely.
+    pub fn record_completed(&self, id: &str, request: &RequestIdentity<'_>) {
+        self.watch.note_answered(id, self.fingerprint(request));
     }
 
-    /// The connection broke before the answer was whole. Whether the back end has ended is found
-    /// out beside the request.
-    pub fn note_cut(self: &Arc<Self>, id: &str, asked: &AskedRequest<'_>, sent: SentTo) {
-        let fingerprint = self.name(asked);
-        let life = self.life(&sent);
-        log::info!("event=request_cut request={id} instance={life} fingerprint={fingerprint}");
+    /// Records that the connection broke before the answer was complete. A background task probes
+    /// whether the back end has crashed.
+    pub fn record_interrupted(
+        self: &Arc<Self>,
+        id: &str,
+        request: &RequestIdentity<'_>,
+        sent: SentAttempt,
+    ) {
+        let fingerprint = self.fingerprint(request);
+        let instance = self.instance_id(&sent);
+        log::info!("event=request_cut request={id} instance={instance} fingerprint={fingerprint}");
         if self.is_leaving(sent.back_end) {
-            // Its end is planned, and says nothing of the request.
+            // A planned shutdown isn't evidence against the request.
             return;
         }
-        self.watch.note_cut(&life, sent.address, fingerprint, sent.sent_at);
-        if lock(&self.looked_at).insert(life.clone()) {
+        self.watch.note_cut(&instance, sent.address, fingerprint, sent.sent_at);
+        if lock(&self.probed).insert(instance.clone()) {
             let crashes = Arc::clone(self);
             tokio::spawn(async move {
-                crashes.look(&life, sent).await;
-                lock(&crashes.looked_at).remove(&life);
+                crashes.probe_for_crash(&instance, sent).await;
+                lock(&crashes.probed).remove(&instance);
             });
         }
     }
@@ -143,33 +149,33 @@
         self.back_ends.is_leaving(back_end) || self.engines.is_leaving(back_end)
     }
 
-    /// The name of the life that a request was sent to. Lives of engines have one name at all
-    /// routers. Those of other back ends have one at each router; ends at the same moment count
-    /// once, whatever they are called.
-    fn life(&self, sent: &SentTo) -> InstanceId {
+    /// Returns the id of the back-end instance that a request was sent to. All routers use the same
+    /// id for an engine. For other back ends the id differs between routers; crashes reported for
+    /// the same moment are counted once regardless of the id.
+    fn instance_id(&self, sent: &SentAttempt) -> InstanceId {
         let back_end = sent.back_end;
         match sent.incarnation {
             Some(incarnation) => InstanceId::new(format!("{back_end}/{incarnation}")),
             None => {
-                let ends = lock(&self.ends_seen).get(&back_end).copied().unwrap_or(0);
-                InstanceId::new(format!("{back_end}/{}-{ends}", self.node))
+                let crashes = lock(&self.crash_counts).get(&back_end).copied().unwrap_or(0);
+                InstanceId::new(format!("{back_end}/{}-{crashes}", self.node))
             }
         }
     }
 
-    /// Finds out whether the life has ended.
-    async fn look(&self, life: &InstanceId, sent: SentTo) {
-        let begun = Instant::now();
-        while begun.elapsed() < LOOK_FOR {
-            if let Some(proof) = self.proof(&sent).await {
-                *lock(&self.ends_seen).entry(sent.back_end).or_default() += 1;
-                return self.watch.note_ended(life, proof);
+    /// Probes the back end until its crash is proved or [`PROBE_DURATION`] has passed.
+    async fn probe_for_crash(&self, instance: &InstanceId, sent: SentAttempt) {
+        let started = Instant::now();
+        while started.elapsed() < PROBE_DURATION {
+            if let Some(proof) = self.find_proof(&sent).await {
+                *lock(&self.crash_counts).entry(sent.back_end).or_default() += 1;
+                return self.watch.note_ended(instance, proof);
             }
-            sleep(LOOK_PAUSE).await;
+            sleep(PROBE_INTERVAL).await;
         }
     }
 
-    async fn proof(&self, sent: &SentTo) -> Option<CrashProof> {
+    async fn find_proof(&self, sent: &SentAttempt) -> Option<CrashProof> {
         let known = self.engines.position(sent.back_end).map(|(incarnation, _)| incarnation);
         if sent.incarnation.is_some() && known.is_some() && known != sent.incarnation {
             return Some(CrashProof::NewLife);
@@ -181,7 +187,7 @@
     }
 }
 
-/// Takes over what the replicas have recorded, for ever.
+/// Applies the quarantines recorded by the replicas to the crash watch until the feed ends.
 pub async fn follow_quarantine(feed: Feed, watch: Arc<CrashWatch>) {
     let mut view = feed.view();
     loop {
@@ -193,12 +199,12 @@
     }
 }
 
-/// What a tenant's request asks.
-pub fn asked<'a>(
+/// Returns the content that identifies a tenant's request.
+pub fn request_identity<'a>(
     method: &'a str,
     path: &'a str,
     tenant: &'a TenantName,
     body: &'a [u8],
-) -> AskedRequest<'a> {
-    AskedRequest { method, path, tenant: tenant.as_str(), body }
+) -> RequestIdentity<'a> {
+    RequestIdentity { method, path, tenant: tenant.as_str(), body }
 }
--- a/crates/router/src/engine_api.rs
+++ b/crates/router/src/engine_api.rs
@@ -1,4 +1,4 @@
-//! The engines' HTTP calls besides chat completions: events, snapshots, load.
+//! Client of the engines' HTTP endpoints for cache events, cache snapshots and load.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,22 +8,22 @@
 use serde::Deserialize;
 use serde::de::DeserializeOwned;
 
-/// How long an engine may hold an event poll open.
+/// Time for which an engine may hold an event poll open.
 pub const EVENT_WAIT: Duration = Duration::from_millis(1_000);
 
-/// Longest wait for an answer beyond the time that an engine may hold it.
+/// Timeout of a call, in addition to the time for which an engine may hold a poll open.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Longest wait for a snapshot.
+/// Timeout of a snapshot.
 const SNAPSHOT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Largest accepted answer, in bytes: a snapshot of a million blocks.
+/// Largest accepted answer, in bytes; enough for a snapshot of a million blocks.
 const MAX_ANSWER_BYTES: usize = 48 << 20;
 
-/// Why an engine gave no usable answer.
+/// Error of a call to an engine.
 #[derive(Debug, thiserror::Error)]
 pub enum EngineCallError {
-    /// The call failed.
+    /// The HTTP request failed.
     #[error("engine call failed: {0}")]
     Http(#[from] reqwest::Error),
     /// The answer is larger than `MAX_ANSWER_BYTES`.
@@ -32,44 +32,44 @@
     /// The answer is not the expected JSON.
     #[error("the engine's answer is malformed: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// A block hash in the answer is not one.
+    /// The answer contains a malformed block hash.
     #[error("the engine's answer has a malformed block hash")]
     MalformedHash,
 }
 
-/// A load report; it describes the engine as it was `age_ms` ago.
+/// Load of an engine as measured `age_ms` ago.
 #[derive(Clone, Debug, Deserialize)]
 pub struct LoadReport {
-    /// Life of the engine.
+    /// Incarnation of the engine.
     pub incarnation: Incarnation,
     /// Age of the report when it was sent, in milliseconds.
     #[serde(default)]
     pub age_ms: u64,
-    /// Requests generating.
+    /// Number of requests that generate output.
     pub running: u32,
-    /// Requests waiting.
+    /// Number of queued requests.
     pub waiting: u32,
-    /// Prompt tokens of the waiting requests.
+    /// Prompt tokens of the queued requests.
     pub waiting_prompt_tokens: u64,
-    /// Model loaded, if any.
+    /// Loaded model, if any.
     #[serde(default)]
     pub model: Option<String>,
-    /// Version of its weights.
+    /// Version of the loaded weights.
     pub weights: WeightsVersion,
-    /// Adapters loaded.
+    /// Loaded adapters.
     #[serde(default)]
     pub adapters: Vec<String>,
-    /// Whether the engine takes no new work.
+    /// Whether the engine refuses new requests because it is leaving.
     #[serde(default)]
     pub leaving: bool,
 }
 
-/// Events after the one asked for.
+/// Cache events of one poll.
 #[derive(Clone, Debug)]
 pub struct EventBatch {
-    /// Life that the events belong to.
+    /// Incarnation that the events belong to.
     pub incarnation: Incarnation,
-    /// The events, in order.
+    /// Events in ascending sequence.
     pub events: Vec<CacheEvent>,
 }
 
@@ -95,7 +95,7 @@
     blocks: Vec<String>,
 }
 
-/// Calls to one engine.
+/// Client of one engine.
 #[derive(Clone, Debug)]
 pub struct EngineApi {
     http: reqwest::Client,
@@ -103,23 +103,24 @@
 }
 
 impl EngineApi {
-    /// Calls to the engine at `address`.
+    /// Creates a client of the engine at `address`.
     pub fn new(http: reqwest::Client, address: SocketAddr) -> Self {
         EngineApi { http, base: format!("http://{address}") }
     }
 
-    /// The latest load report.
+    /// Fetches the latest load report.
     ///
     /// # Errors
-    /// Fails when the engine doesn't answer, or with something else.
+    /// Fails when the engine doesn't answer or the answer is invalid.
     pub async fn load(&self) -> Result<LoadReport, EngineCallError> {
         self.get("/v1/load", ANSWER_TIMEOUT).await
     }
 
-    /// Events of `incarnation` after number `after`; held open while there are none.
+    /// Polls for cache events of `incarnation` with a sequence above `after`. The engine holds the
+    /// poll open for up to [`EVENT_WAIT`] while there are none.
     ///
     /// # Errors
-    /// Fails when the engine doesn't answer, or with something else.
+    /// Fails when the engine doesn't answer or the answer is invalid.
     pub async fn events(
         &self,
         incarnation: Incarnation,
@@ -133,10 +134,10 @@
         Ok(EventBatch { incarnation: body.incarnation, events })
     }
 
-    /// The whole cache.
+    /// Fetches a snapshot of the cache.
     ///
     /// # Errors
-    /// Fails when the engine doesn't answer, or with something else.
+    /// Fails when the engine doesn't answer or the answer is invalid.
     pub async fn snapshot(&self) -> Result<Snapshot, EngineCallError> {
         let body: SnapshotBody = self.get("/v1/cache/snapshot", SNAPSHOT_TIMEOUT).await?;
         Ok(Snapshot {
--- a/crates/router/src/feeds.rs
+++ b/crates/router/src/engine_pollers.rs
@@ -1,8 +1,7 @@
-//! Follows each engine: its load reports and its cache events.
+//! Polls engines for load reports and cache events.
 //!
-//! One actor for each engine of the settings in force owns two polling tasks.
-//! Reports come late and events have gaps; on a gap the pure index stops
-//! counting the engine's entries and the feed takes a snapshot.
+//! One actor per engine owns the polling tasks. After a gap in the cache events the
+//! index invalidates the engine's entries until the poller has fetched a snapshot.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -28,65 +27,65 @@
 use crate::sharing::SharingHub;
 use crate::subscription::SettingsView;
 
-/// Time between two load reports of one engine.
+/// Time between two load polls of one engine.
 const LOAD_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Failed load polls after which an engine counts as down.
+/// Number of consecutive failed load polls after which an engine counts as down.
 const FAILURES_UNTIL_DOWN: u32 = 2;
 
-/// Pause after a failed event poll.
-const EVENT_RETRY_PAUSE: Duration = Duration::from_millis(250);
+/// Delay after a failed event poll.
+const EVENT_RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// Shortest time between two event polls, so that a busy engine's events come in batches.
-const EVENT_BATCH_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a successful event poll, so that a busy engine's events arrive in batches.
+const EVENT_BATCH_DELAY: Duration = Duration::from_millis(50);
 
-/// Time between two rounds of upkeep of the index.
+/// Time between two maintenance runs of the index.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Follows one engine as long as it lives.
-struct EngineFeed {
+/// Actor that polls one engine.
+struct EnginePoller {
     reader: EngineReader,
     with_events: bool,
     tasks: Vec<JoinHandle<()>>,
 }
 
-/// What a feed is for; a feed whose key changes is started anew.
+/// Parameters of a poller; a change of them restarts the poller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct FeedKey {
+struct PollerKey {
     engine: EngineId,
     address: SocketAddr,
-    /// Whether cache events are read besides load.
+    /// Whether cache events are polled in addition to load.
     with_events: bool,
-    /// Whether what is read is passed on to the zone.
+    /// Whether the results are shared with the routers of the zone.
     shared: bool,
 }
 
-struct FeedArguments {
-    key: FeedKey,
+struct PollerArguments {
+    key: PollerKey,
     reader: EngineReader,
 }
 
-/// Where a feed reads, and where it puts what it reads.
+/// Source and destination of one poller's data.
 #[derive(Clone)]
 struct EngineReader {
     api: EngineApi,
     knowledge: EngineKnowledge,
 }
 
-impl Actor for EngineFeed {
-    type Args = FeedArguments;
+impl Actor for EnginePoller {
+    type Args = PollerArguments;
     type Error = std::convert::Infallible;
 
     async fn on_start(
-        arguments: FeedArguments,
+        arguments: PollerArguments,
         _actor: ActorRef<Self>,
     ) -> Result<Self, Self::Error> {
-        let FeedArguments { key, reader } = arguments;
-        let mut tasks = vec![tokio::spawn(follow_load(reader.clone()))];
+        let PollerArguments { key, reader } = arguments;
+        let mut tasks = vec![tokio::spawn(poll_load(reader.clone()))];
         if key.with_events {
-            tasks.push(tokio::spawn(follow_events(reader.clone())));
+            tasks.push(tokio::spawn(poll_events(reader.clone())));
         }
-        Ok(EngineFeed { reader, with_events: key.with_events, tasks })
+        Ok(EnginePoller { reader, with_events: key.with_events, tasks })
     }
 
     async fn on_stop(
@@ -100,7 +99,7 @@
     }
 }
 
-/// Starts and stops feeds as settings and group change.
+/// Starts and stops pollers when the settings or the group of routers change.
 pub async fn follow_settings(
     mut view: watch::Receiver<SettingsView>,
     mut peers: watch::Receiver<PeerView>,
@@ -108,26 +107,26 @@
     engines: Arc<Engines>,
     hub: Arc<SharingHub>,
 ) {
-    let mut feeds: HashMap<FeedKey, ActorRef<EngineFeed>> = HashMap::new();
+    let mut pollers: HashMap<PollerKey, ActorRef<EnginePoller>> = HashMap::new();
     loop {
         let in_force = view.borrow_and_update().in_force.clone();
         hub.set_peers(&peers.borrow_and_update().clone());
         engines.follow(&in_force);
-        let wanted = wanted_feeds(&in_force, &hub);
-        feeds.retain(|key, feed| {
+        let wanted = wanted_pollers(&in_force, &hub);
+        pollers.retain(|key, poller| {
             let keep = wanted.contains(key);
             if !keep {
-                feed.kill();
+                poller.kill();
             }
             keep
         });
         for key in wanted {
-            feeds.entry(key).or_insert_with(|| {
+            pollers.entry(key).or_insert_with(|| {
                 let api = EngineApi::new(http.clone(), key.address);
                 let hub = key.shared.then(|| Arc::clone(&hub));
                 let knowledge = EngineKnowledge::new(key.engine, Arc::clone(&engines), hub);
                 let reader = EngineReader { api, knowledge };
-                EngineFeed::spawn(FeedArguments { key, reader })
+                EnginePoller::spawn(PollerArguments { key, reader })
             });
         }
         let changed = tokio::select! {
@@ -141,12 +140,12 @@
     }
 }
 
-fn wanted_feeds(in_force: &InForce, hub: &SharingHub) -> HashSet<FeedKey> {
+fn wanted_pollers(in_force: &InForce, hub: &SharingHub) -> HashSet<PollerKey> {
     let plan = hub.follow_plan(in_force);
     let key = |back_end: &BackEnd| {
         let followed = plan.followed.contains(&back_end.id);
         let wanted = followed || plan.sampled.contains(&back_end.id);
-        wanted.then_some(FeedKey {
+        wanted.then_some(PollerKey {
             engine: back_end.id,
             address: back_end.address,
             with_events: followed,
@@ -157,7 +156,7 @@
     engines.filter_map(|(_, back_end)| key(back_end)).collect()
 }
 
-/// Keeps the index tidy.
+/// Removes expired entries from the index at regular intervals.
 pub async fn maintain(engines: Arc<Engines>) {
     let mut ticks = interval(MAINTENANCE_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -167,7 +166,7 @@
     }
 }
 
-async fn follow_load(reader: EngineReader) {
+async fn poll_load(reader: EngineReader) {
     let mut ticks = interval(LOAD_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut failures = 0;
@@ -190,7 +189,7 @@
             log::info!("event=engine_up engine={engine} incarnation={}", report.incarnation);
         }
         failures = 0;
-        reader.knowledge.note_weights((report.incarnation, report.weights), &mut weights);
+        reader.knowledge.apply_weights((report.incarnation, report.weights), &mut weights);
         reader.knowledge.note_load(&engine_load(report));
     }
 }
@@ -210,35 +209,35 @@
     }
 }
 
-async fn follow_events(reader: EngineReader) {
+async fn poll_events(reader: EngineReader) {
     loop {
-        let pause = match reader.take_events().await {
-            Ok(()) => EVENT_BATCH_PAUSE,
+        let delay = match reader.fetch_events().await {
+            Ok(()) => EVENT_BATCH_DELAY,
             Err(error) => {
                 log::debug!(
                     "event=event_poll_failed engine={} reason=\"{error}\"",
                     reader.knowledge.engine
                 );
-                EVENT_RETRY_PAUSE
+                EVENT_RETRY_DELAY
             }
         };
-        sleep(pause).await;
+        sleep(delay).await;
     }
 }
 
 impl EngineReader {
-    async fn take_events(&self) -> Result<(), EngineCallError> {
+    async fn fetch_events(&self) -> Result<(), EngineCallError> {
         let engine = self.knowledge.engine;
         let Some((incarnation, after)) = self.knowledge.position() else {
-            return self.take_snapshot().await;
+            return self.fetch_snapshot().await;
         };
         let batch = self.api.events(incarnation, after).await?;
         match self.knowledge.apply_events(batch.incarnation, &batch.events) {
             Some(EventOutcome::Gap { missing }) => {
                 log::info!("event=cache_event_gap engine={engine} missing={missing}");
-                self.take_snapshot().await
+                self.fetch_snapshot().await
             }
-            Some(EventOutcome::AwaitingSnapshot) => self.take_snapshot().await,
+            Some(EventOutcome::AwaitingSnapshot) => self.fetch_snapshot().await,
             Some(EventOutcome::Applied | EventOutcome::StaleIncarnation) => Ok(()),
             None => {
                 log::error!("event=index_full engine={engine}");
@@ -247,7 +246,7 @@
         }
     }
 
-    async fn take_snapshot(&self) -> Result<(), EngineCallError> {
+    async fn fetch_snapshot(&self) -> Result<(), EngineCallError> {
         let snapshot = self.api.snapshot().await?;
         log::debug!(
             "event=cache_snapshot engine={} sequence={} blocks={}",
--- a/crates/router/src/engines.rs
+++ b/crates/router/src/engines.rs
@@ -1,8 +1,8 @@
-//! The model engines as this router knows them: cache index, load, retries.
+//! State of the model engines: cache index, load and retry budget.
 //!
-//! All of it is pure state of the decision crates behind one mutex. A decision
-//! takes microseconds and nothing waits while the lock is held, so a message to
-//! an actor and back for each request would cost more than the lock.
+//! Holds the state of the decision crates behind one mutex. A decision takes
+//! microseconds and nothing blocks while the lock is held, so the lock is cheaper
+//! than a round trip to an actor for each request.
 
 use std::pin::pin;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -27,24 +27,24 @@
 
 use crate::in_force::InForce;
 
-/// Share of retries until the settings of a request say otherwise, in percent.
+/// Retry budget before the first request sets its own, in percent of requests.
 const DEFAULT_RETRY_PERCENT: u8 = 10;
 
-/// What the decision needs to know about one chat request.
+/// Input of the routing decision for one chat request.
 #[derive(Clone, Debug)]
 pub struct ChatPlan {
-    /// What has to be loaded on the engine.
+    /// Model, adapter and weights that the engine must have loaded.
     pub serving: ServingKey,
-    /// Blocks of the prompt.
+    /// Hashed blocks of the prompt.
     pub blocks: PromptBlocks,
     /// Settings in force for the request.
     pub settings: Arc<EffectiveSettings>,
-    /// What other routers of the zone know about the prompt.
+    /// Engines that hold a prefix of the prompt, as reported by other routers of the zone.
     pub shared_holders: Vec<Holder>,
 }
 
 impl ChatPlan {
-    /// Cuts `prompt` of `tenant` into blocks and notes what must be loaded.
+    /// Splits `prompt` of `tenant` into blocks and derives the serving key from `settings`.
     pub fn new(tenant: &TenantName, settings: Arc<EffectiveSettings>, prompt: &[u8]) -> Self {
         let scope = CacheScope {
             tenant: tenant.clone(),
@@ -64,56 +64,55 @@
     table: EngineTable,
     retries: RetryBudget,
     random: StdRng,
-    known: Vec<EngineId>,
-    /// Revision that `known` comes from.
-    followed: Revision,
+    configured: Vec<EngineId>,
+    /// Settings revision of `configured`.
+    applied_revision: Revision,
 }
 
-/// The engines as this router knows them.
+/// State of the engines in this router.
 pub struct Engines {
     state: Mutex<State>,
     started: Instant,
     next_dispatch: AtomicU64,
-    /// Told when an attempt has its first token or ends.
+    /// Notified when an attempt receives its first token or ends.
     progress: Notify,
 }
 
-/// Counts one attempt against its engine until it is dropped.
+/// Counts one attempt as in flight at its engine until dropped.
 pub struct Dispatch {
     engines: Arc<Engines>,
-    /// The choice.
+    /// Routing decision of the attempt.
     pub decision: Decision,
     id: DispatchId,
 }
 
 impl Dispatch {
-    /// Notes that the first token arrived.
-    pub fn first_token(&self) {
+    /// Records the arrival of the first token.
+    pub fn record_first_token(&self) {
         let now = self.engines.now();
         self.engines.lock().table.first_token(self.decision.engine, self.id, now);
         self.engines.progress.notify_waiters();
     }
 
-    /// Waits until the attempt that computes this one's prefix has done so.
-    /// Bounded by the decision; returns at once when there is nothing to wait for.
-    /// False when the engine has gone out of use meanwhile: a leaving engine gets
-    /// no work that was chosen for it earlier.
+    /// Waits until another attempt on the same engine has computed the shared prefix, at most for
+    /// the time set by the decision. Returns false if the engine became unusable meanwhile, because
+    /// a leaving engine must not receive requests that were assigned to it earlier.
     pub async fn wait_for_prefix(&self) -> bool {
         let Some(PrefixWait { dispatch, at_most }) = self.decision.wait else {
             return true;
         };
         let computed = async {
             loop {
-                // Registered before the check, so that no notice is missed.
-                let mut notice = pin!(self.engines.progress.notified());
-                notice.as_mut().enable();
+                // Registered before the check, so that no notification is missed.
+                let mut notified = pin!(self.engines.progress.notified());
+                notified.as_mut().enable();
                 if !self.engines.lock().table.is_prefilling(self.decision.engine, dispatch) {
                     return;
                 }
-                notice.await;
+                notified.await;
             }
         };
-        // Sent after the time limit, the request computes the prefix itself.
+        // After a timeout the request is sent anyway and computes the prefix itself.
         let _ = timeout(at_most, computed).await;
         self.engines.lock().table.is_usable(self.decision.engine)
     }
@@ -134,15 +133,15 @@
 }
 
 impl Engines {
-    /// Knows no engine yet.
+    /// Creates a state without engines.
     pub fn new() -> Self {
         let state = State {
             index: PrefixIndex::new(),
             table: EngineTable::new(CostModel::default()),
             retries: RetryBudget::new(DEFAULT_RETRY_PERCENT),
             random: StdRng::from_rng(&mut rand::rng()),
-            known: Vec::new(),
-            followed: Revision(0),
+            configured: Vec::new(),
+            applied_revision: Revision(0),
         };
         Engines {
             state: Mutex::new(state),
@@ -156,15 +155,15 @@
         self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Time since the start of the process, as the decision crates count it.
+    /// Returns the current time on the decision crates' clock, which starts with the process.
     pub fn now(&self) -> Timestamp {
         Timestamp::ZERO.after(self.started.elapsed())
     }
 
-    /// Takes over the engines of new settings.
+    /// Applies the engines of new settings.
     pub fn follow(&self, in_force: &InForce) {
         let mut state = self.lock();
-        let mut named = Vec::new();
+        let mut configured = Vec::new();
         for (zone, back_end) in in_force.back_ends() {
             if back_end.kind != BackEndKind::Engine {
                 continue;
@@ -172,27 +171,31 @@
             let descriptor = EngineDescriptor { engine: back_end.id, zone: zone.clone() };
             state.table.insert(&descriptor);
             state.table.set_leaving(back_end.id, LeavingSource::Settings, back_end.leaving);
-            named.push(back_end.id);
+            configured.push(back_end.id);
         }
-        let gone: Vec<EngineId> =
-            state.known.iter().copied().filter(|engine| !named.contains(engine)).collect();
-        for engine in gone {
+        let removed: Vec<EngineId> = state
+            .configured
+            .iter()
+            .copied()
+            .filter(|engine| !configured.contains(engine))
+            .collect();
+        for engine in removed {
             state.table.remove(engine);
             state.index.remove_engine(engine);
         }
-        state.known = named;
-        state.followed = in_force.revision;
+        state.configured = configured;
+        state.applied_revision = in_force.revision;
     }
 
-    /// Whether the engines of some settings in force were taken over.
+    /// Whether engines from a nonzero settings revision were applied.
     pub fn has_followed(&self) -> bool {
-        self.lock().followed.0 > 0
+        self.lock().applied_revision.0 > 0
     }
 
-    /// Picks an engine for `plan` and counts the work against it.
+    /// Chooses an engine for `plan` and counts the request as in flight at it.
     ///
     /// # Errors
-    /// A [`Refusal`] when no engine can serve the request in time.
+    /// [`Refusal`] when no engine can serve the request in time.
     pub fn choose(
         self: &Arc<Self>,
         plan: &ChatPlan,
@@ -229,7 +232,7 @@
         Ok(Dispatch { engines: Arc::clone(self), decision, id })
     }
 
-    /// Counts a caller's request towards the retry budget.
+    /// Adds a caller's request to the retry budget.
     pub fn record_request(&self, retry_percent: u8) {
         let now = self.now();
         let mut state = self.lock();
@@ -237,51 +240,51 @@
         state.retries.record_request(now);
     }
 
-    /// Decides on another attempt and takes it from the budget.
+    /// Takes another attempt from the retry budget if the retry policy allows it.
     ///
     /// # Errors
-    /// The reason against it.
-    pub fn may_retry(&self, question: &RetryQuestion) -> Result<(), RetryDenied> {
+    /// The reason why the retry is denied.
+    pub fn take_retry(&self, question: &RetryQuestion) -> Result<(), RetryDenied> {
         let now = self.now();
         self.lock().retries.decide(question, now)
     }
 
-    /// Takes a load report.
-    pub fn report(&self, engine: EngineId, load: &EngineLoad) {
+    /// Applies a load report.
+    pub fn apply_load_report(&self, engine: EngineId, load: &EngineLoad) {
         let now = self.now();
         let mut state = self.lock();
         state.table.report(engine, load, now);
-        // A new life voids what is known of the old one, even before its first event.
+        // A new incarnation invalidates the entries of the previous one even before its first event.
         if let Err(error) = state.index.start_incarnation(engine, load.incarnation) {
             log::error!("event=index_full engine={engine} reason=\"{error}\"");
         }
     }
 
-    /// Voids what is known of an engine that doesn't answer.
+    /// Marks an engine that doesn't answer as down and removes its cache entries.
     pub fn mark_down(&self, engine: EngineId) {
         let mut state = self.lock();
         state.table.mark_down(engine);
         state.index.remove_engine(engine);
     }
 
-    /// Notes what `source` says about an engine leaving.
+    /// Sets whether `source` reports the engine as leaving.
     pub fn set_leaving(&self, engine: EngineId, source: LeavingSource, leaving: bool) {
         self.lock().table.set_leaving(engine, source, leaving);
     }
 
-    /// Whether anybody says that the engine is leaving.
+    /// Whether any source reports the engine as leaving.
     pub fn is_leaving(&self, engine: EngineId) -> bool {
         self.lock().table.is_leaving(engine)
     }
 
-    /// Voids the cache entries of an engine whose weights changed while it lives on.
-    pub fn void_cache(&self, engine: EngineId) {
+    /// Invalidates the cache entries of an engine without a change of its incarnation.
+    pub fn invalidate_cache(&self, engine: EngineId) {
         if let Err(error) = self.lock().index.invalidate(engine) {
             log::error!("event=index_full engine={engine} reason=\"{error}\"");
         }
     }
 
-    /// Applies cache events; `None` when the index is full.
+    /// Applies cache events. Returns `None` when the index is full.
     pub fn apply_events(
         &self,
         engine: EngineId,
@@ -291,27 +294,27 @@
         self.lock().index.apply_events(engine, incarnation, events).ok()
     }
 
-    /// Replaces what is known of an engine's cache.
+    /// Replaces the cache entries of an engine by a snapshot.
     pub fn apply_snapshot(&self, engine: EngineId, snapshot: &Snapshot) {
         if let Err(error) = self.lock().index.apply_snapshot(engine, snapshot) {
             log::error!("event=index_full engine={engine} reason=\"{error}\"");
         }
     }
 
-    /// The life of `engine` that the index knows, and the last event applied.
+    /// Returns the incarnation of `engine` in the index and the sequence of the last applied event.
     pub fn position(&self, engine: EngineId) -> Option<(Incarnation, u64)> {
         self.lock().index.position(engine)
     }
 
-    /// Drops expired predictions and entries that no longer count.
+    /// Removes expired predictions and invalidated entries.
     pub fn maintain(&self) {
         let now = self.now();
         self.lock().index.maintain(now);
     }
 }
 
-/// The best knowledge of each engine. What this router read itself is exact and
-/// the newest, so shared knowledge of the same life only adds to it.
+/// Merges holders from this router's index with those reported by peers. A peer's entry replaces
+/// an own entry only if it is of the same incarnation and covers more blocks.
 fn merge_holders(mut own: Vec<Holder>, shared: &[Holder]) -> Vec<Holder> {
     for holder in shared {
         match own.iter_mut().find(|known| known.engine == holder.engine) {
--- a/crates/router/src/error.rs
+++ b/crates/router/src/error.rs
@@ -1,23 +1,23 @@
-//! The errors a caller can get, as typed JSON bodies with stable codes.
+//! Errors returned to callers, as JSON bodies with stable codes.
 
 use axum::Json;
 use axum::http::{HeaderValue, StatusCode, header};
 use axum::response::{IntoResponse, Response};
 use serde::Serialize;
 
-/// Why a request failed, with what is known of its execution.
+/// Error of a caller's request.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
-    /// No API key, or one that no tenant has.
+    /// The API key is missing or belongs to no tenant.
     #[error("the API key is missing or unknown")]
     Unauthenticated,
     /// The tenant has no such service.
     #[error("the tenant has no service {0:?}")]
     UnknownService(String),
-    /// The request names a model that its settings don't.
+    /// The requested model isn't the one that the service serves.
     #[error("the service does not serve model {0:?}")]
     UnknownModel(String),
-    /// The body or a header is not what the call takes.
+    /// The body or a header is invalid.
     #[error("bad request: {0}")]
     Malformed(String),
     /// The body is larger than the settings allow.
@@ -29,66 +29,66 @@
     /// A limit of the tenant or service is reached.
     #[error("limit reached: {limit}")]
     Limited {
-        /// Which limit.
+        /// Name of the limit.
         limit: &'static str,
-        /// When to come back, in milliseconds.
+        /// Suggested retry delay, in milliseconds.
         retry_after_ms: u64,
     },
-    /// The deadline can't be met at the present load.
+    /// The router is full or the deadline can't be met at the current load.
     #[error("the deadline can't be met now")]
     Overloaded {
-        /// When to come back, in milliseconds.
+        /// Suggested retry delay, in milliseconds.
         retry_after_ms: u64,
     },
-    /// No back end of the needed kind is up.
+    /// No back end of the required kind is available.
     #[error("no back end can serve this now")]
     NoBackEnd {
-        /// When to come back, in milliseconds.
+        /// Suggested retry delay, in milliseconds.
         retry_after_ms: u64,
     },
     /// The router has no settings in force yet, or they are older than allowed.
     #[error("settings are not in force or too old")]
     SettingsUnavailable {
-        /// When to come back, in milliseconds.
+        /// Suggested retry delay, in milliseconds.
         retry_after_ms: u64,
     },
-    /// The router is stopping.
+    /// The router is shutting down.
     #[error("this router is stopping")]
     Stopping,
     /// No quorum of control replicas answered, so the request can't be claimed.
     #[error("no quorum to claim the request")]
     NoQuorum {
-        /// When to come back, in milliseconds.
+        /// Suggested retry delay, in milliseconds.
         retry_after_ms: u64,
     },
     /// The idempotency key was used for another request.
     #[error("the idempotency key was used for a different request")]
     KeyReused,
-    /// The idempotency key is older than claims are kept, or lies in the future.
+    /// The idempotency key is older than the retention time of claims, or lies in the future.
     #[error("the idempotency key is too old or lies in the future")]
     KeyOutOfRange,
-    /// The request was run, or may have been, and its answer isn't known.
+    /// The request may have run and its answer isn't known.
     #[error("the request may have run; its outcome is unknown")]
     OutcomeUnknown,
-    /// Back ends ended under this very request, so it is sent to none. It may have run before.
+    /// The request is quarantined because it crashed back ends. It may have run before.
     #[error("back ends ended under this request; it is sent to none any more")]
     Quarantined,
-    /// The back end failed after work may have begun.
+    /// The back end failed after it may have started the request.
     #[error("the back end failed")]
     BackEndFailed,
     /// The deadline passed.
     #[error("the deadline passed")]
     DeadlinePassed,
-    /// The request has run, but its answer was too large to keep for a repeat.
+    /// The request has run, but its answer was too large to store for retries.
     #[error("the request has run with status {status}; its answer was too large to keep")]
     AnswerNotKept {
         /// HTTP status of the answer.
         status: u16,
     },
-    /// The back ends have nothing under this path.
+    /// The path doesn't exist at the back ends.
     #[error("not found")]
     NotFound,
-    /// The stream can't be resumed with the weights it began with.
+    /// The stream can't be resumed because the weights have changed.
     #[error("the weights changed since the stream began")]
     WeightsChanged,
 }
@@ -98,22 +98,22 @@
     error: ErrorDetail,
 }
 
-/// The JSON form of an error.
+/// JSON object that describes an error.
 #[derive(Clone, Debug, Serialize)]
 pub struct ErrorDetail {
     /// Stable code.
     pub code: &'static str,
-    /// Text for people.
+    /// Human-readable description.
     pub message: String,
-    /// True only when it is known that no back end ran any part of the request.
+    /// Whether it is certain that no back end ran any part of the request.
     pub not_run: bool,
-    /// When to come back, in milliseconds.
+    /// Suggested retry delay, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
 }
 
 impl RequestError {
-    /// Stable code of the error.
+    /// Returns the stable code of the error.
     pub fn code(&self) -> &'static str {
         match self {
             RequestError::Unauthenticated => "unauthenticated",
@@ -139,7 +139,7 @@
         }
     }
 
-    /// HTTP status of the error.
+    /// Returns the HTTP status of the error.
     pub fn status(&self) -> StatusCode {
         match self {
             RequestError::Unauthenticated => StatusCode::UNAUTHORIZED,
@@ -164,9 +164,9 @@
         }
     }
 
-    /// Whether it is known that nothing ran. The errors that return true are
-    /// raised only before the first byte leaves for a back end, or after a
-    /// back end said itself that it ran nothing.
+    /// Whether it is certain that no back end ran any part of the request. Errors for which this
+    /// holds are returned only before anything was sent, or after a back end reported that it ran
+    /// nothing.
     pub fn not_run(&self) -> bool {
         !matches!(
             self,
@@ -179,7 +179,7 @@
         )
     }
 
-    /// When the caller should come back, in milliseconds.
+    /// Returns the suggested retry delay, in milliseconds.
     pub fn retry_after_ms(&self) -> Option<u64> {
         match self {
             RequestError::Limited { retry_after_ms, .. }
@@ -192,7 +192,7 @@
         }
     }
 
-    /// The JSON form.
+    /// Returns the JSON object that describes the error.
     pub fn detail(&self) -> ErrorDetail {
         ErrorDetail {
             code: self.code(),
@@ -202,12 +202,12 @@
         }
     }
 
-    /// The body of the error.
+    /// Returns the response body.
     pub fn json(&self) -> Vec<u8> {
         serde_json::to_vec(&ErrorBody { error: self.detail() }).unwrap_or_default()
     }
 
-    /// The error as the last event of a stream that has already begun.
+    /// Returns the error as the last server-sent event of a stream that has already started.
     pub fn stream_event(&self) -> String {
         let body = ErrorBody { error: self.detail() };
         let json = serde_json::to_string(&body).unwrap_or_default();
@@ -220,7 +220,7 @@
         let body = Json(ErrorBody { error: self.detail() });
         let mut response = (self.status(), body).into_response();
         if let Some(millis) = self.retry_after_ms() {
-            // The header counts whole seconds; rounding up keeps it honest.
+            // The header has whole seconds; rounds up so that callers don't return too early.
             let seconds = HeaderValue::from(millis.div_ceil(1_000).max(1));
             response.headers_mut().insert(header::RETRY_AFTER, seconds);
         }
--- a/crates/router/src/faces.rs
+++ b/crates/router/src/http_api.rs
@@ -1,4 +1,4 @@
-//! The HTTP faces: chat completions for callers, health and metrics for operators.
+//! HTTP APIs: inference and applications for callers, health and metrics for operators.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,16 +23,16 @@
 use crate::error::RequestError;
 use crate::previews;
 use crate::relay::{ChatJob, Piece, caller_event, collect, open};
-use crate::shared::{InFlight, Shared};
+use crate::router_state::{InFlight, RouterState};
 
-/// Pieces buffered for a slow caller before the engine's stream is held back.
+/// Pieces buffered for a slow caller before backpressure applies to the engine's stream.
 const PIECE_BUFFER: usize = 32;
 
-/// Header with the first output token that the caller lacks.
+/// Header with the index of the first output token that the caller hasn't received.
 const RESUME_HEADER: &str = "x-resume-from";
 
-/// The callers' face.
-pub fn callers(shared: Arc<Shared>) -> AxumRouter {
+/// Returns the routes of the caller API.
+pub fn caller_api(shared: Arc<RouterState>) -> AxumRouter {
     AxumRouter::new()
         .route("/v1/chat/completions", post(chat_completions))
         .route("/apply/{*path}", post(applications::apply))
@@ -41,8 +41,8 @@
         .with_state(shared)
 }
 
-/// The operators' face.
-pub fn operators(shared: Arc<Shared>) -> AxumRouter {
+/// Returns the routes of the operator API.
+pub fn operator_api(shared: Arc<RouterState>) -> AxumRouter {
     AxumRouter::new()
         .route("/healthz", get(|| async { "ok\n" }))
         .route("/readyz", get(ready))
@@ -51,14 +51,14 @@
         .with_state(shared)
 }
 
-async fn ready(State(shared): State<Arc<Shared>>) -> Response {
+async fn ready(State(shared): State<Arc<RouterState>>) -> Response {
     match shared.is_ready() {
         true => (StatusCode::OK, "ready\n").into_response(),
         false => (StatusCode::SERVICE_UNAVAILABLE, "not ready\n").into_response(),
     }
 }
 
-async fn metrics(State(shared): State<Arc<Shared>>) -> Vec<u8> {
+async fn metrics(State(shared): State<Arc<RouterState>>) -> Vec<u8> {
     let revision = shared.view().in_force.revision.0;
     shared.metrics.revision.set(i64::try_from(revision).unwrap_or(i64::MAX));
     let age = shared.settings_age().as_millis();
@@ -76,7 +76,7 @@
     shared.metrics.render()
 }
 
-async fn status(State(shared): State<Arc<Shared>>, headers: HeaderMap) -> Response {
+async fn status(State(shared): State<Arc<RouterState>>, headers: HeaderMap) -> Response {
     if !is_operator(&headers, &shared.config.operator_keys) {
         return RequestError::Unauthenticated.into_response();
     }
@@ -92,15 +92,15 @@
     axum::Json(body).into_response()
 }
 
-async fn chat_completions(State(shared): State<Arc<Shared>>, request: Request) -> Response {
+async fn chat_completions(State(shared): State<Arc<RouterState>>, request: Request) -> Response {
     let started = Instant::now();
     let result = serve_chat(Arc::clone(&shared), request, started).await;
-    answer_or_error(&shared, "chat", result)
+    into_counted_response(&shared, "chat", result)
 }
 
-/// Counts the result of a request and turns an error into its answer.
-pub(crate) fn answer_or_error(
-    shared: &Shared,
+/// Counts the result of a request and converts an error into a response.
+pub(crate) fn into_counted_response(
+    shared: &RouterState,
     kind: &str,
     result: Result<Response, RequestError>,
 ) -> Response {
@@ -116,11 +116,11 @@
 }
 
 async fn serve_chat(
-    shared: Arc<Shared>,
+    shared: Arc<RouterState>,
     request: Request,
     started: Instant,
 ) -> Result<Response, RequestError> {
-    let mut in_flight = shared.enter()?;
+    let mut in_flight = shared.begin_request()?;
     let view = shared.view();
     let (parts, body) = request.into_parts();
     let caller = authenticate(&view.in_force, &parts.headers, TrafficKind::Chat)?;
@@ -161,15 +161,15 @@
         axum::Json(collect(request_id, model.as_str(), pieces).await?).into_response()
     };
     let headers = response.headers_mut();
-    insert(headers, REQUEST_ID_HEADER, &request_id.to_string());
-    insert(headers, "x-juniper-engine", &origin.engine.0.to_string());
-    insert(headers, "x-juniper-revision", &view.in_force.revision.to_string());
-    insert(headers, "x-cached-tokens", &origin.cached_tokens.to_string());
+    insert_header(headers, REQUEST_ID_HEADER, &request_id.to_string());
+    insert_header(headers, "x-juniper-engine", &origin.engine.0.to_string());
+    insert_header(headers, "x-juniper-revision", &view.in_force.revision.to_string());
+    insert_header(headers, "x-cached-tokens", &origin.cached_tokens.to_string());
     Ok(response)
 }
 
-/// Sets a header, unless the value can't be one.
-pub(crate) fn insert(headers: &mut HeaderMap, name: &'static str, value: &str) {
+/// Sets a header if `value` is a valid header value.
+pub(crate) fn insert_header(headers: &mut HeaderMap, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         headers.insert(name, value);
     }
@@ -183,21 +183,21 @@
     number.ok_or_else(|| RequestError::Malformed("x-resume-from is not a number".into()))
 }
 
-/// Reads a whole body of at most `limit` bytes.
+/// Reads a complete body of at most `limit` bytes.
 pub(crate) async fn read_body(body: Body, limit: u64) -> Result<Bytes, RequestError> {
     let bytes = usize::try_from(limit).unwrap_or(usize::MAX);
     to_bytes(body, bytes).await.map_err(|_| RequestError::TooLarge { limit })
 }
 
-/// Measures the time to first token of one stream.
+/// Records the time to first token of one stream.
 struct FirstToken {
-    shared: Arc<Shared>,
+    shared: Arc<RouterState>,
     started: Instant,
     seen: bool,
 }
 
 impl FirstToken {
-    fn note(&mut self) {
+    fn record(&mut self) {
         if !self.seen {
             self.seen = true;
             self.shared.metrics.first_token.observe(self.started.elapsed().as_secs_f64());
@@ -213,11 +213,11 @@
     mut first_token: FirstToken,
 ) -> Response {
     let events = pieces.map(move |piece| {
-        // Held by the body, so that the request counts until its last byte.
-        let _held = &in_flight;
+        // Owned by the body stream, so that the request counts as in flight until its last byte.
+        let _in_flight = &in_flight;
         let text = match piece {
             Piece::Chunk(chunk) => {
-                first_token.note();
+                first_token.record();
                 caller_event(request_id, &model, &chunk)
             }
             Piece::Done => "data: [DONE]\n\n".to_owned(),
--- a/crates/router/src/in_force.rs
+++ b/crates/router/src/in_force.rs
@@ -1,8 +1,8 @@
-//! The settings in force on this router, with the lookups that requests need.
+//! Settings in force on this router, indexed for request lookups.
 //!
-//! Invariant: the revision in force never goes down. A snapshot or delta below
-//! or equal to it is dropped, whoever sent it; a delta that skips a revision is
-//! refused so that the subscription starts again from what is in force.
+//! Invariant: the revision in force never decreases. Snapshots and deltas up to this
+//! revision are ignored; a delta that skips a revision is an error, after which the
+//! subscription restarts from the revision in force.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -14,19 +14,19 @@
 use juniper_types::{EngineId, Revision, ServiceName, TenantName, ZoneName};
 use subtle::ConstantTimeEq;
 
-/// A tenant and where it stands in the tree.
+/// A tenant with its home zone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TenantHome {
     /// Home zone.
     pub zone: ZoneName,
-    /// Name.
+    /// Name of the tenant.
     pub tenant: TenantName,
 }
 
-/// One revision of the tree with its lookups.
+/// One revision of the settings tree with an index of API keys.
 #[derive(Debug, Default)]
 pub struct InForce {
-    /// The revision; zero means that nothing is in force.
+    /// Revision of the tree; zero if no settings are in force.
     pub revision: Revision,
     tree: SettingsTree,
     tenants_by_key: HashMap<ApiKeyHash, TenantHome>,
@@ -35,15 +35,15 @@
 /// A delta that does not follow the revision in force.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("revision {received} does not follow revision {in_force}")]
-pub struct MissedRevision {
-    /// What is in force.
+pub struct RevisionGap {
+    /// Revision in force.
     pub in_force: Revision,
-    /// What was received.
+    /// Revision of the received delta.
     pub received: Revision,
 }
 
 impl InForce {
-    /// Puts `tree` in force as `revision`.
+    /// Builds the index of `tree` at `revision`.
     pub fn new(revision: Revision, tree: SettingsTree) -> Self {
         let mut tenants_by_key = HashMap::new();
         for (zone, tenant, node) in tree.tenants() {
@@ -55,18 +55,15 @@
         InForce { revision, tree, tenants_by_key }
     }
 
-    /// The state after `push`, or `None` if it brings nothing newer.
-    pub fn after(&self, push: Push) -> Result<Option<InForce>, MissedRevision> {
+    /// Returns the settings after `push`, or `None` if `push` isn't newer than these.
+    pub fn after(&self, push: Push) -> Result<Option<InForce>, RevisionGap> {
         match push {
             Push::Snapshot { revision, tree } if revision > self.revision => {
                 Ok(Some(InForce::new(revision, tree)))
             }
             Push::Delta(delta) if delta.revision > self.revision => {
                 if delta.revision.0 != self.revision.0 + 1 {
-                    return Err(MissedRevision {
-                        in_force: self.revision,
-                        received: delta.revision,
-                    });
+                    return Err(RevisionGap { in_force: self.revision, received: delta.revision });
                 }
                 let mut tree = self.tree.clone();
                 delta.change.apply_to(&mut tree);
@@ -76,20 +73,20 @@
         }
     }
 
-    /// The tree in force.
+    /// Returns the settings tree.
     pub fn tree(&self) -> &SettingsTree {
         &self.tree
     }
 
-    /// The tenant that `key` belongs to.
+    /// Returns the tenant of an API key.
     pub fn tenant_of(&self, key: &str) -> Option<&TenantHome> {
         let hash = ApiKeyHash::of(key);
         let (stored, home) = self.tenants_by_key.get_key_value(&hash)?;
         bool::from(stored.0.as_bytes().ct_eq(hash.0.as_bytes())).then_some(home)
     }
 
-    /// Resolves the service of a request: the named one, or else the tenant's
-    /// first service of the wanted kind.
+    /// Resolves the service of a request: the named one, or without a name the tenant's
+    /// first service of `kind`.
     pub fn service_of(
         &self,
         home: &TenantHome,
@@ -109,7 +106,7 @@
         }
     }
 
-    /// The engines of `zone`, and those of each other zone.
+    /// Returns the engines of `zone` and the engines of each other zone.
     pub fn engines_by_zone(&self, zone: &ZoneName) -> (Vec<EngineId>, Vec<Vec<EngineId>>) {
         let mut by_zone: BTreeMap<&ZoneName, Vec<EngineId>> = BTreeMap::new();
         for (home, back_end) in self.back_ends() {
@@ -121,7 +118,7 @@
         (own, by_zone.into_values().collect())
     }
 
-    /// Every back end with its zone.
+    /// Iterates over all back ends with their zones.
     pub fn back_ends(&self) -> impl Iterator<Item = (&ZoneName, &BackEnd)> {
         self.tree.back_ends()
     }
--- a/crates/router/src/knowledge.rs
+++ b/crates/router/src/knowledge.rs
@@ -1,5 +1,5 @@
-//! What this router learns of one engine, and where it puts it: its own tables,
-//! and the zone's when the engine is shared.
+//! Applies observations of one engine to this router's state and, for a shared engine,
+//! publishes them to the routers of the zone.
 
 use std::sync::Arc;
 
@@ -10,36 +10,36 @@
 use crate::engines::Engines;
 use crate::sharing::SharingHub;
 
-/// Takes in reports of one engine.
+/// Applies and publishes observations of one engine.
 #[derive(Clone)]
 pub struct EngineKnowledge {
-    /// The engine.
+    /// Id of the engine.
     pub engine: EngineId,
     engines: Arc<Engines>,
-    /// Set when the zone hears of the engine through this router.
+    /// Set if this router publishes the engine's state to the zone.
     hub: Option<Arc<SharingHub>>,
 }
 
 impl EngineKnowledge {
-    /// Knowledge of `engine`, passed on through `hub` if there is one.
+    /// Observations of `engine` are published through `hub` if there is one.
     pub fn new(engine: EngineId, engines: Arc<Engines>, hub: Option<Arc<SharingHub>>) -> Self {
         EngineKnowledge { engine, engines, hub }
     }
 
-    /// The life of the engine that the index knows, and the last event applied.
+    /// Returns the engine's incarnation in the index and the sequence of the last applied event.
     pub fn position(&self) -> Option<(Incarnation, u64)> {
         self.engines.position(self.engine)
     }
 
-    /// Takes a load report.
+    /// Applies a load report.
     pub fn note_load(&self, load: &EngineLoad) {
-        self.engines.report(self.engine, load);
+        self.engines.apply_load_report(self.engine, load);
         if let Some(hub) = &self.hub {
-            hub.load(self.engine, load);
+            hub.publish_load(self.engine, load);
         }
     }
 
-    /// Voids everything known of an engine that doesn't answer.
+    /// Marks the engine as down after it didn't answer.
     pub fn mark_down(&self) {
         self.engines.mark_down(self.engine);
         if let Some(hub) = &self.hub {
@@ -47,23 +47,23 @@
         }
     }
 
-    /// Entries of older weights stop counting with the first report of newer ones.
-    pub fn note_weights(
+    /// Invalidates the cache entries if the weights have changed within an incarnation.
+    pub fn apply_weights(
         &self,
         reported: (Incarnation, WeightsVersion),
         known: &mut Option<(Incarnation, WeightsVersion)>,
     ) {
-        let switched =
-            known.is_some_and(|(life, weights)| life == reported.0 && weights != reported.1);
+        let switched = known
+            .is_some_and(|(previous, weights)| previous == reported.0 && weights != reported.1);
         if switched {
             log::info!("event=weights_switched engine={} weights={}", self.engine, reported.1);
-            self.engines.void_cache(self.engine);
-            self.void_shared();
+            self.engines.invalidate_cache(self.engine);
+            self.invalidate_shared();
         }
         *known = Some(reported);
     }
 
-    /// Takes cache events; `None` when the index is full.
+    /// Applies cache events. Returns `None` when the index is full.
     pub fn apply_events(
         &self,
         incarnation: Incarnation,
@@ -73,38 +73,38 @@
         match outcome {
             Some(EventOutcome::Applied) => {
                 if let Some(hub) = &self.hub {
-                    hub.cache_events(self.engine, incarnation, events);
+                    hub.publish_cache_events(self.engine, incarnation, events);
                 }
             }
-            // Entries in doubt stop counting on every router, not only here.
-            Some(EventOutcome::Gap { .. }) => self.void_shared(),
+            // Peers must stop using the entries as well until the next snapshot.
+            Some(EventOutcome::Gap { .. }) => self.invalidate_shared(),
             _ => {}
         }
         outcome
     }
 
-    /// Takes the whole cache.
+    /// Applies a snapshot of the cache.
     pub fn apply_snapshot(&self, snapshot: &Snapshot) {
         self.engines.apply_snapshot(self.engine, snapshot);
         if let Some(hub) = &self.hub {
-            hub.cache_snapshot(self.engine, snapshot);
+            hub.publish_cache_snapshot(self.engine, snapshot);
         }
     }
 
-    /// Nobody reads the engine's events here from now on, so what is known of its
-    /// cache stops counting; whoever reads them next begins with a snapshot.
+    /// Invalidates the cache entries because this router no longer polls the engine's events. The
+    /// next router that polls them starts with a snapshot.
     pub fn stop_following(&self, with_events: bool) {
         if let Some(hub) = &self.hub {
             hub.unfollow(self.engine);
         }
         if with_events {
-            self.engines.void_cache(self.engine);
+            self.engines.invalidate_cache(self.engine);
         }
     }
 
-    fn void_shared(&self) {
+    fn invalidate_shared(&self) {
         if let Some(hub) = &self.hub {
-            hub.void_cache(self.engine);
+            hub.invalidate_cache(self.engine);
         }
     }
 }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,9 +1,9 @@
-//! The router daemon: serves callers and relays to back ends.
+//! Router daemon that serves callers and relays their requests to back ends.
 //!
-//! Decisions live in the pure crates `juniper-routing` and
-//! `juniper-prefix-index`; this crate holds the I/O around them: the callers'
-//! face, the relay to back ends, the link to the control replicas and the
-//! routers' own internal face.
+//! Routing decisions are made in the I/O-free crates `juniper-routing` and
+//! `juniper-prefix-index`. This crate contains the I/O: the HTTP APIs, the relay to
+//! back ends, the connections to the control replicas and the internal API for
+//! other routers.
 
 pub mod access;
 pub mod applications;
@@ -15,10 +15,10 @@
 pub mod control_plane;
 pub mod crashes;
 pub mod engine_api;
+pub mod engine_pollers;
 pub mod engines;
 pub mod error;
-pub mod faces;
-pub mod feeds;
+pub mod http_api;
 pub mod in_force;
 pub mod knowledge;
 pub mod limits;
@@ -28,9 +28,9 @@
 pub mod previews;
 pub mod reachability;
 pub mod relay;
+pub mod router_state;
 pub mod run;
 pub mod settings_file;
-pub mod shared;
 pub mod sharing;
 pub mod sse;
 pub mod subscription;
--- a/crates/router/src/limits.rs
+++ b/crates/router/src/limits.rs
@@ -1,7 +1,7 @@
-//! The limits of the tree as this router enforces them.
+//! Admission control by the limits of tenants and services.
 //!
-//! The pure [`Admission`] decides; this module holds it behind a lock, tells it
-//! the router's share of the fleet, and releases what was admitted.
+//! Guards the I/O-free [`Admission`] by a mutex, supplies this router's share of the
+//! fleet-wide limits, and releases admitted requests when they end.
 
 use std::sync::{Arc, Mutex, MutexGuard};
 
@@ -11,14 +11,14 @@
 
 use crate::error::RequestError;
 
-/// Limits of tenants and services.
+/// Admission state of all tenants and services.
 #[derive(Debug)]
 pub struct Limits {
     admission: Mutex<Admission>,
     started: Instant,
 }
 
-/// One admitted request; it counts against its limits until it is dropped.
+/// An admitted request, which counts against its limits until dropped.
 #[derive(Debug)]
 pub struct Admitted {
     limits: Arc<Limits>,
@@ -40,10 +40,11 @@
         Timestamp::ZERO.after(self.started.elapsed())
     }
 
-    /// Admits a request or refuses it at once. `routers` are up, this one included.
+    /// Admits or refuses a request without waiting. `routers` is the number of routers that are up,
+    /// including this one.
     ///
     /// # Errors
-    /// [`RequestError::Limited`] with the limit and when to come back.
+    /// [`RequestError::Limited`] with the exceeded limit and the retry delay.
     pub fn admit(
         self: &Arc<Self>,
         question: &AdmissionQuestion<'_>,
--- a/crates/router/src/link.rs
+++ b/crates/router/src/link.rs
@@ -1,7 +1,7 @@
-//! One outgoing connection to another daemon, with numbered calls over it.
+//! Client connection to another daemon that multiplexes calls.
 //!
-//! The actor connects when a call needs it and forgets the connection when it
-//! fails; every call that was waiting then fails with [`CallError::Disconnected`].
+//! The actor connects on demand and drops the connection when it fails; all pending
+//! calls then fail with [`CallError::Disconnected`].
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,25 +19,25 @@
 
 use crate::reachability::Reachability;
 
-/// Time within which a connection must stand.
+/// Timeout of connecting to a peer.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// What a link needs to connect.
+/// Connection parameters of a link.
 #[derive(Clone)]
 pub struct LinkTarget {
     /// Address of the peer.
     pub address: SocketAddr,
     /// Secret shared by the daemons.
     pub key: ClusterKey,
-    /// Who this daemon is.
+    /// Identity of this daemon.
     pub own: PeerIdentity,
-    /// Counts bytes.
+    /// Byte counters.
     pub traffic: Arc<Traffic>,
-    /// Whom the node can reach.
+    /// Injected network partitions.
     pub reachability: Reachability,
 }
 
-/// The actor behind a [`Link`].
+/// Actor that owns the connection of a [`Link`].
 pub struct LinkActor {
     target: LinkTarget,
     own_ref: ActorRef<LinkActor>,
@@ -53,10 +53,10 @@
     }
 }
 
-/// A call to send, and where its reply goes.
+/// A call to send, with the channel for its reply.
 pub struct SendCall {
     request: Request,
-    answer: ReplySender,
+    reply_to: ReplySender,
 }
 
 impl Message<SendCall> for LinkActor {
@@ -67,10 +67,10 @@
             self.calls.disconnect();
         }
         if !self.ensure_connected().await {
-            let _ = call.answer.send(Err(CallError::Unreachable));
+            let _ = call.reply_to.send(Err(CallError::Unreachable));
             return;
         }
-        let message = self.calls.begin(call.request, call.answer);
+        let message = self.calls.begin(call.request, call.reply_to);
         let sent = match self.calls.writer() {
             Some(writer) => writer.send(&message).await.is_ok(),
             None => false,
@@ -111,23 +111,23 @@
     }
 }
 
-/// A handle to call one peer.
+/// Handle for calls to one peer.
 #[derive(Clone)]
 pub struct Link {
     actor: ActorRef<LinkActor>,
 }
 
 impl Link {
-    /// Starts the actor; it connects at the first call.
+    /// Starts the actor, which connects at the first call.
     pub fn spawn(target: LinkTarget) -> Self {
         Link { actor: LinkActor::spawn(target) }
     }
 
-    /// Calls the peer and waits for the reply at most `limit`.
+    /// Calls the peer and waits at most `limit` for the reply.
     pub async fn call(&self, request: Request, limit: Duration) -> Result<Reply, CallError> {
-        let (answer, reply) = oneshot::channel();
+        let (reply_to, reply) = oneshot::channel();
         let exchange = async {
-            let call = SendCall { request, answer };
+            let call = SendCall { request, reply_to };
             self.actor.tell(call).await.map_err(|_| CallError::Unreachable)?;
             reply.await.map_err(|_| CallError::Disconnected)?
         };
--- a/crates/router/src/metrics.rs
+++ b/crates/router/src/metrics.rs
@@ -1,16 +1,15 @@
-//! Counters and histograms of one router, in Prometheus text.
+//! Prometheus metrics of one router.
 
 use juniper_crash_watch::CrashMetrics;
 use prometheus::{
     Encoder, Histogram, HistogramOpts, IntCounterVec, IntGauge, Opts, Registry, TextEncoder,
 };
 
-/// Bucket bounds of the time to first token, in seconds. The users' aim of
-/// 0.46 s is one of them.
+/// Bucket bounds of the time to first token, in seconds. Include the latency target of 0.46 s.
 const FIRST_TOKEN_BUCKETS: [f64; 11] =
     [0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.46, 0.7, 1.0, 2.5, 10.0];
 
-/// Bucket bounds of the time a routing decision takes, in seconds.
+/// Bucket bounds of the duration of a routing decision, in seconds.
 const DECISION_BUCKETS: [f64; 7] = [2e-6, 5e-6, 1e-5, 2e-5, 5e-5, 1e-4, 1e-3];
 
 /// All metrics of one router.
@@ -23,26 +22,26 @@
     pub retries: IntCounterVec,
     /// Requests in flight.
     pub in_flight: IntGauge,
-    /// Revision in force.
+    /// Settings revision in force.
     pub revision: IntGauge,
     /// Age of the settings in force, in milliseconds.
     pub settings_age_ms: IntGauge,
     /// Time to first token, in seconds.
     pub first_token: Histogram,
-    /// Time of one routing decision, in seconds.
+    /// Duration of a routing decision, in seconds.
     pub decision: Histogram,
-    /// Prompt tokens by whether the engine found them in its cache.
+    /// Prompt tokens by cache hit or miss at the engine.
     pub prompt_tokens: IntCounterVec,
-    /// Bytes of lookups among routers, both ways.
+    /// Bytes of prefix lookups between routers, sent and received.
     pub lookup_bytes: IntCounterVec,
-    /// Back ends that ended under requests, and quarantines.
+    /// Crashes of back ends under requests, and quarantines.
     pub crashes: CrashMetrics,
-    /// Bytes sent and received for control.
+    /// Bytes of control traffic by direction.
     pub control_bytes: IntCounterVec,
 }
 
 impl Metrics {
-    /// Makes and registers the metrics.
+    /// Creates and registers the metrics.
     pub fn new() -> Result<Self, prometheus::Error> {
         let registry = Registry::new();
         let counters = |name: &str, help: &str, labels: &[&str]| {
@@ -85,7 +84,7 @@
         })
     }
 
-    /// All metrics in Prometheus text form.
+    /// Renders all metrics in the Prometheus text format.
     pub fn render(&self) -> Vec<u8> {
         let mut text = Vec::new();
         if let Err(error) = TextEncoder::new().encode(&self.registry.gather(), &mut text) {
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -1,7 +1,7 @@
-//! The routers' view of each other: the failure detector over UDP.
+//! Membership of routers by a gossip failure detector over UDP.
 //!
-//! [`MembershipActor`] owns the pure detector and the socket. A timer ticks it,
-//! a reading task hands it datagrams, and it publishes who is up.
+//! [`MembershipActor`] owns the I/O-free detector and the socket. A timer task and a
+//! receiving task drive the detector; the actor publishes the routers that are up.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,17 +25,17 @@
 use crate::config::RouterConfig;
 use crate::reachability::Reachability;
 
-/// Time between ticks of the detector, well within its probe timeout.
-const TICK: Duration = Duration::from_millis(100);
+/// Time between ticks of the detector; well below its probe timeout.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Routers that are up, this one excluded.
 #[derive(Clone, Debug, Default)]
 pub struct PeerView {
-    /// The peers, by node number.
+    /// Peers in ascending order of node id.
     pub routers: Arc<Vec<Member>>,
 }
 
-/// Owns the failure detector.
+/// Actor that owns the failure detector and its socket.
 pub struct MembershipActor {
     detector: Detector,
     socket: Arc<UdpSocket>,
@@ -47,19 +47,19 @@
     tasks: [JoinHandle<()>; 2],
 }
 
-/// What the actor starts with.
+/// Arguments of [`MembershipActor`].
 pub struct MembershipArguments {
-    /// Settings of the process.
+    /// Configuration of the process.
     pub config: Arc<RouterConfig>,
-    /// Life of this process.
-    pub life: Incarnation,
-    /// Bound to the internal address.
+    /// Incarnation of this process.
+    pub incarnation: Incarnation,
+    /// Socket bound to the internal address.
     pub socket: UdpSocket,
-    /// Where the view is published.
+    /// Channel for the published view.
     pub view: watch::Sender<PeerView>,
-    /// Counts bytes.
+    /// Byte counters.
     pub traffic: Arc<Traffic>,
-    /// Whom the node can reach.
+    /// Injected network partitions.
     pub reachability: Reachability,
 }
 
@@ -70,7 +70,7 @@
     bytes: Vec<u8>,
 }
 
-/// Tells the group that this node leaves.
+/// Request to announce to the group that this node is departing.
 pub struct Leave;
 
 impl Actor for MembershipActor {
@@ -87,7 +87,7 @@
             zone: config.zone.clone(),
             role: MemberRole::Router,
             address: config.internal,
-            life: arguments.life,
+            life: arguments.incarnation,
         };
         let seeds = config.peers.iter().map(|peer| peer.address).collect();
         let detector = Detector::new(DetectorConfig::default(), own, seeds, rand::random());
@@ -111,7 +111,7 @@
         _actor: WeakActorRef<Self>,
         _reason: ActorStopReason,
     ) -> Result<(), Self::Error> {
-        // The reading task holds the socket; once it is over, another can open the address.
+        // The receiving task holds the socket; the address can be bound again once it has ended.
         for task in &mut self.tasks {
             task.abort();
             let _ = task.await;
@@ -121,7 +121,7 @@
 }
 
 async fn tick(actor: ActorRef<MembershipActor>) {
-    let mut ticks = interval(TICK);
+    let mut ticks = interval(TICK_INTERVAL);
     loop {
         ticks.tick().await;
         if actor.tell(Tick).await.is_err() {
@@ -133,7 +133,7 @@
 async fn receive(actor: ActorRef<MembershipActor>, socket: Arc<UdpSocket>) {
     let mut buffer = [0; MAX_DATAGRAM_BYTES];
     loop {
-        // A failed receive reports an earlier send that nobody took; go on.
+        // Receive errors report that the destination of an earlier send was unreachable.
         let Ok((length, from)) = socket.recv_from(&mut buffer).await else { continue };
         let bytes = buffer[..length].to_vec();
         if actor.tell(Datagram { from, bytes }).await.is_err() {
@@ -147,7 +147,7 @@
 
     async fn handle(&mut self, _tick: Tick, _context: &mut Context<Self, ()>) {
         let actions = self.detector.tick(self.now());
-        self.carry_out(actions).await;
+        self.apply_actions(actions).await;
     }
 }
 
@@ -171,7 +171,7 @@
             return;
         };
         let actions = self.detector.receive(message, self.now());
-        self.carry_out(actions).await;
+        self.apply_actions(actions).await;
     }
 }
 
@@ -180,7 +180,7 @@
 
     async fn handle(&mut self, _leave: Leave, _context: &mut Context<Self, ()>) {
         let actions = self.detector.leave();
-        self.carry_out(actions).await;
+        self.apply_actions(actions).await;
     }
 }
 
@@ -189,7 +189,7 @@
         Timestamp::ZERO.after(self.started.elapsed())
     }
 
-    async fn carry_out(&mut self, actions: Vec<Action>) {
+    async fn apply_actions(&mut self, actions: Vec<Action>) {
         let mut changed = false;
         for action in actions {
             match action {
@@ -229,16 +229,16 @@
     }
 
     fn publish(&self) {
-        let up = self.detector.table().iter().filter(|known| {
+        let alive = self.detector.table().iter().filter(|known| {
             known.update.liveness == Liveness::Alive
                 && known.update.member.role == MemberRole::Router
         });
-        let routers = up.map(|known| known.update.member.clone()).collect();
+        let routers = alive.map(|known| known.update.member.clone()).collect();
         self.view.send_replace(PeerView { routers: Arc::new(routers) });
     }
 }
 
-/// Starts the actor.
+/// Starts the membership actor.
 pub fn spawn(arguments: MembershipArguments) -> ActorRef<MembershipActor> {
     MembershipActor::spawn(arguments)
 }
--- a/crates/router/src/previews.rs
+++ b/crates/router/src/previews.rs
@@ -1,9 +1,8 @@
-//! Relays byte streams that resume by range.
+//! Relays preview byte streams, which resume by range requests.
 //!
-//! When a server fails in the middle, the rest is fetched from another one,
-//! from the first byte that the caller lacks. The answer states its length, so
-//! a stream that can't be completed ends in a broken connection, which the
-//! caller can't take for the end.
+//! When a server fails in the middle of a stream, the remaining bytes are fetched
+//! from another server. The response has a content length, so a caller detects a
+//! stream that ends early.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,24 +19,24 @@
 
 use crate::access::{REQUEST_ID_HEADER, authenticate, request_id};
 use crate::backends::Lease;
-use crate::crashes::{AskedRequest, SentTo, asked};
+use crate::crashes::{RequestIdentity, SentAttempt, request_identity};
 use crate::error::RequestError;
-use crate::faces::{answer_or_error, insert};
-use crate::shared::{InFlight, Shared};
+use crate::http_api::{insert_header, into_counted_response};
+use crate::router_state::{InFlight, RouterState};
 
-/// Servers tried for one preview.
+/// Maximum number of servers tried for one preview.
 const MAX_ATTEMPTS: usize = 4;
 
-/// Pieces buffered for a slow caller before the server's stream is held back.
+/// Pieces buffered for a slow caller before backpressure applies to the server's stream.
 const PIECE_BUFFER: usize = 8;
 
-/// A server that sends nothing for this long is given up.
-const STALL_LIMIT: Duration = Duration::from_secs(5);
+/// Timeout of the response head and of each following piece.
+const STALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Suggested pause when no server can be reached, in milliseconds.
+/// Retry delay suggested to callers when no server is reachable, in milliseconds.
 const NO_SERVER_RETRY_MS: u64 = 1_000;
 
-/// The part of a preview that an answer covers, in bytes; `end` is exclusive.
+/// Byte range of a preview that a response covers; `end` is exclusive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Span {
     start: u64,
@@ -45,32 +44,32 @@
     total: u64,
 }
 
-/// Why one server did not deliver.
+/// Error of one attempt on a preview server.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 enum PreviewError {
-    #[error("the server can't be reached")]
+    #[error("the server is unreachable")]
     Unreachable,
-    #[error("the server broke off")]
+    #[error("the connection to the server broke")]
     Broken,
-    #[error("the server sent nothing for too long")]
+    #[error("the server sent nothing within the timeout")]
     Stalled,
-    #[error("the server answered with another part or another length")]
+    #[error("the server answered with an unexpected range or length")]
     Mismatch,
     #[error("the server answered with status {0}")]
     Status(u16),
 }
 
-/// A preview stream that a server has begun.
-struct Begun {
+/// A preview stream whose response head was received.
+struct OpenPreview {
     lease: Lease,
-    sent: SentTo,
+    sent: SentAttempt,
     response: reqwest::Response,
     span: Span,
     content_type: Option<HeaderValue>,
     tag: Option<HeaderValue>,
 }
 
-/// What a caller asks for.
+/// A caller's preview request.
 struct PreviewCall {
     id: RequestId,
     path: String,
@@ -78,37 +77,40 @@
 }
 
 impl PreviewCall {
-    /// What is asked, as the same request asks it again, from whatever byte.
-    fn asked(&self) -> AskedRequest<'_> {
-        asked("GET", &self.path, &self.tenant, &[])
+    /// Content that identifies the request across retries; excludes the start of the range.
+    fn identity(&self) -> RequestIdentity<'_> {
+        request_identity("GET", &self.path, &self.tenant, &[])
     }
 }
 
-/// How far the search for a server has come.
+/// State of the search for a server.
 #[derive(Default)]
 struct Search {
     excluded: Vec<EngineId>,
-    /// Whether a server may have begun the preview.
+    /// Whether a server may have started the preview.
     may_have_run: bool,
 }
 
-/// The relay of one preview.
+/// Relay of one preview stream.
 struct PreviewRelay {
-    shared: Arc<Shared>,
+    shared: Arc<RouterState>,
     call: PreviewCall,
-    begun: Begun,
+    opened: OpenPreview,
     search: Search,
     _in_flight: InFlight,
 }
 
 /// Serves `GET /previews/...`.
-pub async fn preview(State(shared): State<Arc<Shared>>, request: Request) -> Response {
+pub async fn preview(State(shared): State<Arc<RouterState>>, request: Request) -> Response {
     let result = serve_preview(&shared, request).await;
-    answer_or_error(&shared, "preview", result)
+    into_counted_response(&shared, "preview", result)
 }
 
-async fn serve_preview(shared: &Arc<Shared>, request: Request) -> Result<Response, RequestError> {
-    let mut in_flight = shared.enter()?;
+async fn serve_preview(
+    shared: &Arc<RouterState>,
+    request: Request,
+) -> Result<Response, RequestError> {
+    let mut in_flight = shared.begin_request()?;
     let started = Instant::now();
     let view = shared.view();
     let (parts, _body) = request.into_parts();
@@ -126,32 +128,32 @@
     );
     let call = PreviewCall { id: request_id, path, tenant: caller.home.tenant.clone() };
     let mut search = Search::default();
-    let begun = begin_somewhere(shared, &call, start, &mut search).await?;
+    let opened = open_on_any_server(shared, &call, start, &mut search).await?;
     shared.metrics.first_token.observe(started.elapsed().as_secs_f64());
     let mut response = Response::new(Body::empty());
-    describe(&mut response, &begun, start);
-    insert(response.headers_mut(), REQUEST_ID_HEADER, &request_id.to_string());
+    set_headers(&mut response, &opened, start);
+    insert_header(response.headers_mut(), REQUEST_ID_HEADER, &request_id.to_string());
     let (sender, receiver) = mpsc::channel(PIECE_BUFFER);
     let shared = Arc::clone(shared);
-    let relay = PreviewRelay { shared, call, begun, search, _in_flight: in_flight };
+    let relay = PreviewRelay { shared, call, opened, search, _in_flight: in_flight };
     tokio::spawn(relay.run(sender));
     *response.body_mut() = Body::from_stream(ReceiverStream::new(receiver));
     Ok(response)
 }
 
-fn describe(response: &mut Response, begun: &Begun, start: u64) {
-    let Span { end, total, .. } = begun.span;
+fn set_headers(response: &mut Response, opened: &OpenPreview, start: u64) {
+    let Span { end, total, .. } = opened.span;
     let headers = response.headers_mut();
     headers.insert(header::CONTENT_LENGTH, HeaderValue::from(end - start));
     headers.insert(header::ACCEPT_RANGES, HeaderValue::from_static("bytes"));
-    if let Some(content_type) = &begun.content_type {
+    if let Some(content_type) = &opened.content_type {
         headers.insert(header::CONTENT_TYPE, content_type.clone());
     }
-    if let Some(tag) = &begun.tag {
+    if let Some(tag) = &opened.tag {
         headers.insert(header::ETAG, tag.clone());
     }
     if start > 0 {
-        insert(headers, "content-range", &format!("bytes {start}-{}/{total}", end - 1));
+        insert_header(headers, "content-range", &format!("bytes {start}-{}/{total}", end - 1));
         *response.status_mut() = StatusCode::PARTIAL_CONTENT;
     }
 }
@@ -168,20 +170,20 @@
     start.ok_or_else(|| RequestError::Malformed("range must read bytes=N-".into()))
 }
 
-async fn begin_somewhere(
-    shared: &Arc<Shared>,
+async fn open_on_any_server(
+    shared: &Arc<RouterState>,
     call: &PreviewCall,
     start: u64,
     search: &mut Search,
-) -> Result<Begun, RequestError> {
+) -> Result<OpenPreview, RequestError> {
     while search.excluded.len() < MAX_ATTEMPTS {
-        shared.crashes.check(&call.id.to_string(), &call.asked())?;
+        shared.crashes.check(&call.id.to_string(), &call.identity())?;
         let zone = &shared.config.zone;
         let chosen = shared.back_ends.choose(BackEndKind::Preview, zone, &search.excluded);
         let Some(lease) = chosen else { break };
         let server = lease.target.id;
-        match begin(shared, lease, call, start).await {
-            Ok(begun) => return Ok(begun),
+        match open_on_server(shared, lease, call, start).await {
+            Ok(opened) => return Ok(opened),
             Err(PreviewError::Status(404)) => return Err(RequestError::NotFound),
             Err(PreviewError::Status(416)) => {
                 return Err(RequestError::Malformed("the range starts after the end".into()));
@@ -199,28 +201,28 @@
     })
 }
 
-async fn begin(
-    shared: &Shared,
+async fn open_on_server(
+    shared: &RouterState,
     lease: Lease,
     call: &PreviewCall,
     start: u64,
-) -> Result<Begun, PreviewError> {
+) -> Result<OpenPreview, PreviewError> {
     let url = format!("http://{}{}", lease.target.address, call.path);
     let (back_end, address) = (lease.target.id, lease.target.address);
-    let sent = SentTo { back_end, address, incarnation: None, sent_at: shared.crashes.now() };
+    let sent = SentAttempt { back_end, address, incarnation: None, sent_at: shared.crashes.now() };
     let request = shared.http.get(url).header(header::RANGE, format!("bytes={start}-")).send();
-    let response = match timeout(STALL_LIMIT, request).await {
+    let response = match timeout(STALL_TIMEOUT, request).await {
         Ok(Ok(response)) => response,
         Ok(Err(error)) => {
-            lease.failed();
+            lease.record_failure();
             if error.is_connect() {
                 return Err(PreviewError::Unreachable);
             }
-            shared.crashes.note_cut(&call.id.to_string(), &call.asked(), sent);
+            shared.crashes.record_interrupted(&call.id.to_string(), &call.identity(), sent);
             return Err(PreviewError::Broken);
         }
         Err(_) => {
-            lease.failed();
+            lease.record_failure();
             return Err(PreviewError::Stalled);
         }
     };
@@ -231,10 +233,10 @@
     if span.start != start || span.end != span.total {
         return Err(PreviewError::Mismatch);
     }
-    lease.answered();
+    lease.record_success();
     let content_type = response.headers().get(header::CONTENT_TYPE).cloned();
     let tag = response.headers().get(header::ETAG).cloned();
-    Ok(Begun { lease, sent, response, span, content_type, tag })
+    Ok(OpenPreview { lease, sent, response, span, content_type, tag })
 }
 
 /// Parses `content-range: bytes A-B/TOTAL`.
@@ -249,35 +251,39 @@
 
 impl PreviewRelay {
     async fn run(mut self, pieces: mpsc::Sender<Result<Bytes, PreviewError>>) {
-        let mut next = self.begun.span.start;
-        let end = self.begun.span.end;
+        let mut next = self.opened.span.start;
+        let end = self.opened.span.end;
         while next < end {
-            let error = match self.pump(&pieces, &mut next).await {
+            let error = match self.forward_bytes(&pieces, &mut next).await {
                 Ok(()) => return,
                 Err(error) => error,
             };
             log::warn!("event=preview_interrupted at={next} reason=\"{error}\"");
             if error == PreviewError::Broken {
                 let id = self.call.id.to_string();
-                self.shared.crashes.note_cut(&id, &self.call.asked(), self.begun.sent);
+                self.shared.crashes.record_interrupted(
+                    &id,
+                    &self.call.identity(),
+                    self.opened.sent,
+                );
             }
             self.search.may_have_run = true;
-            if self.continue_elsewhere(next).await.is_err() {
+            if self.resume_on_another_server(next).await.is_err() {
                 let _ = pieces.send(Err(error)).await;
                 return;
             }
         }
     }
 
-    /// Passes bytes on; ends well when all are sent or the caller has left.
-    async fn pump(
+    /// Forwards bytes until all are sent or the caller has disconnected.
+    async fn forward_bytes(
         &mut self,
         pieces: &mpsc::Sender<Result<Bytes, PreviewError>>,
         next: &mut u64,
     ) -> Result<(), PreviewError> {
-        let end = self.begun.span.end;
+        let end = self.opened.span.end;
         while *next < end {
-            let piece = timeout(STALL_LIMIT, self.begun.response.chunk()).await;
+            let piece = timeout(STALL_TIMEOUT, self.opened.response.chunk()).await;
             let bytes = match piece {
                 Err(_) => return Err(PreviewError::Stalled),
                 Ok(Ok(Some(bytes))) => bytes,
@@ -292,20 +298,20 @@
             }
             *next += length;
         }
-        self.shared.crashes.note_answered(&self.call.id.to_string(), &self.call.asked());
+        self.shared.crashes.record_completed(&self.call.id.to_string(), &self.call.identity());
         Ok(())
     }
 
-    async fn continue_elsewhere(&mut self, next: u64) -> Result<(), RequestError> {
-        self.begun.lease.failed();
-        self.search.excluded.push(self.begun.lease.target.id);
+    async fn resume_on_another_server(&mut self, next: u64) -> Result<(), RequestError> {
+        self.opened.lease.record_failure();
+        self.search.excluded.push(self.opened.lease.target.id);
         self.shared.metrics.retries.with_label_values(&["preview"]).inc();
-        let begun = begin_somewhere(&self.shared, &self.call, next, &mut self.search).await?;
-        // Another length or tag is another preview; mixing them is never right.
-        if begun.span.total != self.begun.span.total || begun.tag != self.begun.tag {
+        let opened = open_on_any_server(&self.shared, &self.call, next, &mut self.search).await?;
+        // A different length or tag means that the preview has changed.
+        if opened.span.total != self.opened.span.total || opened.tag != self.opened.tag {
             return Err(RequestError::BackEndFailed);
         }
-        self.begun = begun;
+        self.opened = opened;
         Ok(())
     }
 }
--- a/crates/router/src/reachability.rs
+++ b/crates/router/src/reachability.rs
@@ -1,26 +1,26 @@
-//! Which addresses a node can reach; a fault-injection point for cuts.
+//! Fault injection of network partitions.
 //!
-//! The daemon reaches every address. The lab, which runs many nodes in one
-//! process on one loopback interface, cuts zones off from each other here.
+//! The daemon blocks no address. The lab, which runs many nodes in one process on one
+//! loopback interface, injects partitions between zones.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
 use std::sync::{Arc, RwLock};
 
-/// Addresses that can't be reached, shared by whoever injects the fault.
+/// Set of blocked addresses, shared with the code that injects the fault.
 #[derive(Clone, Debug, Default)]
 pub struct Reachability {
     blocked: Arc<RwLock<HashSet<SocketAddr>>>,
 }
 
 impl Reachability {
-    /// Whether messages to and from `address` get through.
+    /// Whether messages to and from `address` are allowed.
     pub fn allows(&self, address: SocketAddr) -> bool {
         let blocked = self.blocked.read().unwrap_or_else(|poisoned| poisoned.into_inner());
         !blocked.contains(&address)
     }
 
-    /// Blocks exactly these addresses from now on.
+    /// Replaces the set of blocked addresses.
     pub fn block(&self, addresses: impl IntoIterator<Item = SocketAddr>) {
         let mut blocked = self.blocked.write().unwrap_or_else(|poisoned| poisoned.into_inner());
         *blocked = addresses.into_iter().collect();
--- a/crates/router/src/relay/answer.rs
+++ b/crates/router/src/relay/answer.rs
@@ -1,4 +1,4 @@
-//! The forms in which callers get an answer.
+//! Conversion of an engine's answer to the callers' formats.
 
 use futures_util::StreamExt;
 use juniper_types::RequestId;
@@ -9,7 +9,7 @@
 use crate::error::RequestError;
 use crate::sse::Chunk;
 
-/// The caller's form of a chunk.
+/// Converts a chunk to a server-sent event for the caller.
 pub fn caller_event(request_id: RequestId, model: &str, chunk: &Chunk) -> String {
     let body = json!({
         "id": request_id.to_string(),
@@ -26,7 +26,7 @@
     format!("data: {body}\n\n")
 }
 
-/// Collects a whole answer for a caller that doesn't want a stream.
+/// Collects a complete answer for a caller that didn't request a stream.
 pub async fn collect(
     request_id: RequestId,
     model: &str,
--- a/crates/router/src/relay/attempt.rs
+++ b/crates/router/src/relay/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt on one engine: the call, its errors, and its cancel.
+//! One attempt of a chat completion on one engine, and its cancellation.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,30 +11,30 @@
 
 use super::job::{CHAT_PATH, ChatJob};
 use crate::access::REQUEST_ID_HEADER;
-use crate::crashes::SentTo;
+use crate::crashes::SentAttempt;
 use crate::engines::Dispatch;
-use crate::shared::Shared;
+use crate::router_state::RouterState;
 
-/// Error code of an engine that takes no new work.
+/// Error code of an engine that refuses new requests because it is leaving.
 const LEAVING_CODE: &str = "leaving";
 
-/// Time within which an engine must take a cancel.
+/// Timeout of a cancel request.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Why one attempt on an engine ended early.
+/// Error of one attempt on an engine.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum AttemptError {
-    #[error("engine ran nothing: {0}")]
+    #[error("the engine refused the request without running it: {0}")]
     NotRun(String),
-    #[error("engine can't be reached")]
+    #[error("the engine is unreachable")]
     Unreachable,
-    #[error("connection to the engine broke")]
+    #[error("the connection to the engine broke")]
     Broken,
-    #[error("engine sent an invalid stream")]
+    #[error("the engine sent an invalid stream")]
     Invalid,
-    #[error("engine refused the request")]
+    #[error("the engine rejected the request as invalid")]
     Rejected(String),
-    #[error("deadline passed")]
+    #[error("the deadline passed")]
     Deadline,
 }
 
@@ -51,16 +51,16 @@
     not_run: bool,
 }
 
-/// An engine that has taken the request.
+/// An attempt that the engine has accepted.
 pub(super) struct Attempt {
     pub(super) id: RequestId,
     pub(super) dispatch: Dispatch,
-    pub(super) sent: SentTo,
+    pub(super) sent: SentAttempt,
     pub(super) response: reqwest::Response,
     pub(super) cancel: CancelGuard,
 }
 
-/// Cancels the attempt on the engine unless it has ended there by itself.
+/// Cancels the attempt on the engine when dropped, unless disarmed.
 pub(super) struct CancelGuard {
     http: reqwest::Client,
     url: String,
@@ -68,7 +68,7 @@
 }
 
 impl CancelGuard {
-    /// The engine has ended the attempt itself.
+    /// Disarms the guard because the attempt has ended on the engine.
     pub(super) fn disarm(&mut self) {
         self.armed = false;
     }
@@ -90,7 +90,7 @@
 
 /// Sends the request to the engine of `dispatch`.
 pub(super) async fn try_engine(
-    shared: &Arc<Shared>,
+    shared: &Arc<RouterState>,
     job: &ChatJob,
     dispatch: Dispatch,
     from: u64,
@@ -104,7 +104,7 @@
     let url = format!("http://{address}/v1/requests/{id}/cancel");
     let mut cancel = CancelGuard { http: shared.http.clone(), url, armed: true };
     let (back_end, incarnation) = (engine, dispatch.decision.incarnation);
-    let sent = SentTo { back_end, address, incarnation, sent_at: shared.crashes.now() };
+    let sent = SentAttempt { back_end, address, incarnation, sent_at: shared.crashes.now() };
     let request = engine_request(shared, job, &dispatch, address, id, from);
     let response = match timeout_at(job.deadline, request.send()).await {
         Err(_) => return Err(AttemptError::Deadline),
@@ -113,7 +113,7 @@
             return Err(AttemptError::Unreachable);
         }
         Ok(Err(_)) => {
-            shared.crashes.note_cut(&job.request_id.to_string(), &job.asked(), sent);
+            shared.crashes.record_interrupted(&job.request_id.to_string(), &job.identity(), sent);
             return Err(AttemptError::Broken);
         }
         Ok(Ok(response)) => response,
@@ -137,7 +137,7 @@
 }
 
 fn engine_request(
-    shared: &Shared,
+    shared: &RouterState,
     job: &ChatJob,
     dispatch: &Dispatch,
     address: SocketAddr,
@@ -161,7 +161,7 @@
     if let Some(adapter) = settings.adapter() {
         request = request.header("x-cache-adapter", adapter.as_str());
     }
-    // The engine refuses the request if it has restarted since.
+    // An engine that has restarted since the decision refuses the request.
     if let Some(incarnation) = dispatch.decision.incarnation {
         request = request.header("x-engine-incarnation", incarnation.to_string());
     }
--- a/crates/router/src/relay/job.rs
+++ b/crates/router/src/relay/job.rs
@@ -1,4 +1,4 @@
-//! A chat completion on its way: what is asked, how far it has come, what callers get.
+//! Request, progress and answer pieces of one relayed chat completion.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use tokio::time::Instant;
 
 use crate::chat::ChatRequest;
-use crate::crashes::{AskedRequest, asked};
+use crate::crashes::{RequestIdentity, request_identity};
 use crate::engines::ChatPlan;
 use crate::error::RequestError;
 use crate::sse::Chunk;
@@ -15,40 +15,40 @@
 /// Path of chat completions at engines.
 pub(super) const CHAT_PATH: &str = "/v1/chat/completions";
 
-/// Suggested pause when no engine is left, in milliseconds.
+/// Retry delay suggested to callers when no engine is left, in milliseconds.
 const NO_ENGINE_RETRY_MS: u64 = 1_000;
 
 /// A chat completion to relay.
 pub struct ChatJob {
-    /// Id that the caller sees.
+    /// Request id returned to the caller.
     pub request_id: RequestId,
-    /// Who asks.
+    /// Tenant of the request.
     pub tenant: TenantName,
-    /// What is asked.
+    /// Parsed request.
     pub chat: ChatRequest,
-    /// What routing needs to know of it.
+    /// Input of the routing decision.
     pub plan: ChatPlan,
-    /// When the router received it.
+    /// Time when the router received the request.
     pub started: Instant,
-    /// When the caller gives up.
+    /// Deadline of the complete answer.
     pub deadline: Instant,
-    /// First output token that the caller lacks.
+    /// Index of the first output token to send to the caller.
     pub resume_from: u64,
 }
 
-/// Where an answer comes from.
+/// Source of an answer.
 #[derive(Clone, Debug, Default)]
 pub struct Origin {
-    /// Engine.
+    /// Engine that accepted the request first.
     pub engine: EngineId,
-    /// Prompt tokens that the engine found in its cache.
+    /// Prompt tokens that were cached on the engine.
     pub cached_tokens: u64,
 }
 
-/// A piece of an answer as callers get it.
+/// A piece of a relayed answer.
 #[derive(Clone, Debug)]
 pub enum Piece {
-    /// A chunk that continues the answer.
+    /// The next chunk of the answer.
     Chunk(Box<Chunk>),
     /// The answer is complete.
     Done,
@@ -57,13 +57,13 @@
 }
 
 impl ChatJob {
-    /// What is asked, as the same request asks it again.
-    pub(super) fn asked(&self) -> AskedRequest<'_> {
-        asked("POST", CHAT_PATH, &self.tenant, &self.chat.engine_body)
+    /// Content that identifies the request across retries.
+    pub(super) fn identity(&self) -> RequestIdentity<'_> {
+        request_identity("POST", CHAT_PATH, &self.tenant, &self.chat.engine_body)
     }
 
-    /// Time until the first token is due. An answer that has begun is only
-    /// bound by its deadline.
+    /// Returns the time left for the first token, or until the deadline of the complete answer
+    /// if the caller has already received tokens.
     pub(super) fn first_token_within(&self, progress: &Progress) -> Duration {
         let now = Instant::now();
         let left = self.deadline.saturating_duration_since(now);
@@ -75,26 +75,26 @@
     }
 }
 
-/// How far a request has come.
+/// Progress of a request over all its attempts.
 pub(super) struct Progress {
-    /// Engines that failed this request.
+    /// Engines on which an attempt failed.
     pub(super) excluded: Vec<EngineId>,
-    /// Attempts made.
+    /// Number of attempts made.
     pub(super) attempts: u32,
-    /// Next token that the caller lacks.
+    /// Index of the next output token to send to the caller.
     pub(super) next_index: u64,
-    /// Whether an engine may have run some of it.
+    /// Whether an engine may have run a part of the request.
     pub(super) may_have_run: bool,
 }
 
 impl Progress {
-    /// Nothing done yet.
+    /// Creates the progress of a request without attempts.
     pub(super) fn new(next_index: u64) -> Self {
         Progress { excluded: Vec::new(), attempts: 0, next_index, may_have_run: false }
     }
 
-    /// The error for a caller whose request no engine will take.
-    pub(super) fn refused(&self, refusal: Refusal) -> RequestError {
+    /// Returns the caller's error after routing found no usable engine.
+    pub(super) fn refusal_error(&self, refusal: Refusal) -> RequestError {
         if self.may_have_run {
             return RequestError::BackEndFailed;
         }
@@ -105,7 +105,8 @@
         }
     }
 
-    pub(super) fn given_up(&self) -> RequestError {
+    /// Returns the caller's error after a retry was denied.
+    pub(super) fn retry_denied_error(&self) -> RequestError {
         if self.may_have_run {
             return RequestError::BackEndFailed;
         }
--- a/crates/router/src/relay/mod.rs
+++ b/crates/router/src/relay/mod.rs
@@ -1,14 +1,13 @@
-//! Relays one chat completion: opens it on an engine, passes the pieces on in
-//! order, and continues on another engine when one fails.
+//! Relays one chat completion: opens it on an engine, forwards the chunks in order,
+//! and resumes on another engine when one fails.
 //!
-//! Chat completions may be repeated, and generation is deterministic for a
-//! prompt and weights, so an answer can go on elsewhere from the next token.
-//! The relay checks the number of every piece: a doubled piece is dropped, a
-//! missing one makes the relay ask again from the first token it lacks, and a
-//! piece with another request's id is never passed on. Each attempt has a
-//! request id of its own, so an answer that arrives late can't be taken for
-//! another one. A connection whose answer was not read to its end is closed
-//! and never used again.
+//! Generation is deterministic for a prompt and weights, so an answer can be resumed
+//! on another engine from the next token. The relay checks the token index of every
+//! chunk: duplicates are dropped, and a gap or a chunk with another request's id fails
+//! the attempt, which is then retried from the next token. Each attempt has its own
+//! request id, so that a late answer of an earlier attempt isn't mistaken for the
+//! current one. A connection whose answer was not read to its end is closed and not
+//! reused.
 
 mod answer;
 mod attempt;
@@ -23,42 +22,42 @@
 
 use self::attempt::{Attempt, AttemptError};
 use self::job::Progress;
-use self::opening::{ask_for_retry, open_attempt};
+use self::opening::{open_attempt, take_retry};
 use crate::error::RequestError;
-use crate::shared::Shared;
+use crate::router_state::RouterState;
 use crate::sse::{Chunk, Event, EventReader};
 
 pub use self::answer::{caller_event, collect};
 pub use self::job::{ChatJob, Origin, Piece};
 pub use self::opening::open;
 
-/// A relay under way.
+/// Relay of a chat completion that an engine has accepted.
 pub struct Relay {
-    shared: Arc<Shared>,
+    shared: Arc<RouterState>,
     job: ChatJob,
     attempt: Attempt,
     progress: Progress,
 }
 
 impl Relay {
-    /// Passes the answer on until it is complete, can't be completed, or the
-    /// receiver is gone.
+    /// Forwards the answer until it is complete, can't be completed, or the
+    /// receiver is closed.
     pub async fn run(mut self, pieces: mpsc::Sender<Piece>) {
         let end = loop {
-            match self.pump(&pieces).await {
-                Ok(Pumped::Complete) => {
+            match self.forward_stream(&pieces).await {
+                Ok(StreamEnd::Complete) => {
                     let id = self.job.request_id.to_string();
-                    self.shared.crashes.note_answered(&id, &self.job.asked());
+                    self.shared.crashes.record_completed(&id, &self.job.identity());
                     break Piece::Done;
                 }
-                Ok(Pumped::CallerLeft) => {
+                Ok(StreamEnd::CallerDisconnected) => {
                     log::info!("event=caller_left request={}", self.job.request_id);
                     return;
                 }
                 Err(AttemptError::Deadline) => {
                     break Piece::Failed(RequestError::DeadlinePassed);
                 }
-                Err(error) => match self.continue_elsewhere(error).await {
+                Err(error) => match self.resume_on_another_engine(error).await {
                     Ok(()) => {}
                     Err(error) => break Piece::Failed(error),
                 },
@@ -67,34 +66,37 @@
         let _ = pieces.send(end).await;
     }
 
-    async fn continue_elsewhere(&mut self, error: AttemptError) -> Result<(), RequestError> {
+    async fn resume_on_another_engine(&mut self, error: AttemptError) -> Result<(), RequestError> {
         if error == AttemptError::Broken {
             let id = self.job.request_id.to_string();
-            self.shared.crashes.note_cut(&id, &self.job.asked(), self.attempt.sent);
+            self.shared.crashes.record_interrupted(&id, &self.job.identity(), self.attempt.sent);
         }
         let engine = self.attempt.dispatch.decision.engine;
         self.progress.excluded.push(engine);
-        // Work has begun, so whatever later attempts say, the request has run.
+        // The engine had accepted the request, so it may have run whatever later attempts report.
         self.progress.may_have_run = true;
-        ask_for_retry(&self.shared, &self.job, &mut self.progress, engine, &error)?;
+        take_retry(&self.shared, &self.job, &mut self.progress, engine, &error)?;
         self.attempt = open_attempt(&self.shared, &self.job, &mut self.progress).await?;
         Ok(())
     }
 
-    async fn pump(&mut self, pieces: &mpsc::Sender<Piece>) -> Result<Pumped, AttemptError> {
+    async fn forward_stream(
+        &mut self,
+        pieces: &mpsc::Sender<Piece>,
+    ) -> Result<StreamEnd, AttemptError> {
         let mut reader = EventReader::default();
         let id = self.attempt.id.to_string();
         let mut finished = false;
         loop {
             let bytes = self.next_bytes(pieces).await?;
             let Some(bytes) = bytes else {
-                return Ok(Pumped::CallerLeft);
+                return Ok(StreamEnd::CallerDisconnected);
             };
             for event in reader.push(&bytes).map_err(|_| AttemptError::Invalid)? {
                 match event {
                     Event::Done if finished => {
                         self.attempt.cancel.disarm();
-                        return Ok(Pumped::Complete);
+                        return Ok(StreamEnd::Complete);
                     }
                     Event::Done => return Err(AttemptError::Invalid),
                     Event::Chunk(chunk) => {
@@ -102,8 +104,8 @@
                             return Err(AttemptError::Invalid);
                         }
                         finished |= chunk.finish_reason().is_some();
-                        if !self.pass_on(chunk, pieces).await {
-                            return Ok(Pumped::CallerLeft);
+                        if !self.forward_chunk(chunk, pieces).await {
+                            return Ok(StreamEnd::CallerDisconnected);
                         }
                     }
                 }
@@ -111,7 +113,7 @@
         }
     }
 
-    /// The next bytes of the engine, or `None` when the caller has left.
+    /// Returns the next bytes from the engine, or `None` when the caller has disconnected.
     async fn next_bytes(
         &mut self,
         pieces: &mpsc::Sender<Piece>,
@@ -128,12 +130,12 @@
         }
     }
 
-    /// Sends a chunk to the caller; false when the caller has left.
-    async fn pass_on(&mut self, chunk: Box<Chunk>, pieces: &mpsc::Sender<Piece>) -> bool {
+    /// Forwards a chunk to the caller. Returns false when the caller has disconnected.
+    async fn forward_chunk(&mut self, chunk: Box<Chunk>, pieces: &mpsc::Sender<Piece>) -> bool {
         let is_new = chunk.juniper.index == self.progress.next_index;
         let is_last = chunk.finish_reason().is_some();
         if is_new && self.progress.next_index == self.job.resume_from {
-            self.attempt.dispatch.first_token();
+            self.attempt.dispatch.record_first_token();
         }
         if !is_new && !is_last {
             return true;
@@ -145,7 +147,7 @@
     }
 }
 
-enum Pumped {
+enum StreamEnd {
     Complete,
-    CallerLeft,
+    CallerDisconnected,
 }
--- a/crates/router/src/relay/opening.rs
+++ b/crates/router/src/relay/opening.rs
@@ -1,4 +1,4 @@
-//! Opens a chat completion: chooses engines until one takes it.
+//! Opens a chat completion on an engine and decides on retries.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,13 +13,16 @@
 use super::job::{ChatJob, Origin, Progress};
 use crate::engines::Dispatch;
 use crate::error::RequestError;
-use crate::shared::Shared;
+use crate::router_state::RouterState;
 
-/// Shortest time in which another attempt makes sense.
+/// Minimum time left before the deadline for another attempt.
 const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(20);
 
-/// Opens the request on an engine. The error says truthfully whether anything ran.
-pub async fn open(shared: Arc<Shared>, job: ChatJob) -> Result<(Relay, Origin), RequestError> {
+/// Opens the request on an engine.
+///
+/// # Errors
+/// Fails when no engine accepts the request; [`RequestError::not_run`] holds only if none ran it.
+pub async fn open(shared: Arc<RouterState>, job: ChatJob) -> Result<(Relay, Origin), RequestError> {
     let mut progress = Progress::new(job.resume_from);
     let attempt = open_attempt(&shared, &job, &mut progress).await?;
     let origin = Origin {
@@ -37,17 +40,17 @@
     response.headers().get(name)?.to_str().ok()?.parse().ok()
 }
 
-/// Tries engines until one takes the request.
+/// Tries engines until one accepts the request.
 pub(super) async fn open_attempt(
-    shared: &Arc<Shared>,
+    shared: &Arc<RouterState>,
     job: &ChatJob,
     progress: &mut Progress,
 ) -> Result<Attempt, RequestError> {
     loop {
-        shared.crashes.check(&job.request_id.to_string(), &job.asked())?;
+        shared.crashes.check(&job.request_id.to_string(), &job.identity())?;
         let within = job.first_token_within(progress);
         let chosen = shared.plane.engines.choose(&job.plan, within, &progress.excluded);
-        let dispatch = chosen.map_err(|refusal| progress.refused(refusal))?;
+        let dispatch = chosen.map_err(|refusal| progress.refusal_error(refusal))?;
         let engine = dispatch.decision.engine;
         log_decision(job, &dispatch);
         progress.attempts += 1;
@@ -64,7 +67,7 @@
             AttemptError::Unreachable => shared.plane.engines.mark_down(engine),
             _ => {}
         }
-        ask_for_retry(shared, job, progress, engine, &error)?;
+        take_retry(shared, job, progress, engine, &error)?;
     }
 }
 
@@ -82,9 +85,9 @@
     );
 }
 
-/// Takes another attempt from the retry budget, or ends the request.
-pub(super) fn ask_for_retry(
-    shared: &Shared,
+/// Takes another attempt from the retry budget, or returns the caller's error.
+pub(super) fn take_retry(
+    shared: &RouterState,
     job: &ChatJob,
     progress: &mut Progress,
     engine: EngineId,
@@ -100,19 +103,19 @@
         job.request_id,
         progress.next_index
     );
-    let partly = progress.next_index > job.resume_from;
+    let partly_answered = progress.next_index > job.resume_from;
     let question = RetryQuestion {
         kind: TrafficKind::Chat,
-        outcome: if partly { AttemptOutcome::PartlyAnswered } else { outcome },
-        // Generation is deterministic, so an answer goes on at any token.
+        outcome: if partly_answered { AttemptOutcome::PartlyAnswered } else { outcome },
+        // Generation is deterministic, so an answer can be resumed from any token.
         resumable: true,
         attempts: progress.attempts,
         time_left: job.deadline.saturating_duration_since(Instant::now()),
         time_needed: MIN_ATTEMPT_TIME,
     };
-    shared.plane.engines.may_retry(&question).map_err(|denied| {
+    shared.plane.engines.take_retry(&question).map_err(|denied| {
         log::warn!("event=retry_denied request={} reason=\"{denied}\"", job.request_id);
-        progress.given_up()
+        progress.retry_denied_error()
     })?;
     shared.metrics.retries.with_label_values(&["chat"]).inc();
     Ok(())
--- a/crates/router/src/shared.rs
+++ b/crates/router/src/router_state.rs
@@ -1,4 +1,4 @@
-//! What all requests of one router share.
+//! State shared by all requests of one router.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -19,69 +19,74 @@
 use crate::metrics::Metrics;
 use crate::subscription::SettingsView;
 
-/// Without a quorum's confirmation for this long a router counts as cut off.
+/// Time without confirmation by a quorum after which a router counts as cut off from the control
+/// replicas.
 pub const CUT_OFF_AFTER: Duration = Duration::from_secs(5);
 
-/// Suggested pause when the router itself is full, in milliseconds.
+/// Retry delay suggested to callers when the router is at its limit of requests in flight, in
+/// milliseconds.
 const FULL_RETRY_MS: u64 = 500;
 
-/// Suggested pause when the settings are unavailable, in milliseconds.
+/// Retry delay suggested to callers when the settings are unavailable, in milliseconds.
 const SETTINGS_RETRY_MS: u64 = 1_000;
 
-/// Tokens that a request brings to the queue. The prompt's length would count
-/// what engines have cached as work, and refuse requests that cost nothing; the
-/// engine's choice refuses what can't meet its deadline.
+/// Prompt tokens counted at admission. Counting the prompt's length would refuse prompts that are
+/// cached on an engine; the routing decision refuses requests that can't meet their deadline.
 const NO_QUEUED_TOKENS: u32 = 0;
 
-/// Shared by all requests.
-pub struct Shared {
-    /// Settings of the process.
+/// State shared by all requests.
+pub struct RouterState {
+    /// Configuration of the process.
     pub config: Arc<RouterConfig>,
-    /// Settings, membership and shared engine knowledge.
+    /// Settings, membership and engine state.
     pub plane: ControlPlane,
-    /// Addresses of all back ends, and the load of servers.
+    /// Addresses of all back ends, and requests in flight at application and preview servers.
     pub back_ends: Arc<BackEnds>,
-    /// Client for all back ends.
+    /// HTTP client for all back ends.
     pub http: reqwest::Client,
-    /// Requests that end back ends.
+    /// Crash reports and quarantine checks.
     pub crashes: Arc<Crashes>,
     /// Metrics.
     pub metrics: Metrics,
-    /// Limits of tenants and services.
+    /// Admission limits of tenants and services.
     pub limits: Arc<Limits>,
-    /// Bounds the requests in flight.
+    /// Permits for requests in flight.
     pub slots: Arc<Semaphore>,
-    /// Set when a planned stop begins: the router says that it isn't ready, but still serves.
+    /// Set when a graceful shutdown starts: the router reports not ready, but still serves.
     pub stopping: AtomicBool,
-    /// Set a little later: new requests are refused.
+    /// Set shortly after `stopping`: new requests are refused.
     pub closed: AtomicBool,
-    /// When the process started.
+    /// Start time of the process.
     pub started: BootInstant,
 }
 
-impl Shared {
-    /// The settings in force now.
+impl RouterState {
+    /// Returns the settings in force.
     pub fn view(&self) -> SettingsView {
         self.plane.settings.borrow().clone()
     }
 
-    /// Time since a quorum last confirmed that the settings in force are the latest.
+    /// Returns the time since a quorum last confirmed that the settings in force are the latest,
+    /// or since the start if none has.
     pub fn settings_age(&self) -> Duration {
         let confirmed = self.plane.settings.borrow().confirmed_at.unwrap_or(self.started);
         confirmed.elapsed()
     }
 
-    /// Whether the router is taking new requests. Settings in force are not enough:
-    /// other tasks take the engines and addresses over from them, and a request that
-    /// came first would be refused for want of a back end.
+    /// Whether the router is ready for new requests. Requires that the engines and back ends of
+    /// the settings in force were applied, which happens in other tasks; earlier requests would
+    /// fail with [`RequestError::NoBackEnd`].
     pub fn is_ready(&self) -> bool {
         !self.stopping.load(Ordering::Acquire)
             && self.plane.engines.has_followed()
             && self.back_ends.has_followed()
     }
 
-    /// Takes a place among the requests in flight, or says at once why not.
-    pub fn enter(&self) -> Result<InFlight, RequestError> {
+    /// Counts a new request as in flight.
+    ///
+    /// # Errors
+    /// Fails when the router is stopping or full, or has no settings in force.
+    pub fn begin_request(&self) -> Result<InFlight, RequestError> {
         if self.closed.load(Ordering::Acquire) {
             return Err(RequestError::Stopping);
         }
@@ -95,7 +100,7 @@
         Ok(InFlight { gauge: self.metrics.in_flight.clone(), _admitted: None, _permit: permit })
     }
 
-    /// Holds a request to the rate and concurrency of its service.
+    /// Applies the rate and concurrency limits of the tenant and service to a request.
     pub fn admit(&self, in_flight: &mut InFlight, caller: &Caller) -> Result<(), RequestError> {
         let question = AdmissionQuestion {
             tenant: &caller.home.tenant,
@@ -109,7 +114,8 @@
         Ok(())
     }
 
-    /// Applies the tree's rule for traffic while cut off from the control replicas.
+    /// Refuses a request if the settings are too old, or if its service's policy is to refuse
+    /// requests while the router is cut off from the control replicas.
     pub fn check_cut_off(&self, settings: &EffectiveSettings) -> Result<(), RequestError> {
         let age = self.settings_age();
         let too_old = age.as_secs() > settings.max_settings_age_seconds;
@@ -121,7 +127,7 @@
     }
 }
 
-/// A request in flight; a planned stop waits until all are dropped.
+/// A request in flight, counted until dropped. A graceful shutdown waits for all of them.
 pub struct InFlight {
     gauge: prometheus::IntGauge,
     _admitted: Option<Admitted>,
--- a/crates/router/src/run.rs
+++ b/crates/router/src/run.rs
@@ -1,4 +1,4 @@
-//! Starts a router, serves until told to stop, and drains.
+//! Startup, serving and graceful shutdown of a router.
 
 use std::io;
 use std::net::SocketAddr;
@@ -17,37 +17,37 @@
 use crate::config::RouterConfig;
 use crate::control_plane::ControlPlane;
 use crate::crashes::{Crashes, follow_quarantine};
-use crate::faces;
-use crate::feeds;
+use crate::engine_pollers;
+use crate::http_api;
 use crate::limits::Limits;
 use crate::metrics::Metrics;
 use crate::reachability::Reachability;
+use crate::router_state::RouterState;
 use crate::settings_file::SettingsFileError;
-use crate::shared::Shared;
 use crate::subscription::SettingsView;
 
-/// Time within which a connection to a back end must stand.
+/// Timeout of connecting to a back end.
 const BACK_END_CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How often a planned stop looks whether all requests have ended.
-const DRAIN_POLL: Duration = Duration::from_millis(20);
+/// Time between checks for requests in flight during a graceful shutdown.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Time between `ready` going false and the listeners closing, so that load
-/// balancers see it first.
+/// Time between reporting not ready and refusing new requests, so that load
+/// balancers stop sending requests first.
 const READY_GRACE: Duration = Duration::from_millis(500);
 
-/// Longest wait for idle connections to close.
+/// Maximum wait for idle connections to close.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Why a router could not start or go on.
+/// Error that ends a router.
 #[derive(Debug, thiserror::Error)]
 pub enum RouterError {
-    /// A listener could not be opened.
+    /// A listener could not be bound.
     #[error("can't listen on {address}: {source}")]
     Listen {
-        /// Where.
+        /// Listen address.
         address: SocketAddr,
-        /// Why.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// The settings file is unusable.
@@ -56,21 +56,21 @@
     /// The cluster key is unusable.
     #[error(transparent)]
     ClusterKey(#[from] juniper_protocol::ClusterKeyError),
-    /// The HTTP client could not be made.
-    #[error("can't make the HTTP client: {0}")]
+    /// The HTTP client could not be created.
+    #[error("can't create the HTTP client: {0}")]
     Client(#[from] reqwest::Error),
     /// The metrics could not be registered.
     #[error("can't register metrics: {0}")]
     Metrics(#[from] prometheus::Error),
-    /// A face stopped serving.
-    #[error("serving failed: {0}")]
+    /// An HTTP server failed.
+    #[error("HTTP server failed: {0}")]
     Serve(io::Error),
-    /// Requests were still in flight when the time for a planned stop ran out.
+    /// Requests were still in flight at the timeout of a graceful shutdown.
     #[error("{in_flight} requests were still in flight after {seconds} s")]
     DrainTimedOut {
-        /// How many.
+        /// Number of requests in flight.
         in_flight: i64,
-        /// How long the stop waited, in seconds.
+        /// Drain timeout, in seconds.
         seconds: u64,
     },
 }
@@ -89,9 +89,9 @@
     let operators = listen(config.operator).await?;
     let shared = start(Arc::clone(&config)).await?;
     let (close, closed) = watch::channel(false);
-    let caller_face = serve(callers, faces::callers(Arc::clone(&shared)), closed.clone());
-    let operator_face = serve(operators, faces::operators(Arc::clone(&shared)), closed);
-    let faces = async { tokio::try_join!(caller_face, operator_face) };
+    let caller_server = serve(callers, http_api::caller_api(Arc::clone(&shared)), closed.clone());
+    let operator_server = serve(operators, http_api::operator_api(Arc::clone(&shared)), closed);
+    let servers = async { tokio::try_join!(caller_server, operator_server) };
     log::info!(
         "event=router_started node={} zone={} callers={} operators={}",
         config.node,
@@ -99,42 +99,42 @@
         config.caller,
         config.operator
     );
-    tokio::pin!(faces);
+    tokio::pin!(servers);
     let drain = async {
         stop.await;
         drain(&shared).await
     };
     tokio::pin!(drain);
     let drained = tokio::select! {
-        ended = &mut faces => return ended.map(|_| ()).map_err(RouterError::Serve),
+        ended = &mut servers => return ended.map(|_| ()).map_err(RouterError::Serve),
         drained = &mut drain => drained,
     };
     shared.plane.leave().await;
     let _ = close.send(true);
-    // Every answer has been sent; what is left are idle connections.
-    let _ = timeout(CLOSE_TIMEOUT, faces).await;
+    // All answers have been sent or the drain has timed out.
+    let _ = timeout(CLOSE_TIMEOUT, servers).await;
     log::info!("event=router_stopped node={}", config.node);
     drained
 }
 
-async fn start(config: Arc<RouterConfig>) -> Result<Arc<Shared>, RouterError> {
+async fn start(config: Arc<RouterConfig>) -> Result<Arc<RouterState>, RouterError> {
     let plane = ControlPlane::start(&config, &Reachability::default()).await?;
     let back_ends = Arc::new(BackEnds::default());
-    tokio::spawn(follow_back_ends(plane.settings.clone(), Arc::clone(&back_ends)));
+    tokio::spawn(apply_back_ends(plane.settings.clone(), Arc::clone(&back_ends)));
     let http =
         reqwest::Client::builder().connect_timeout(BACK_END_CONNECT_TIMEOUT).no_proxy().build()?;
-    tokio::spawn(feeds::follow_settings(
+    tokio::spawn(engine_pollers::follow_settings(
         plane.settings.clone(),
         plane.peers.clone(),
         http.clone(),
         Arc::clone(&plane.engines),
         Arc::clone(&plane.hub),
     ));
-    tokio::spawn(feeds::maintain(Arc::clone(&plane.engines)));
+    tokio::spawn(engine_pollers::maintain(Arc::clone(&plane.engines)));
     tokio::spawn(log_suspensions());
     let metrics = Metrics::new()?;
     let crashes = start_crash_watch(&config, &metrics, &plane, &back_ends);
-    Ok(Arc::new(Shared {
+    Ok(Arc::new(RouterState {
         crashes,
         plane,
         back_ends,
@@ -149,7 +149,7 @@
     }))
 }
 
-/// Follows the replicas for what all routers know of requests that end back ends.
+/// Starts the crash watch and its subscription to the control replicas' feed.
 fn start_crash_watch(
     config: &RouterConfig,
     metrics: &Metrics,
@@ -170,7 +170,8 @@
     Arc::new(Crashes::new(watch, key, config.node, known))
 }
 
-async fn follow_back_ends(mut view: watch::Receiver<SettingsView>, back_ends: Arc<BackEnds>) {
+/// Applies the back ends of each settings revision until the settings channel closes.
+async fn apply_back_ends(mut view: watch::Receiver<SettingsView>, back_ends: Arc<BackEnds>) {
     loop {
         let in_force = view.borrow_and_update().in_force.clone();
         back_ends.follow(&in_force);
@@ -182,17 +183,17 @@
 
 async fn serve(
     listener: TcpListener,
-    face: axum::Router,
+    api: axum::Router,
     mut closed: watch::Receiver<bool>,
 ) -> io::Result<()> {
     let closing = async move {
         let _ = closed.wait_for(|closed| *closed).await;
     };
-    axum::serve(listener, face).with_graceful_shutdown(closing).await
+    axum::serve(listener, api).with_graceful_shutdown(closing).await
 }
 
-/// Says that the router isn't ready, then refuses new requests and waits for those in flight.
-async fn drain(shared: &Shared) -> Result<(), RouterError> {
+/// Reports not ready, then refuses new requests and waits for those in flight.
+async fn drain(shared: &RouterState) -> Result<(), RouterError> {
     shared.stopping.store(true, Ordering::Release);
     log::info!("event=drain_started in_flight={}", shared.metrics.in_flight.get());
     sleep(READY_GRACE).await;
@@ -207,6 +208,6 @@
         if Instant::now() >= deadline {
             return Err(RouterError::DrainTimedOut { in_flight, seconds });
         }
-        sleep(DRAIN_POLL).await;
+        sleep(DRAIN_POLL_INTERVAL).await;
     }
 }
--- a/crates/router/src/settings_file.rs
+++ b/crates/router/src/settings_file.rs
@@ -1,7 +1,7 @@
-//! The last settings in force, kept on disk so that a restart serves at once.
+//! Settings in force on disk, so that a restarted router serves without the control replicas.
 //!
 //! The file is synced before its revision comes into force. A restarted router
-//! therefore never starts below a revision that it had in force.
+//! therefore never starts with an older revision than it had in force.
 
 use std::fs::{self, File};
 use std::io::Write;
@@ -24,31 +24,31 @@
     tree: SettingsTree,
 }
 
-/// Why the file could not be read or written.
+/// Error of reading or writing the settings file.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsFileError {
-    /// The disk failed.
+    /// An I/O error.
     #[error("settings file: {0}")]
     Io(#[from] std::io::Error),
-    /// The content does not match its checksum.
+    /// The content is truncated or doesn't match its checksum.
     #[error("settings file is damaged")]
     Damaged,
 }
 
-/// The settings file of one data folder.
+/// Settings file in a data folder.
 #[derive(Clone, Debug)]
 pub struct SettingsFile {
     folder: PathBuf,
 }
 
 impl SettingsFile {
-    /// Uses `folder`, which is made if absent.
+    /// Opens the settings file in `folder`, and creates the folder if missing.
     pub fn open(folder: &Path) -> Result<Self, SettingsFileError> {
         fs::create_dir_all(folder)?;
         Ok(SettingsFile { folder: folder.to_owned() })
     }
 
-    /// Reads the kept revision and tree; `None` if there is no file.
+    /// Reads the revision and tree. Returns `None` if the file doesn't exist.
     pub fn read(&self) -> Result<Option<(Revision, SettingsTree)>, SettingsFileError> {
         let bytes = match fs::read(self.folder.join(FILE_NAME)) {
             Ok(bytes) => bytes,
@@ -65,7 +65,7 @@
         Ok(Some((record.revision, record.tree)))
     }
 
-    /// Replaces the file and syncs it and its folder.
+    /// Replaces the file atomically and syncs it and its folder.
     pub fn write(&self, revision: Revision, tree: &SettingsTree) -> Result<(), SettingsFileError> {
         let record = Record { revision, tree: tree.clone() };
         let payload = juniper_protocol::message::encode(&record);
--- a/crates/router/src/sharing/mod.rs
+++ b/crates/router/src/sharing/mod.rs
@@ -1,9 +1,9 @@
-//! Engine knowledge shared with the other routers of the zone.
+//! Cache and load state of engines shared between the routers of a zone.
 //!
-//! [`SharingHub`] holds the pure [`Sharing`] state behind a lock, links to the
-//! routers of the zone, and the round that sends what changed. Every call may
-//! fail: a failed lookup only means less knowledge for one request, and a
-//! failed message makes the next one repeat everything.
+//! [`SharingHub`] contains the I/O-free [`Sharing`] state behind a mutex and the links to
+//! the routers of the zone, and sends changes in rounds. Calls may fail: after a failed
+//! lookup one request is routed without the peer's entries, and after a failed delivery
+//! the next message carries the complete state.
 
 mod rounds;
 mod service;
@@ -36,15 +36,14 @@
 pub use rounds::run_rounds;
 pub use service::serve;
 
-/// Longest wait for another router's answer: several round trips within a zone,
-/// and little beside the recomputation that a known prefix saves.
+/// Timeout of a lookup at another router: several round trips within a zone, and short
+/// compared to recomputing a cached prefix.
 const LOOKUP_TIMEOUT: Duration = Duration::from_millis(5);
 
-/// Time after the start in which a router learns which others there are: a join,
-/// and a few probes.
+/// Time after the start within which a router discovers the others: a join and a few probes.
 const GROUP_SETTLE_TIME: Duration = Duration::from_secs(4);
 
-/// Shares engine knowledge with the routers of the zone.
+/// Shares engine state with the routers of the zone.
 pub struct SharingHub {
     own: RouterLife,
     identity: PeerIdentity,
@@ -60,14 +59,14 @@
 struct State {
     sharing: Sharing,
     links: HashMap<RouterLife, Link>,
-    /// Serving states told by the followers of other engines.
-    told: HashMap<EngineId, ServingDigest>,
-    /// Whether engines have one follower each at present.
+    /// Serving states of engines that other routers follow.
+    peer_serving: HashMap<EngineId, ServingDigest>,
+    /// Whether each engine is currently followed by one router that shares its state.
     shared: bool,
 }
 
 impl SharingHub {
-    /// A hub that knows no other router yet.
+    /// Creates a hub without peers.
     pub fn new(
         own: RouterLife,
         config: &RouterConfig,
@@ -78,7 +77,7 @@
         let state = State {
             sharing: Sharing::new(own),
             links: HashMap::new(),
-            told: HashMap::new(),
+            peer_serving: HashMap::new(),
             shared: false,
         };
         SharingHub {
@@ -98,15 +97,15 @@
         self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Takes over the routers that are up; those of other zones are left out.
+    /// Sets the routers that are up, and ignores those of other zones.
     pub fn set_peers(&self, peers: &PeerView) {
         let zone = &self.identity.zone;
-        let near = peers.routers.iter().filter(|peer| peer.zone == *zone);
-        let members: Vec<(RouterLife, SocketAddr)> = near
+        let same_zone = peers.routers.iter().filter(|peer| peer.zone == *zone);
+        let members: Vec<(RouterLife, SocketAddr)> = same_zone
             .map(|peer| (RouterLife { node: peer.node, life: peer.life }, peer.address))
             .collect();
         let mut state = self.lock();
-        state.links.retain(|life, _| members.iter().any(|(member, _)| member == life));
+        state.links.retain(|linked, _| members.iter().any(|(member, _)| member == linked));
         for (member, address) in &members {
             let target = || LinkTarget {
                 address: *address,
@@ -117,27 +116,26 @@
             };
             state.links.entry(*member).or_insert_with(|| Link::spawn(target()));
         }
-        let lives = members.iter().map(|(member, _)| *member);
-        state.sharing.set_group(Group::new(lives.chain([self.own])));
+        let peers = members.iter().map(|(member, _)| *member);
+        state.sharing.set_group(Group::new(peers.chain([self.own])));
     }
 
-    /// Whether the router has been up long enough to know the others.
+    /// Whether the router has been up long enough to have discovered the others.
     pub fn is_settled(&self) -> bool {
         Instant::now() >= self.settled_at
     }
 
-    /// Waits until the router has been up long enough to know the others.
+    /// Waits until the router has been up long enough to have discovered the others.
     pub async fn settled(&self) {
         sleep_until(self.settled_at).await;
     }
 
-    /// How much is kept for sharing.
+    /// Returns the size of the shared state.
     pub fn size(&self) -> SharingSize {
         self.lock().sharing.size()
     }
 
-    /// Which engines this router reads, under the settings in force and the
-    /// present group.
+    /// Returns the engines that this router polls under `in_force` and the current group.
     pub fn follow_plan(&self, in_force: &InForce) -> FollowPlan {
         let mut state = self.lock();
         let (own_zone, other_zones) = in_force.engines_by_zone(&self.identity.zone);
@@ -153,8 +151,8 @@
         plan
     }
 
-    /// Passes on a load report of a followed engine.
-    pub fn load(&self, engine: EngineId, load: &EngineLoad) {
+    /// Publishes a load report of a followed engine.
+    pub fn publish_load(&self, engine: EngineId, load: &EngineLoad) {
         let serving = ServingDigest {
             engine,
             incarnation: load.incarnation,
@@ -174,33 +172,38 @@
         self.lock().sharing.load(serving, digest, self.engines.now());
     }
 
-    /// Passes on cache events of a followed engine.
-    pub fn cache_events(&self, engine: EngineId, life: Incarnation, events: &[CacheEvent]) {
-        self.lock().sharing.cache_events(engine, life, events);
+    /// Publishes cache events of a followed engine.
+    pub fn publish_cache_events(
+        &self,
+        engine: EngineId,
+        incarnation: Incarnation,
+        events: &[CacheEvent],
+    ) {
+        self.lock().sharing.cache_events(engine, incarnation, events);
     }
 
-    /// Passes on the whole cache of a followed engine.
-    pub fn cache_snapshot(&self, engine: EngineId, snapshot: &Snapshot) {
+    /// Publishes a cache snapshot of a followed engine.
+    pub fn publish_cache_snapshot(&self, engine: EngineId, snapshot: &Snapshot) {
         self.lock().sharing.cache_snapshot(engine, snapshot);
     }
 
-    /// Voids what others know of a followed engine's cache.
-    pub fn void_cache(&self, engine: EngineId) {
+    /// Invalidates the cache entries of a followed engine at the other routers.
+    pub fn invalidate_cache(&self, engine: EngineId) {
         self.lock().sharing.void_cache(engine);
     }
 
-    /// Tells the others that a followed engine doesn't answer.
+    /// Reports to the other routers that a followed engine doesn't answer.
     pub fn mark_down(&self, engine: EngineId) {
         self.lock().sharing.mark_down(engine);
     }
 
-    /// Another router follows the engine from now on, or nobody.
+    /// Stops publishing the state of an engine that this router no longer follows.
     pub fn unfollow(&self, engine: EngineId) {
         self.lock().sharing.unfollow(engine);
     }
 
-    /// What the routers of the zone know about the start of a prompt. Empty
-    /// while every router follows every engine.
+    /// Looks up engines that hold a prefix of a prompt at the routers of the zone. Returns nothing
+    /// while every router follows all engines itself.
     pub async fn holders(&self, blocks: &[BlockHash]) -> Vec<Holder> {
         let (mut questions, links) = {
             let state = self.lock();
@@ -217,7 +220,7 @@
         };
         let remote = questions.remote.clone();
         let answers =
-            join_all(remote.iter().zip(links).map(|(question, link)| ask(link, question)));
+            join_all(remote.iter().zip(links).map(|(question, link)| lookup(link, question)));
         for (question, answer) in remote.iter().zip(answers.await) {
             if let Some(holders) = answer {
                 questions.answer(question, holders);
@@ -226,36 +229,36 @@
         questions.holders().into_iter().map(as_holder).collect()
     }
 
-    /// Takes news from another router of the zone; returns the engines whose
+    /// Applies a message from another router of the zone. Returns the engines whose
     /// updates have a gap.
-    pub fn receive(&self, from: RouterLife, news: &ShareMessage) -> Vec<EngineId> {
+    pub fn apply_peer_message(&self, from: RouterLife, message: &ShareMessage) -> Vec<EngineId> {
         let mut reports = Vec::new();
         let mut down = Vec::new();
         let in_doubt = {
             let mut state = self.lock();
-            for serving in &news.serving {
+            for serving in &message.serving {
                 if !serving.up {
                     down.push(serving.engine);
                 }
-                state.told.insert(serving.engine, serving.clone());
+                state.peer_serving.insert(serving.engine, serving.clone());
             }
-            for digest in &news.loads {
-                if let Some(serving) = state.told.get(&digest.engine) {
+            for digest in &message.loads {
+                if let Some(serving) = state.peer_serving.get(&digest.engine) {
                     reports.push((digest.engine, engine_load(serving, digest)));
                 }
             }
-            state.sharing.receive(from, news).unwrap_or_else(|error| {
+            state.sharing.receive(from, message).unwrap_or_else(|error| {
                 log::error!("event=index_full peer={} reason=\"{error}\"", from.node);
                 Vec::new()
             })
         };
         down.into_iter().for_each(|engine| self.engines.mark_down(engine));
-        reports.iter().for_each(|(engine, load)| self.engines.report(*engine, load));
+        reports.iter().for_each(|(engine, load)| self.engines.apply_load_report(*engine, load));
         in_doubt
     }
 }
 
-async fn ask(
+async fn lookup(
     link: Option<Link>,
     question: &Question,
 ) -> Option<Vec<juniper_prefix_index::coarse::CheckpointHolders>> {
--- a/crates/router/src/sharing/rounds.rs
+++ b/crates/router/src/sharing/rounds.rs
@@ -1,4 +1,4 @@
-//! The round that sends each router of the zone what changed.
+//! Rounds that send changes to each router of the zone.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,10 +13,10 @@
 use crate::link::Link;
 use crate::peers::PeerView;
 
-/// Longest wait for a router to take a message.
+/// Timeout of delivering a message to a router.
 const DELIVERY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Follows the group and sends a round whenever one is due.
+/// Updates the group of routers and sends a round whenever one is due.
 pub async fn run_rounds(hub: Arc<SharingHub>, mut peers: watch::Receiver<PeerView>) {
     let mut last = Instant::now();
     loop {
@@ -57,11 +57,12 @@
             };
             messages.into_iter().map(with_link).collect()
         };
-        join_all(messages.into_iter().map(|(to, link, news)| self.deliver(to, link, news))).await;
+        join_all(messages.into_iter().map(|(to, link, message)| self.deliver(to, link, message)))
+            .await;
     }
 
-    async fn deliver(&self, to: RouterLife, link: Option<Link>, news: ShareMessage) {
-        let request = Request::Share { life: self.own.life, news };
+    async fn deliver(&self, to: RouterLife, link: Option<Link>, message: ShareMessage) {
+        let request = Request::Share { life: self.own.life, news: message };
         let reply = match link {
             Some(link) => link.call(request, DELIVERY_TIMEOUT).await.ok(),
             None => None,
--- a/crates/router/src/sharing/service.rs
+++ b/crates/router/src/sharing/service.rs
@@ -1,4 +1,4 @@
-//! The internal face for the other routers of the zone.
+//! Internal API for the other routers of the zone.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,16 +12,16 @@
 
 use super::SharingHub;
 
-/// Connections of other routers held at once; a zone has a few dozen routers.
+/// Maximum number of concurrent connections; a zone has a few dozen routers.
 const MAX_CONNECTIONS: usize = 256;
 
-/// Time within which a peer must prove the cluster key.
+/// Timeout of a peer's authentication by the cluster key.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Pause after the listener failed, for example for want of file descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+/// Delay after the listener failed to accept, for example without free file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Serves other routers for ever.
+/// Serves other routers until the task is aborted.
 pub async fn serve(hub: Arc<SharingHub>, listener: TcpListener) {
     let slots = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
@@ -34,7 +34,7 @@
             }
             Err(error) => {
                 log::warn!("event=accept_failed face=internal reason=\"{error}\"");
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -76,7 +76,7 @@
             Reply::Holders { checkpoints: hub.lock().sharing.lookup(&keys, now) }
         }
         Request::Share { life, news } => {
-            Reply::Shared { in_doubt: hub.receive(RouterLife { node, life }, &news) }
+            Reply::Shared { in_doubt: hub.apply_peer_message(RouterLife { node, life }, &news) }
         }
         _ => Reply::Refused(Refusal::NotAllowed),
     }
--- a/crates/router/src/sse.rs
+++ b/crates/router/src/sse.rs
@@ -1,14 +1,14 @@
-//! Server-sent events of an engine's answer, read piece by piece.
+//! Incremental parser of the server-sent events of an engine's answer.
 
 use serde::Deserialize;
 
-/// Longest accepted line; a longer one means that the engine is broken.
+/// Longest accepted line, in bytes.
 pub const MAX_LINE_BYTES: usize = 1 << 20;
 
-/// Text that ends a stream.
+/// Data of the event that ends a stream.
 const DONE: &str = "[DONE]";
 
-/// Why an engine's stream can't be read.
+/// Error in an engine's stream.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SseError {
     /// A line is longer than [`MAX_LINE_BYTES`].
@@ -19,55 +19,55 @@
     MalformedChunk,
 }
 
-/// One event.
+/// A parsed event.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A piece of the answer.
+    /// A chunk of the answer.
     Chunk(Box<Chunk>),
-    /// The engine has ended the stream properly.
+    /// The end of the stream.
     Done,
 }
 
-/// A piece of the answer with its place in it.
+/// A chunk of the answer with its position.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct Chunk {
-    /// Request id that the engine answers.
+    /// Id of the request that the engine answers.
     pub id: String,
-    /// Choices; engines send exactly one.
+    /// Choices, of which engines send exactly one.
     #[serde(default)]
     pub choices: Vec<Choice>,
-    /// Usage, on the last chunk.
+    /// Token usage, set on the last chunk.
     #[serde(default)]
     pub usage: Option<serde_json::Value>,
-    /// Where the piece stands in the answer.
-    pub juniper: Place,
+    /// Position in the answer.
+    pub juniper: Position,
 }
 
-/// The choice of a chunk.
+/// A choice of a chunk.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct Choice {
-    /// New text.
+    /// Text added by the chunk.
     #[serde(default)]
     pub delta: Delta,
-    /// Why the answer ended, on the last chunk.
+    /// Reason for the end of the answer, set on the last chunk.
     #[serde(default)]
     pub finish_reason: Option<String>,
 }
 
-/// New text of a chunk.
+/// Text added by a chunk.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 pub struct Delta {
-    /// The text.
+    /// Text.
     #[serde(default)]
     pub content: Option<String>,
 }
 
-/// Where a chunk stands in the answer.
+/// Position of a chunk in the answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
-pub struct Place {
-    /// Number of its first output token.
+pub struct Position {
+    /// Index of the first output token.
     pub index: u64,
-    /// Output tokens in it.
+    /// Number of output tokens.
     #[serde(default = "one")]
     pub count: u64,
 }
@@ -77,36 +77,36 @@
 }
 
 impl Chunk {
-    /// The new text.
+    /// Returns the text added by the chunk.
     pub fn text(&self) -> &str {
         self.choices.first().and_then(|choice| choice.delta.content.as_deref()).unwrap_or("")
     }
 
-    /// Why the answer ended, on the last chunk.
+    /// Returns the reason for the end of the answer if this is the last chunk.
     pub fn finish_reason(&self) -> Option<&str> {
         self.choices.first().and_then(|choice| choice.finish_reason.as_deref())
     }
 }
 
-/// Splits a byte stream into events; holds the unfinished rest.
+/// Splits a byte stream into events and buffers an incomplete line.
 #[derive(Debug, Default)]
 pub struct EventReader {
-    rest: Vec<u8>,
+    buffer: Vec<u8>,
 }
 
 impl EventReader {
-    /// Takes `bytes` and returns the events they complete, in order.
+    /// Appends `bytes` to the buffer and returns the completed events in order.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<Event>, SseError> {
-        self.rest.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
         let mut events = Vec::new();
         let mut start = 0;
-        while let Some(length) = self.rest[start..].iter().position(|byte| *byte == b'\n') {
-            let line = &self.rest[start..start + length];
+        while let Some(length) = self.buffer[start..].iter().position(|byte| *byte == b'\n') {
+            let line = &self.buffer[start..start + length];
             start += length + 1;
             events.extend(parse_line(line)?);
         }
-        self.rest.drain(..start);
-        if self.rest.len() > MAX_LINE_BYTES {
+        self.buffer.drain(..start);
+        if self.buffer.len() > MAX_LINE_BYTES {
             return Err(SseError::LineTooLong);
         }
         Ok(events)
