--- a/crates/router/src/subscription.rs
+++ b/crates/router/src/subscription.rs
@@ -1,8 +1,8 @@
-//! Keeps the settings in force up to date from the control replicas.
+//! Subscription to the settings of the control replicas.
 //!
-//! [`SettingsActor`] owns what is in force and is the only place that replaces
-//! it. The subscription task connects to one replica at a time, hands every
-//! push to the actor and reports what came into force.
+//! [`SettingsActor`] owns the settings in force and applies all changes to them. The
+//! subscription task connects to one replica at a time, forwards every push to the
+//! actor and reports to the replica which revision came into force.
 
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
@@ -23,76 +23,75 @@
 
 use crate::config::RouterConfig;
 use crate::control_client::ControlClient;
-use crate::in_force::{InForce, MissedRevision};
+use crate::in_force::{InForce, RevisionGap};
 use crate::reachability::Reachability;
 use crate::settings_file::{SettingsFile, SettingsFileError};
 
-/// A replica that says nothing for this long is taken for dead; it pushes
+/// Time without a message after which a replica counts as failed. Replicas push
 /// [`Push::Alive`] every second.
-const SILENCE_LIMIT: Duration = Duration::from_secs(4);
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Time within which a connection must stand; a replica that is cut off or
-/// frozen accepts none.
+/// Timeout of connecting to a replica.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Range of the pause before the next replica is tried, in milliseconds.
-const RECONNECT_PAUSE_MS: std::ops::Range<u64> = 50..400;
+/// Range of the random delay before the next replica is tried, in milliseconds.
+const RECONNECT_DELAY_MS: std::ops::Range<u64> = 50..400;
 
-/// Longest wait for a quorum to confirm the floor before it is asked again.
+/// Timeout of one query for the floor to a quorum.
 const FLOOR_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What requests see of the settings.
+/// Settings in force as published to requests.
 #[derive(Clone, Debug, Default)]
 pub struct SettingsView {
-    /// The settings in force.
+    /// Settings in force.
     pub in_force: Arc<InForce>,
-    /// When a quorum last confirmed that they are the latest, if ever.
+    /// Time when a quorum last confirmed that these settings are the latest.
     pub confirmed_at: Option<BootInstant>,
 }
 
-/// Why a push was not applied.
+/// Error of applying a push.
 #[derive(Debug, thiserror::Error)]
 pub enum ApplyError {
-    /// A revision is missing in between.
+    /// The push skips a revision.
     #[error(transparent)]
-    Missed(#[from] MissedRevision),
-    /// The settings file could not be written, so the revision must not come into force.
+    RevisionGap(#[from] RevisionGap),
+    /// The settings file could not be written, so the revision did not come into force.
     #[error(transparent)]
     File(#[from] SettingsFileError),
 }
 
-/// Time in which everything is read that lay in the socket when the machine woke up. Signs of life
-/// come once a second.
-const READ_AGAIN: Duration = Duration::from_millis(1_200);
+/// Time after a suspension of the machine within which keep-alives that were buffered in the socket
+/// are read. Replicas send one per second.
+const SOCKET_CATCH_UP_TIME: Duration = Duration::from_millis(1_200);
 
-/// Owns the settings in force.
+/// Actor that owns the settings in force.
 #[derive(Actor)]
 pub struct SettingsActor {
     view: watch::Sender<SettingsView>,
     file: Option<SettingsFile>,
-    /// Revisions below it never come into force: a quorum had confirmed it
-    /// when this process started without knowing what it had in force before.
+    /// Lowest revision that may come into force: the one restored from the settings file, or
+    /// without a file the latest one confirmed by a quorum at the start.
     floor: Option<Revision>,
-    /// Settings on their way up to the floor. A replica that still has every
-    /// change sends them one by one, also those below the floor.
+    /// Settings below the floor, to which deltas are applied until they reach it. A replica with
+    /// the complete history sends deltas below the floor one by one.
     staged: Option<Arc<InForce>>,
     suspensions: SuspensionWatch,
-    /// Until when signs of life confirm nothing, after a suspension.
+    /// Time until which keep-alives are ignored after a suspension.
     distrusted_until: Option<Instant>,
 }
 
 impl SettingsActor {
-    /// Starts from the settings file, if there is one.
+    /// Restores the settings from the settings file, if there is one.
     pub fn new(
         view: watch::Sender<SettingsView>,
         file: Option<SettingsFile>,
     ) -> Result<Self, SettingsFileError> {
-        let kept = match &file {
+        let restored = match &file {
             Some(file) => file.read()?,
             None => None,
         };
-        let floor = kept.as_ref().map(|(revision, _)| *revision);
-        if let Some((revision, tree)) = kept {
+        let floor = restored.as_ref().map(|(revision, _)| *revision);
+        if let Some((revision, tree)) = restored {
             log::info!("event=settings_restored revision={revision}");
             let in_force = Arc::new(InForce::new(revision, tree));
             view.send_modify(|view| view.in_force = in_force);
@@ -107,17 +106,17 @@
         })
     }
 
-    /// Whether a sign of life may have lain in the socket while the machine was suspended: nobody
-    /// knows how old it is.
-    fn may_be_old(&mut self) -> bool {
+    /// Whether a keep-alive received now may have been buffered in the socket during a suspension
+    /// of the machine, so that its age is unknown.
+    fn may_be_stale(&mut self) -> bool {
         let now = Instant::now();
         if self.suspensions.look().is_some() {
-            self.distrusted_until = Some(now + READ_AGAIN);
+            self.distrusted_until = Some(now + SOCKET_CATCH_UP_TIME);
         }
         self.distrusted_until.is_some_and(|until| now < until)
     }
 
-    fn put_in_force(&mut self, next: InForce) -> Result<Revision, ApplyError> {
+    fn bring_into_force(&mut self, next: InForce) -> Result<Revision, ApplyError> {
         if let Some(file) = &self.file {
             file.write(next.revision, next.tree())?;
         }
@@ -128,7 +127,7 @@
     }
 }
 
-/// Whether a floor is known.
+/// Query whether the floor is known.
 pub struct HasFloor;
 
 impl Message<HasFloor> for SettingsActor {
@@ -139,7 +138,7 @@
     }
 }
 
-/// Sets the floor that a quorum confirmed.
+/// Request to set the floor that a quorum confirmed.
 pub struct SetFloor(pub Revision);
 
 impl Message<SetFloor> for SettingsActor {
@@ -150,8 +149,8 @@
     }
 }
 
-/// A push from a control replica. The reply is the revision that came into
-/// force by it, if one did.
+/// Request to apply a push from a control replica. The reply is the revision that came into
+/// force, if any.
 pub struct ApplyPush(pub Push);
 
 impl Message<ApplyPush> for SettingsActor {
@@ -164,8 +163,8 @@
     ) -> Self::Reply {
         if let Push::Alive { committed, confirmed_ms } = &message.0 {
             let in_force = self.view.borrow().in_force.revision;
-            // A replica that is behind this router can't vouch for its settings.
-            if *committed >= in_force && !self.may_be_old() {
+            // A replica that is behind this router can't confirm that its settings are the latest.
+            if *committed >= in_force && !self.may_be_stale() {
                 let confirmed = BootInstant::now().before(Duration::from_millis(*confirmed_ms));
                 self.view
                     .send_modify(|view| view.confirmed_at = view.confirmed_at.max(Some(confirmed)));
@@ -180,9 +179,9 @@
         match self.floor {
             Some(floor) if next.revision >= floor => {
                 self.staged = None;
-                self.put_in_force(next).map(Some)
+                self.bring_into_force(next).map(Some)
             }
-            // Below the floor: wait for the changes up to it.
+            // Below the floor: keep applying deltas until it is reached.
             _ => {
                 self.staged = Some(Arc::new(next));
                 Ok(None)
@@ -191,14 +190,14 @@
     }
 }
 
-/// Why one subscription ended.
+/// Reason for the end of one subscription.
 #[derive(Debug, thiserror::Error)]
 enum SubscriptionEnd {
     #[error("can't connect: {0}")]
     Connect(#[from] juniper_protocol::HandshakeError),
     #[error("connection failed: {0}")]
     Frame(#[from] juniper_protocol::FrameError),
-    #[error("the replica fell silent")]
+    #[error("the replica did not answer in time")]
     Silent,
     #[error("the replica refused: {0}")]
     Refused(Refusal),
@@ -210,25 +209,25 @@
     Stopped,
 }
 
-/// What the subscription task works with.
+/// Arguments of the subscription task.
 pub struct SubscriptionArguments {
-    /// Settings of the process.
+    /// Configuration of the process.
     pub config: Arc<RouterConfig>,
-    /// Takes every push.
+    /// Actor that applies the pushes.
     pub settings: ActorRef<SettingsActor>,
-    /// Calls to the control replicas.
+    /// Client of the control replicas.
     pub control: Arc<ControlClient>,
-    /// The settings in force.
+    /// Settings in force.
     pub view: watch::Receiver<SettingsView>,
-    /// Counts bytes.
+    /// Byte counters.
     pub traffic: Arc<Traffic>,
-    /// Whom the node can reach.
+    /// Injected network partitions.
     pub reachability: Reachability,
 }
 
-/// Runs subscriptions one after another, for ever.
+/// Subscribes to one replica after another until the settings actor stops.
 pub async fn keep_subscribed(arguments: SubscriptionArguments) {
-    learn_floor(&arguments.settings, &arguments.control).await;
+    fetch_floor(&arguments.settings, &arguments.control).await;
     let replicas = replica_order(&arguments.config);
     for replica in replicas.iter().cycle() {
         let end = subscribe_once(replica, &arguments).await;
@@ -237,22 +236,22 @@
         if matches!(end, SubscriptionEnd::Stopped) {
             return;
         }
-        let asked_to_wait = match &end {
+        let retry_after_ms = match &end {
             SubscriptionEnd::Refused(Refusal::Overloaded { retry_after_ms }) => *retry_after_ms,
             _ => 0,
         };
-        sleep(Duration::from_millis(asked_to_wait) + reconnect_pause()).await;
+        sleep(Duration::from_millis(retry_after_ms) + reconnect_delay()).await;
     }
 }
 
-/// The jitter keeps a herd of restarted routers from arriving together.
-fn reconnect_pause() -> Duration {
-    Duration::from_millis(rand::rng().random_range(RECONNECT_PAUSE_MS))
+/// Returns a random delay, so that routers restarted together don't reconnect together.
+fn reconnect_delay() -> Duration {
+    Duration::from_millis(rand::rng().random_range(RECONNECT_DELAY_MS))
 }
 
-/// Without a settings file this process can't know which revision it had in
-/// force before, so it asks a quorum for the latest and starts no lower.
-async fn learn_floor(settings: &ActorRef<SettingsActor>, control: &ControlClient) {
+/// Sets the floor to the latest revision confirmed by a quorum, unless a settings file has set it.
+/// Keeps a router without a settings file from returning to an older revision after a restart.
+async fn fetch_floor(settings: &ActorRef<SettingsActor>, control: &ControlClient) {
     if settings.ask(HasFloor).await.unwrap_or(false) {
         return;
     }
@@ -265,12 +264,12 @@
             }
             Err(error) => log::warn!("event=floor_unconfirmed reason=\"{error}\""),
         }
-        sleep(reconnect_pause()).await;
+        sleep(reconnect_delay()).await;
     }
 }
 
-/// Own zone first; the rest in an order that differs between routers, so that
-/// subscriptions spread over the replicas.
+/// Returns the replicas of the own zone followed by the others, each in an order that differs
+/// between routers, so that subscriptions are spread over the replicas.
 fn replica_order(config: &RouterConfig) -> Vec<Peer> {
     let mut replicas = config.control.clone();
     replicas.sort_by_key(|peer| {
@@ -299,7 +298,7 @@
     connection.writer.send(&Frame::Request { call: 0, request }).await?;
     let mut call = 0;
     loop {
-        let received = timeout(SILENCE_LIMIT, connection.reader.receive()).await;
+        let received = timeout(SILENCE_TIMEOUT, connection.reader.receive()).await;
         if !arguments.reachability.allows(replica.address) {
             return Err(SubscriptionEnd::Silent);
         }
