--- a/crates/router/examples/settings_memory.rs
+++ b/crates/router/examples/settings_memory.rs
@@ -1,5 +1,5 @@
-//! Measures what the settings of many tenants cost a router: resident bytes and
-//! the time to put one change in force.
+//! Measures the resident memory of many tenants' settings in a router, and the time to
+//! apply one change.
 //!
 //! `cargo run --release -p juniper-router --example settings_memory -- TENANTS`
 
@@ -12,10 +12,10 @@
 };
 use juniper_types::{NameError, Revision, ServiceName, TenantName, ZoneName};
 
-/// Zones of the size designed for.
+/// Number of zones over which the tenants are spread.
 const ZONES: usize = 14;
 
-/// Changes put in force for the mean time.
+/// Number of changes over which the mean time is taken.
 const CHANGES: u64 = 20;
 
 fn resident_bytes() -> u64 {
@@ -48,7 +48,7 @@
         ChangeSet { edits: tenant_edits(number)?.to_vec() }.apply_to(&mut tree);
     }
     let mut in_force = InForce::new(Revision(1), tree);
-    let held = resident_bytes() - before;
+    let resident = resident_bytes() - before;
     let started = Instant::now();
     for revision in 2..2 + CHANGES {
         let change = ChangeSet { edits: tenant_edits(revision as usize)?.to_vec() };
@@ -57,13 +57,13 @@
             in_force = next;
         }
     }
-    let each = started.elapsed() / CHANGES as u32;
+    let mean_time = started.elapsed() / CHANGES as u32;
     let peak = resident_bytes() - before;
     println!(
-        "tenants={tenants} resident_bytes={held} bytes_per_tenant={} peak_bytes={peak} \
+        "tenants={tenants} resident_bytes={resident} bytes_per_tenant={} peak_bytes={peak} \
          change_us={}",
-        held / tenants as u64,
-        each.as_micros()
+        resident / tenants as u64,
+        mean_time.as_micros()
     );
     Ok(())
 }
--- a/crates/router/tests/readiness.rs
+++ b/crates/router/tests/readiness.rs
@@ -1,4 +1,4 @@
-//! A router is ready once its back ends are taken over from the settings in force.
+//! A router is ready once the back ends of the settings in force are applied.
 
 use juniper_router::backends::BackEnds;
 use juniper_router::engines::Engines;
@@ -11,20 +11,20 @@
 }
 
 #[test]
-fn engines_count_as_taken_over_only_from_settings_in_force() {
+fn engines_count_as_applied_only_from_settings_in_force() {
     let engines = Engines::new();
     assert!(!engines.has_followed());
     engines.follow(&settings(0));
-    assert!(!engines.has_followed(), "nothing is in force yet");
+    assert!(!engines.has_followed(), "revision 0 means that no settings are in force");
     engines.follow(&settings(1));
     assert!(engines.has_followed());
 }
 
 #[test]
-fn back_ends_count_as_taken_over_only_from_settings_in_force() {
+fn back_ends_count_as_applied_only_from_settings_in_force() {
     let back_ends = BackEnds::default();
     back_ends.follow(&settings(0));
-    assert!(!back_ends.has_followed(), "nothing is in force yet");
+    assert!(!back_ends.has_followed(), "revision 0 means that no settings are in force");
     back_ends.follow(&settings(1));
     assert!(back_ends.has_followed());
 }
--- a/crates/router/tests/subscription.rs
+++ b/crates/router/tests/subscription.rs
@@ -1,4 +1,4 @@
-//! What comes into force from pushes, with and without a floor.
+//! Tests of which pushed settings come into force, depending on the floor.
 
 use juniper_protocol::{Push, SettingsDelta};
 use juniper_router::subscription::{ApplyPush, SetFloor, SettingsActor, SettingsView};
@@ -30,11 +30,11 @@
     }
     let applied = actor.ask(ApplyPush(delta(3))).await.unwrap();
     assert_eq!(applied, Some(Revision(3)));
-    assert_eq!(view.borrow().in_force.tree().nodes.len(), 3, "no delta is left out");
+    assert_eq!(view.borrow().in_force.tree().nodes.len(), 3, "all deltas are applied");
 }
 
 #[tokio::test]
-async fn a_new_subscription_may_repeat_deltas_below_the_floor() {
+async fn repeated_deltas_of_a_new_subscription_are_ignored() {
     let (actor, view) = start();
     actor.ask(SetFloor(Revision(2))).await.unwrap();
     for revision in [1, 1, 2, 1, 2, 3] {
@@ -44,7 +44,7 @@
 }
 
 #[tokio::test]
-async fn a_snapshot_of_an_older_replica_never_comes_into_force() {
+async fn a_snapshot_below_the_floor_or_the_revision_in_force_is_ignored() {
     let (actor, view) = start();
     actor.ask(SetFloor(Revision(5))).await.unwrap();
     let snapshot =
@@ -57,7 +57,7 @@
 }
 
 #[tokio::test]
-async fn a_missing_delta_is_an_error() {
+async fn a_delta_that_skips_a_revision_is_an_error() {
     let (actor, _view) = start();
     actor.ask(SetFloor(Revision(0))).await.unwrap();
     actor.ask(ApplyPush(delta(1))).await.unwrap();
--- a/crates/router/tests/suspension.rs
+++ b/crates/router/tests/suspension.rs
@@ -1,6 +1,6 @@
-//! A router of the tree wakes up and finds signs of life in its socket that were sent while it slept.
+//! Keep-alives buffered during a suspension of the machine must not confirm the settings.
 //!
-//! A process of its own: the suspension holds for all that runs in it.
+//! Runs in a separate test binary because the simulated suspension affects the whole process.
 
 use std::time::Duration;
 
@@ -15,19 +15,19 @@
 const ALIVE: Push = Push::Alive { committed: Revision(0), confirmed_ms: 100 };
 
 #[tokio::test]
-async fn signs_of_life_that_came_during_a_suspension_confirm_nothing() {
+async fn keep_alives_buffered_during_a_suspension_dont_confirm_the_settings() {
     let (sender, view) = watch::channel(SettingsView::default());
     let actor = SettingsActor::spawn(SettingsActor::new(sender, None).unwrap());
     let age = || view.borrow().confirmed_at.expect("confirmed").elapsed();
     actor.ask(ApplyPush(ALIVE)).await.unwrap();
     assert!(age() < Duration::from_secs(1));
     suspend(Duration::from_secs(10));
-    // One a second lay in the socket.
+    // One keep-alive per second was buffered.
     for _ in 0..10 {
         actor.ask(ApplyPush(ALIVE)).await.unwrap();
     }
-    assert!(age() >= Duration::from_secs(10), "nobody knows how old they are");
+    assert!(age() >= Duration::from_secs(10), "the age of buffered keep-alives is unknown");
     sleep(Duration::from_millis(1_300)).await;
     actor.ask(ApplyPush(ALIVE)).await.unwrap();
-    assert!(age() < Duration::from_secs(1), "what comes later counts again");
+    assert!(age() < Duration::from_secs(1), "later keep-alives confirm the settings");
 }
