--- a/crates/router/src/applications.rs
+++ b/crates/router/src/applications.rs
@@ -224,12 +224,12 @@
 }
 
 fn outcome_of(answer: &Answer) -> ClaimOutcome {
-    let whole = answer.body.len() <= MAX_STORED_BODY_BYTES;
+    let is_complete = answer.body.len() <= MAX_STORED_BODY_BYTES;
     ClaimOutcome {
         status: answer.status,
         content_type: answer.content_type.clone(),
-        body: if whole { answer.body.to_vec() } else { Vec::new() },
-        whole,
+        body: if is_complete { answer.body.to_vec() } else { Vec::new() },
+        whole: is_complete,
     }
 }
 
--- a/crates/router/src/engine_api.rs
+++ b/crates/router/src/engine_api.rs
@@ -37,7 +37,7 @@
     MalformedHash,
 }
 
-/// Load of an engine as measured `age_ms` ago.
+/// Load report of an engine, which describes the state `age_ms` ago.
 #[derive(Clone, Debug, Deserialize)]
 pub struct LoadReport {
     /// Incarnation of the engine.
