--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -8,8 +8,8 @@
 use juniper_protocol::ClusterKey;
 use juniper_router::RouterConfig;
 use juniper_router::control_plane::ControlPlane;
+use juniper_router::engine_observer::EngineObserver;
 use juniper_router::in_force::InForce;
-use juniper_router::knowledge::EngineKnowledge;
 use juniper_router::reachability::Reachability;
 use juniper_router::run::RouterError;
 use juniper_types::{BlockHash, EngineId, ModelName, NodeId};
@@ -156,7 +156,7 @@
 /// Plays the engines that the node follows, and looks up prompts that other
 /// engines of its zone hold.
 async fn feed(plane: Arc<ControlPlane>, node: u64, counters: Arc<Counters>) {
-    let mut engines: HashMap<EngineId, (SyntheticEngine, EngineKnowledge)> = HashMap::new();
+    let mut engines: HashMap<EngineId, (SyntheticEngine, EngineObserver)> = HashMap::new();
     let mut ticks = interval(EVENT_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut due = 0.0;
@@ -177,10 +177,10 @@
             follow(&plane, &in_force, &mut engines);
         }
         let mut prompts: Vec<(EngineId, Vec<BlockHash>)> = Vec::new();
-        for (engine, (synthetic, knowledge)) in &mut engines {
+        for (engine, (synthetic, observer)) in &mut engines {
             let events = synthetic.events(EVENT_INTERVAL);
-            let _ = knowledge.apply_events(synthetic.incarnation(), &events);
-            knowledge.note_load(&synthetic.load());
+            let _ = observer.apply_events(synthetic.incarnation(), &events);
+            observer.observe_load(&synthetic.load());
             prompts.push((*engine, synthetic.held_prompt()));
         }
         due += LOOKUPS_PER_SECOND * EVENT_INTERVAL.as_secs_f64();
@@ -215,28 +215,28 @@
 fn follow(
     plane: &Arc<ControlPlane>,
     in_force: &InForce,
-    engines: &mut HashMap<EngineId, (SyntheticEngine, EngineKnowledge)>,
+    engines: &mut HashMap<EngineId, (SyntheticEngine, EngineObserver)>,
 ) {
     plane.engines.follow(in_force);
     let plan = plane.hub.follow_plan(in_force);
-    engines.retain(|engine, (_, knowledge)| {
+    engines.retain(|engine, (_, observer)| {
         let keep = plan.followed.contains(engine);
         if !keep {
-            knowledge.stop_following(true);
+            observer.stop_following(true);
         }
         keep
     });
     for engine in plan.followed {
         engines.entry(engine).or_insert_with(|| {
             let hub = Some(Arc::clone(&plane.hub));
-            let knowledge = EngineKnowledge::new(engine, Arc::clone(&plane.engines), hub);
+            let observer = EngineObserver::new(engine, Arc::clone(&plane.engines), hub);
             let model = ModelName::new(juniper_settings::overrides::DEFAULT_MODEL);
             let model = model.unwrap_or_else(|_| unreachable!("the default is a valid name"));
             let life = unix_micros() / 1_000_000 * LIFE_STEP;
             let mut synthetic = SyntheticEngine::new(life + u64::from(engine.0), model);
-            knowledge.note_load(&synthetic.load());
-            knowledge.apply_snapshot(&synthetic.snapshot());
-            (synthetic, knowledge)
+            observer.observe_load(&synthetic.load());
+            observer.apply_snapshot(&synthetic.snapshot());
+            (synthetic, observer)
         });
     }
 }
--- a/crates/router/src/knowledge.rs
+++ b/crates/router/src/engine_observer.rs
@@ -12,7 +12,7 @@
 
 /// Applies and publishes observations of one engine.
 #[derive(Clone)]
-pub struct EngineKnowledge {
+pub struct EngineObserver {
     /// Id of the engine.
     pub engine: EngineId,
     engines: Arc<Engines>,
@@ -20,10 +20,10 @@
     hub: Option<Arc<SharingHub>>,
 }
 
-impl EngineKnowledge {
+impl EngineObserver {
     /// Observations of `engine` are published through `hub` if there is one.
     pub fn new(engine: EngineId, engines: Arc<Engines>, hub: Option<Arc<SharingHub>>) -> Self {
-        EngineKnowledge { engine, engines, hub }
+        EngineObserver { engine, engines, hub }
     }
 
     /// Returns the engine's incarnation in the index and the sequence of the last applied event.
@@ -32,7 +32,7 @@
     }
 
     /// Applies a load report.
-    pub fn note_load(&self, load: &EngineLoad) {
+    pub fn observe_load(&self, load: &EngineLoad) {
         self.engines.apply_load_report(self.engine, load);
         if let Some(hub) = &self.hub {
             hub.publish_load(self.engine, load);
@@ -48,7 +48,7 @@
     }
 
     /// Invalidates the cache entries if the weights have changed within an incarnation.
-    pub fn apply_weights(
+    pub fn observe_weights(
         &self,
         reported: (Incarnation, WeightsVersion),
         known: &mut Option<(Incarnation, WeightsVersion)>,
--- a/crates/router/src/engine_pollers.rs
+++ b/crates/router/src/engine_pollers.rs
@@ -20,9 +20,9 @@
 use tokio::time::{MissedTickBehavior, interval, sleep};
 
 use crate::engine_api::{EngineApi, EngineCallError, LoadReport};
+use crate::engine_observer::EngineObserver;
 use crate::engines::Engines;
 use crate::in_force::InForce;
-use crate::knowledge::EngineKnowledge;
 use crate::peers::PeerView;
 use crate::sharing::SharingHub;
 use crate::subscription::SettingsView;
@@ -69,7 +69,7 @@
 #[derive(Clone)]
 struct EngineReader {
     api: EngineApi,
-    knowledge: EngineKnowledge,
+    observer: EngineObserver,
 }
 
 impl Actor for EnginePoller {
@@ -94,7 +94,7 @@
         _reason: ActorStopReason,
     ) -> Result<(), Self::Error> {
         self.tasks.iter().for_each(JoinHandle::abort);
-        self.reader.knowledge.stop_following(self.with_events);
+        self.reader.observer.stop_following(self.with_events);
         Ok(())
     }
 }
@@ -124,8 +124,8 @@
             pollers.entry(key).or_insert_with(|| {
                 let api = EngineApi::new(http.clone(), key.address);
                 let hub = key.shared.then(|| Arc::clone(&hub));
-                let knowledge = EngineKnowledge::new(key.engine, Arc::clone(&engines), hub);
-                let reader = EngineReader { api, knowledge };
+                let observer = EngineObserver::new(key.engine, Arc::clone(&engines), hub);
+                let reader = EngineReader { api, observer };
                 EnginePoller::spawn(PollerArguments { key, reader })
             });
         }
@@ -171,7 +171,7 @@
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut failures = 0;
     let mut weights = None;
-    let engine = reader.knowledge.engine;
+    let engine = reader.observer.engine;
     loop {
         ticks.tick().await;
         let report = match reader.api.load().await {
@@ -180,7 +180,7 @@
                 failures += 1;
                 if failures == FAILURES_UNTIL_DOWN {
                     log::warn!("event=engine_down engine={engine} reason=\"{error}\"");
-                    reader.knowledge.mark_down();
+                    reader.observer.mark_down();
                 }
                 continue;
             }
@@ -189,8 +189,8 @@
             log::info!("event=engine_up engine={engine} incarnation={}", report.incarnation);
         }
         failures = 0;
-        reader.knowledge.apply_weights((report.incarnation, report.weights), &mut weights);
-        reader.knowledge.note_load(&engine_load(report));
+        reader.observer.observe_weights((report.incarnation, report.weights), &mut weights);
+        reader.observer.observe_load(&engine_load(report));
     }
 }
 
@@ -216,7 +216,7 @@
             Err(error) => {
                 log::debug!(
                     "event=event_poll_failed engine={} reason=\"{error}\"",
-                    reader.knowledge.engine
+                    reader.observer.engine
                 );
                 EVENT_RETRY_DELAY
             }
@@ -227,12 +227,12 @@
 
 impl EngineReader {
     async fn fetch_events(&self) -> Result<(), EngineCallError> {
-        let engine = self.knowledge.engine;
-        let Some((incarnation, after)) = self.knowledge.position() else {
+        let engine = self.observer.engine;
+        let Some((incarnation, after)) = self.observer.position() else {
             return self.fetch_snapshot().await;
         };
         let batch = self.api.events(incarnation, after).await?;
-        match self.knowledge.apply_events(batch.incarnation, &batch.events) {
+        match self.observer.apply_events(batch.incarnation, &batch.events) {
             Some(EventOutcome::Gap { missing }) => {
                 log::info!("event=cache_event_gap engine={engine} missing={missing}");
                 self.fetch_snapshot().await
@@ -250,11 +250,11 @@
         let snapshot = self.api.snapshot().await?;
         log::debug!(
             "event=cache_snapshot engine={} sequence={} blocks={}",
-            self.knowledge.engine,
+            self.observer.engine,
             snapshot.sequence,
             snapshot.blocks.len()
         );
-        self.knowledge.apply_snapshot(&snapshot);
+        self.observer.apply_snapshot(&snapshot);
         Ok(())
     }
 }
