--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -217,7 +217,7 @@
     in_force: &InForce,
     engines: &mut HashMap<EngineId, (SyntheticEngine, EngineObserver)>,
 ) {
-    plane.engines.follow(in_force);
+    plane.engines.apply_settings(in_force);
     let plan = plane.hub.follow_plan(in_force);
     engines.retain(|engine, (_, observer)| {
         let keep = plan.followed.contains(engine);
--- a/crates/router/src/backends.rs
+++ b/crates/router/src/backends.rs
@@ -77,7 +77,7 @@
     }
 
     /// Applies the back ends of new settings and keeps the counts of requests in flight.
-    pub fn follow(&self, in_force: &InForce) {
+    pub fn apply_settings(&self, in_force: &InForce) {
         let mut table = self.lock();
         let mut next = BTreeMap::new();
         for (zone, back_end) in in_force.back_ends() {
@@ -99,7 +99,7 @@
     }
 
     /// Whether back ends from a nonzero settings revision were applied.
-    pub fn has_followed(&self) -> bool {
+    pub fn has_applied_settings(&self) -> bool {
         self.has_settings.load(Ordering::Acquire)
     }
 
--- a/crates/router/src/engine_pollers.rs
+++ b/crates/router/src/engine_pollers.rs
@@ -111,7 +111,7 @@
     loop {
         let in_force = view.borrow_and_update().in_force.clone();
         hub.set_peers(&peers.borrow_and_update().clone());
-        engines.follow(&in_force);
+        engines.apply_settings(&in_force);
         let wanted = wanted_pollers(&in_force, &hub);
         pollers.retain(|key, poller| {
             let keep = wanted.contains(key);
--- a/crates/router/src/engines.rs
+++ b/crates/router/src/engines.rs
@@ -161,7 +161,7 @@
     }
 
     /// Applies the engines of new settings.
-    pub fn follow(&self, in_force: &InForce) {
+    pub fn apply_settings(&self, in_force: &InForce) {
         let mut state = self.lock();
         let mut configured = Vec::new();
         for (zone, back_end) in in_force.back_ends() {
@@ -188,7 +188,7 @@
     }
 
     /// Whether engines from a nonzero settings revision were applied.
-    pub fn has_followed(&self) -> bool {
+    pub fn has_applied_settings(&self) -> bool {
         self.lock().applied_revision.0 > 0
     }
 
--- a/crates/router/src/router_state.rs
+++ b/crates/router/src/router_state.rs
@@ -78,8 +78,8 @@
     /// fail with [`RequestError::NoBackEnd`].
     pub fn is_ready(&self) -> bool {
         !self.stopping.load(Ordering::Acquire)
-            && self.plane.engines.has_followed()
-            && self.back_ends.has_followed()
+            && self.plane.engines.has_applied_settings()
+            && self.back_ends.has_applied_settings()
     }
 
     /// Counts a new request as in flight.
--- a/crates/router/src/run.rs
+++ b/crates/router/src/run.rs
@@ -174,7 +174,7 @@
 async fn apply_back_ends(mut view: watch::Receiver<SettingsView>, back_ends: Arc<BackEnds>) {
     loop {
         let in_force = view.borrow_and_update().in_force.clone();
-        back_ends.follow(&in_force);
+        back_ends.apply_settings(&in_force);
         if view.changed().await.is_err() {
             return;
         }
--- a/crates/router/tests/readiness.rs
+++ b/crates/router/tests/readiness.rs
@@ -13,18 +13,18 @@
 #[test]
 fn engines_count_as_applied_only_from_settings_in_force() {
     let engines = Engines::new();
-    assert!(!engines.has_followed());
-    engines.follow(&settings(0));
-    assert!(!engines.has_followed(), "revision 0 means that no settings are in force");
-    engines.follow(&settings(1));
-    assert!(engines.has_followed());
+    assert!(!engines.has_applied_settings());
+    engines.apply_settings(&settings(0));
+    assert!(!engines.has_applied_settings(), "revision 0 means that no settings are in force");
+    engines.apply_settings(&settings(1));
+    assert!(engines.has_applied_settings());
 }
 
 #[test]
 fn back_ends_count_as_applied_only_from_settings_in_force() {
     let back_ends = BackEnds::default();
-    back_ends.follow(&settings(0));
-    assert!(!back_ends.has_followed(), "revision 0 means that no settings are in force");
-    back_ends.follow(&settings(1));
-    assert!(back_ends.has_followed());
+    back_ends.apply_settings(&settings(0));
+    assert!(!back_ends.has_applied_settings(), "revision 0 means that no settings are in force");
+    back_ends.apply_settings(&settings(1));
+    assert!(back_ends.has_applied_settings());
 }
