--- a/crates/lab/src/prove/configuration/router.rs
+++ b/crates/lab/src/prove/configuration/router.rs
@@ -106,7 +106,7 @@
         for push in self.pushes(&state) {
             let next = match self.planted {
                 Some(Planted::StaleRevisionApplied) => obey(push),
-                _ => self.in_force.after(push).unwrap_or_default(),
+                _ => self.in_force.after_push(push).unwrap_or_default(),
             };
             if let Some(next) = next.filter(|next| next.revision >= floor) {
                 self.put_in_force(bench, next);
--- a/crates/router/examples/settings_memory.rs
+++ b/crates/router/examples/settings_memory.rs
@@ -53,7 +53,7 @@
     for revision in 2..2 + CHANGES {
         let change = ChangeSet { edits: tenant_edits(revision as usize)?.to_vec() };
         let delta = SettingsDelta { revision: Revision(revision), change };
-        if let Ok(Some(next)) = in_force.after(Push::Delta(delta)) {
+        if let Ok(Some(next)) = in_force.after_push(Push::Delta(delta)) {
             in_force = next;
         }
     }
--- a/crates/router/src/in_force.rs
+++ b/crates/router/src/in_force.rs
@@ -56,7 +56,7 @@
     }
 
     /// Returns the settings after `push`, or `None` if `push` isn't newer than these.
-    pub fn after(&self, push: Push) -> Result<Option<InForce>, RevisionGap> {
+    pub fn after_push(&self, push: Push) -> Result<Option<InForce>, RevisionGap> {
         match push {
             Push::Snapshot { revision, tree } if revision > self.revision => {
                 Ok(Some(InForce::new(revision, tree)))
--- a/crates/router/src/subscription.rs
+++ b/crates/router/src/subscription.rs
@@ -173,7 +173,7 @@
         }
         let staged = self.staged.clone();
         let current = staged.unwrap_or_else(|| self.view.borrow().in_force.clone());
-        let Some(next) = current.after(message.0)? else {
+        let Some(next) = current.after_push(message.0)? else {
             return Ok(None);
         };
         match self.floor {
