--- a/crates/lab/src/prove/configuration/router.rs
+++ b/crates/lab/src/prove/configuration/router.rs
@@ -4,7 +4,7 @@
 
 use juniper_control_state::ControlState;
 use juniper_protocol::{Push, SettingsDelta};
-use juniper_router::in_force::InForce;
+use juniper_router::in_force::SettingsInForce;
 use juniper_settings::SettingsTree;
 use juniper_settings::validated::to_change_set;
 use juniper_simulation::{Bench, Call, MILLI, Planted, Reply, Request};
@@ -25,7 +25,7 @@
     /// Whether it keeps what is in force over a restart.
     has_disk: bool,
     kept: Option<(Revision, SettingsTree)>,
-    in_force: InForce,
+    in_force: SettingsInForce,
     /// Lowest revision that may come into force in this life, once known.
     floor: Option<Revision>,
     /// Number of the last question; only its answer counts.
@@ -41,7 +41,7 @@
             planted,
             has_disk: client.is_multiple_of(3),
             kept: None,
-            in_force: InForce::default(),
+            in_force: SettingsInForce::default(),
             floor: None,
             asked: 0,
             trail: Trail::new(),
@@ -82,8 +82,8 @@
 
     fn restart(&mut self, bench: &mut Bench) {
         self.in_force = match &self.kept {
-            Some((revision, tree)) => InForce::new(*revision, tree.clone()),
-            None => InForce::default(),
+            Some((revision, tree)) => SettingsInForce::new(*revision, tree.clone()),
+            None => SettingsInForce::default(),
         };
         self.floor = self.kept.as_ref().map(|(revision, _)| *revision);
         if self.planted == Some(Planted::FloorSkipped) {
@@ -134,7 +134,7 @@
         }
     }
 
-    fn put_in_force(&mut self, bench: &mut Bench, next: InForce) {
+    fn put_in_force(&mut self, bench: &mut Bench, next: SettingsInForce) {
         let revision = next.revision;
         bench.note(|| format!("router {} has {revision} in force", self.client));
         self.trail.push((revision, values_of(next.tree())));
@@ -146,9 +146,9 @@
 }
 
 /// The planted fault: whatever arrives comes into force.
-fn obey(push: Push) -> Option<InForce> {
+fn obey(push: Push) -> Option<SettingsInForce> {
     match push {
-        Push::Snapshot { revision, tree } => Some(InForce::new(revision, tree)),
+        Push::Snapshot { revision, tree } => Some(SettingsInForce::new(revision, tree)),
         _ => None,
     }
 }
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -9,7 +9,7 @@
 use juniper_router::RouterConfig;
 use juniper_router::control_plane::ControlPlane;
 use juniper_router::engine_observer::EngineObserver;
-use juniper_router::in_force::InForce;
+use juniper_router::in_force::SettingsInForce;
 use juniper_router::reachability::Reachability;
 use juniper_router::run::RouterError;
 use juniper_types::{BlockHash, EngineId, ModelName, NodeId};
@@ -214,7 +214,7 @@
 /// Takes over engines that the group assigns to this node, and drops the others.
 fn follow(
     plane: &Arc<ControlPlane>,
-    in_force: &InForce,
+    in_force: &SettingsInForce,
     engines: &mut HashMap<EngineId, (SyntheticEngine, EngineObserver)>,
 ) {
     plane.engines.apply_settings(in_force);
--- a/crates/router/examples/settings_memory.rs
+++ b/crates/router/examples/settings_memory.rs
@@ -6,7 +6,7 @@
 use std::time::Instant;
 
 use juniper_protocol::{Push, SettingsDelta};
-use juniper_router::in_force::InForce;
+use juniper_router::in_force::SettingsInForce;
 use juniper_settings::{
     ApiKeyHash, ChangeSet, Edit, Overrides, SettingsNode, SettingsPath, SettingsTree,
 };
@@ -47,7 +47,7 @@
     for number in 0..tenants {
         ChangeSet { edits: tenant_edits(number)?.to_vec() }.apply_to(&mut tree);
     }
-    let mut in_force = InForce::new(Revision(1), tree);
+    let mut in_force = SettingsInForce::new(Revision(1), tree);
     let resident = resident_bytes() - before;
     let started = Instant::now();
     for revision in 2..2 + CHANGES {
--- a/crates/router/src/access.rs
+++ b/crates/router/src/access.rs
@@ -7,7 +7,7 @@
 use subtle::ConstantTimeEq;
 
 use crate::error::RequestError;
-use crate::in_force::{InForce, TenantHome};
+use crate::in_force::{SettingsInForce, TenantHome};
 
 /// Header with the service name of a request.
 pub const SERVICE_HEADER: &str = "x-service";
@@ -33,7 +33,7 @@
 
 /// Resolves the tenant and service of a request.
 pub fn authenticate(
-    in_force: &InForce,
+    in_force: &SettingsInForce,
     headers: &HeaderMap,
     kind: TrafficKind,
 ) -> Result<Caller, RequestError> {
--- a/crates/router/src/backends.rs
+++ b/crates/router/src/backends.rs
@@ -10,7 +10,7 @@
 use juniper_settings::BackEndKind;
 use juniper_types::{EngineId, ZoneName};
 
-use crate::in_force::InForce;
+use crate::in_force::SettingsInForce;
 
 /// Back end chosen for one attempt.
 #[derive(Clone, Debug)]
@@ -77,7 +77,7 @@
     }
 
     /// Applies the back ends of new settings and keeps the counts of requests in flight.
-    pub fn apply_settings(&self, in_force: &InForce) {
+    pub fn apply_settings(&self, in_force: &SettingsInForce) {
         let mut table = self.lock();
         let mut next = BTreeMap::new();
         for (zone, back_end) in in_force.back_ends() {
--- a/crates/router/src/engine_pollers.rs
+++ b/crates/router/src/engine_pollers.rs
@@ -22,7 +22,7 @@
 use crate::engine_api::{EngineApi, EngineCallError, LoadReport};
 use crate::engine_observer::EngineObserver;
 use crate::engines::Engines;
-use crate::in_force::InForce;
+use crate::in_force::SettingsInForce;
 use crate::peers::PeerView;
 use crate::sharing::SharingHub;
 use crate::subscription::SettingsView;
@@ -140,7 +140,7 @@
     }
 }
 
-fn wanted_pollers(in_force: &InForce, hub: &SharingHub) -> HashSet<PollerKey> {
+fn wanted_pollers(in_force: &SettingsInForce, hub: &SharingHub) -> HashSet<PollerKey> {
     let plan = hub.follow_plan(in_force);
     let key = |back_end: &BackEnd| {
         let followed = plan.followed.contains(&back_end.id);
--- a/crates/router/src/engines.rs
+++ b/crates/router/src/engines.rs
@@ -25,7 +25,7 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, timeout};
 
-use crate::in_force::InForce;
+use crate::in_force::SettingsInForce;
 
 /// Retry budget before the first request sets its own, in percent of requests.
 const DEFAULT_RETRY_PERCENT: u8 = 10;
@@ -161,7 +161,7 @@
     }
 
     /// Applies the engines of new settings.
-    pub fn apply_settings(&self, in_force: &InForce) {
+    pub fn apply_settings(&self, in_force: &SettingsInForce) {
         let mut state = self.lock();
         let mut configured = Vec::new();
         for (zone, back_end) in in_force.back_ends() {
--- a/crates/router/src/in_force.rs
+++ b/crates/router/src/in_force.rs
@@ -25,7 +25,7 @@
 
 /// One revision of the settings tree with an index of API keys.
 #[derive(Debug, Default)]
-pub struct InForce {
+pub struct SettingsInForce {
     /// Revision of the tree; zero if no settings are in force.
     pub revision: Revision,
     tree: SettingsTree,
@@ -42,7 +42,7 @@
     pub received: Revision,
 }
 
-impl InForce {
+impl SettingsInForce {
     /// Builds the index of `tree` at `revision`.
     pub fn new(revision: Revision, tree: SettingsTree) -> Self {
         let mut tenants_by_key = HashMap::new();
@@ -52,14 +52,14 @@
                 tenants_by_key.insert(key.clone(), home);
             }
         }
-        InForce { revision, tree, tenants_by_key }
+        SettingsInForce { revision, tree, tenants_by_key }
     }
 
     /// Returns the settings after `push`, or `None` if `push` isn't newer than these.
-    pub fn after_push(&self, push: Push) -> Result<Option<InForce>, RevisionGap> {
+    pub fn after_push(&self, push: Push) -> Result<Option<SettingsInForce>, RevisionGap> {
         match push {
             Push::Snapshot { revision, tree } if revision > self.revision => {
-                Ok(Some(InForce::new(revision, tree)))
+                Ok(Some(SettingsInForce::new(revision, tree)))
             }
             Push::Delta(delta) if delta.revision > self.revision => {
                 if delta.revision.0 != self.revision.0 + 1 {
@@ -67,7 +67,7 @@
                 }
                 let mut tree = self.tree.clone();
                 delta.change.apply_to(&mut tree);
-                Ok(Some(InForce::new(delta.revision, tree)))
+                Ok(Some(SettingsInForce::new(delta.revision, tree)))
             }
             _ => Ok(None),
         }
--- a/crates/router/src/sharing/mod.rs
+++ b/crates/router/src/sharing/mod.rs
@@ -28,7 +28,7 @@
 
 use crate::config::RouterConfig;
 use crate::engines::Engines;
-use crate::in_force::InForce;
+use crate::in_force::SettingsInForce;
 use crate::link::{Link, LinkTarget};
 use crate::peers::PeerView;
 use crate::reachability::Reachability;
@@ -136,7 +136,7 @@
     }
 
     /// Returns the engines that this router polls under `in_force` and the current group.
-    pub fn follow_plan(&self, in_force: &InForce) -> FollowPlan {
+    pub fn follow_plan(&self, in_force: &SettingsInForce) -> FollowPlan {
         let mut state = self.lock();
         let (own_zone, other_zones) = in_force.engines_by_zone(&self.identity.zone);
         let plan = FollowPlan::new(
--- a/crates/router/src/subscription.rs
+++ b/crates/router/src/subscription.rs
@@ -23,7 +23,7 @@
 
 use crate::config::RouterConfig;
 use crate::control_client::ControlClient;
-use crate::in_force::{InForce, RevisionGap};
+use crate::in_force::{RevisionGap, SettingsInForce};
 use crate::reachability::Reachability;
 use crate::settings_file::{SettingsFile, SettingsFileError};
 
@@ -44,7 +44,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct SettingsView {
     /// Settings in force.
-    pub in_force: Arc<InForce>,
+    pub in_force: Arc<SettingsInForce>,
     /// Time when a quorum last confirmed that these settings are the latest.
     pub confirmed_at: Option<BootInstant>,
 }
@@ -74,7 +74,7 @@
     floor: Option<Revision>,
     /// Settings below the floor, to which deltas are applied until they reach it. A replica with
     /// the complete history sends deltas below the floor one by one.
-    staged: Option<Arc<InForce>>,
+    staged: Option<Arc<SettingsInForce>>,
     suspensions: SuspensionWatch,
     /// Time until which keep-alives are ignored after a suspension.
     distrusted_until: Option<Instant>,
@@ -93,7 +93,7 @@
         let floor = restored.as_ref().map(|(revision, _)| *revision);
         if let Some((revision, tree)) = restored {
             log::info!("event=settings_restored revision={revision}");
-            let in_force = Arc::new(InForce::new(revision, tree));
+            let in_force = Arc::new(SettingsInForce::new(revision, tree));
             view.send_modify(|view| view.in_force = in_force);
         }
         Ok(SettingsActor {
@@ -116,7 +116,7 @@
         self.distrusted_until.is_some_and(|until| now < until)
     }
 
-    fn bring_into_force(&mut self, next: InForce) -> Result<Revision, ApplyError> {
+    fn bring_into_force(&mut self, next: SettingsInForce) -> Result<Revision, ApplyError> {
         if let Some(file) = &self.file {
             file.write(next.revision, next.tree())?;
         }
--- a/crates/router/tests/readiness.rs
+++ b/crates/router/tests/readiness.rs
@@ -2,12 +2,12 @@
 
 use juniper_router::backends::BackEnds;
 use juniper_router::engines::Engines;
-use juniper_router::in_force::InForce;
+use juniper_router::in_force::SettingsInForce;
 use juniper_settings::SettingsTree;
 use juniper_types::Revision;
 
-fn settings(revision: u64) -> InForce {
-    InForce::new(Revision(revision), SettingsTree::default())
+fn settings(revision: u64) -> SettingsInForce {
+    SettingsInForce::new(Revision(revision), SettingsTree::default())
 }
 
 #[test]
