--- a/crates/router/src/applications.rs
+++ b/crates/router/src/applications.rs
@@ -85,26 +85,26 @@
 }
 
 /// Serves `POST /apply/...` with at-most-once execution.
-pub async fn apply(State(shared): State<Arc<RouterState>>, request: Request) -> Response {
-    let result = serve_at_most_once(&shared, request).await;
-    into_counted_response(&shared, "at_most_once", result)
+pub async fn apply(State(state): State<Arc<RouterState>>, request: Request) -> Response {
+    let result = serve_at_most_once(&state, request).await;
+    into_counted_response(&state, "at_most_once", result)
 }
 
 /// Serves `GET /board/...`, which is safe to retry.
-pub async fn board(State(shared): State<Arc<RouterState>>, request: Request) -> Response {
-    let result = serve_repeatable(&shared, request).await;
-    into_counted_response(&shared, "repeatable", result)
+pub async fn board(State(state): State<Arc<RouterState>>, request: Request) -> Response {
+    let result = serve_repeatable(&state, request).await;
+    into_counted_response(&state, "repeatable", result)
 }
 
 async fn accept(
-    shared: &RouterState,
+    state: &RouterState,
     request: Request,
     kind: TrafficKind,
 ) -> Result<(Caller, ForwardedRequest), RequestError> {
-    let view = shared.view();
+    let view = state.view();
     let (parts, body) = request.into_parts();
     let caller = authenticate(&view.in_force, &parts.headers, kind)?;
-    shared.check_cut_off(&caller.settings)?;
+    state.check_cut_off(&caller.settings)?;
     let body = read_body(body, caller.settings.max_body_bytes).await?;
     let path = parts.uri.path_and_query().map_or("/", |path| path.as_str()).to_owned();
     let forward = ForwardedRequest {
@@ -133,13 +133,13 @@
 }
 
 async fn serve_at_most_once(
-    shared: &Arc<RouterState>,
+    state: &Arc<RouterState>,
     request: Request,
 ) -> Result<Response, RequestError> {
-    let mut in_flight = shared.begin_request()?;
+    let mut in_flight = state.begin_request()?;
     let started = Instant::now();
-    let (caller, forward) = accept(shared, request, TrafficKind::AtMostOnce).await?;
-    shared.admit(&mut in_flight, &caller)?;
+    let (caller, forward) = accept(state, request, TrafficKind::AtMostOnce).await?;
+    state.admit(&mut in_flight, &caller)?;
     let key_text = forward.key.clone().unwrap_or_default();
     let claim = Claim {
         tenant: caller.home.tenant.clone(),
@@ -150,11 +150,11 @@
         attempt: rand::random(),
     };
     let request_id = forward.request_id;
-    let mut response = match claim.acquire(&shared.plane.control).await? {
+    let mut response = match claim.acquire(&state.plane.control).await? {
         ClaimResult::Settled(outcome) => replay(outcome)?,
         ClaimResult::Granted => {
             // Runs to completion even if the caller disconnects, so that a retry finds the outcome.
-            let execution = tokio::spawn(execute(Arc::clone(shared), claim, forward, in_flight));
+            let execution = tokio::spawn(execute(Arc::clone(state), claim, forward, in_flight));
             let deadline = started + Duration::from_millis(caller.settings.deadline_ms);
             match timeout_at(deadline, execution).await {
                 Ok(Ok(result)) => result?.into_response(),
@@ -184,7 +184,7 @@
 
 /// Runs a claimed request at most once and records its outcome.
 async fn execute(
-    shared: Arc<RouterState>,
+    state: Arc<RouterState>,
     claim: Claim,
     forward: ForwardedRequest,
     _in_flight: InFlight,
@@ -193,23 +193,23 @@
     let deadline = Instant::now() + EXECUTION_LIMIT;
     loop {
         if let Err(error) =
-            shared.crashes.check(&forward.request_id.to_string(), &forward.identity())
+            state.crashes.check(&forward.request_id.to_string(), &forward.identity())
         {
-            claim.settle(&shared.plane.control, not_run_outcome(&error)).await;
+            claim.settle(&state.plane.control, not_run_outcome(&error)).await;
             return Err(error);
         }
-        let zone = &shared.config.zone;
-        let chosen = shared.back_ends.choose(BackEndKind::Application, zone, &excluded);
+        let zone = &state.config.zone;
+        let chosen = state.back_ends.choose(BackEndKind::Application, zone, &excluded);
         let Some(lease) = chosen else {
             let error = RequestError::NoBackEnd { retry_after_ms: NO_SERVER_RETRY_MS };
-            claim.settle(&shared.plane.control, not_run_outcome(&error)).await;
+            claim.settle(&state.plane.control, not_run_outcome(&error)).await;
             return Err(error);
         };
         excluded.push(lease.target.id);
-        match timeout_at(deadline, send(&shared, &lease, &forward)).await {
+        match timeout_at(deadline, send(&state, &lease, &forward)).await {
             Ok(Ok(answer)) => {
                 let outcome = outcome_of(&answer);
-                let control = Arc::clone(&shared.plane.control);
+                let control = Arc::clone(&state.plane.control);
                 tokio::spawn(async move { claim.settle(&control, outcome).await });
                 return Ok(answer);
             }
@@ -243,30 +243,30 @@
 }
 
 async fn serve_repeatable(
-    shared: &Arc<RouterState>,
+    state: &Arc<RouterState>,
     request: Request,
 ) -> Result<Response, RequestError> {
-    let mut in_flight = shared.begin_request()?;
+    let mut in_flight = state.begin_request()?;
     let started = Instant::now();
-    let (caller, forward) = accept(shared, request, TrafficKind::Repeatable).await?;
-    shared.admit(&mut in_flight, &caller)?;
+    let (caller, forward) = accept(state, request, TrafficKind::Repeatable).await?;
+    state.admit(&mut in_flight, &caller)?;
     let deadline = started + Duration::from_millis(caller.settings.deadline_ms);
     let mut excluded = Vec::new();
     let mut sent = false;
     while excluded.len() < MAX_ATTEMPTS {
-        shared.crashes.check(&forward.request_id.to_string(), &forward.identity())?;
-        let zone = &shared.config.zone;
-        let chosen = shared.back_ends.choose(BackEndKind::Application, zone, &excluded);
+        state.crashes.check(&forward.request_id.to_string(), &forward.identity())?;
+        let zone = &state.config.zone;
+        let chosen = state.back_ends.choose(BackEndKind::Application, zone, &excluded);
         let Some(lease) = chosen else { break };
         excluded.push(lease.target.id);
-        match timeout_at(deadline, send(shared, &lease, &forward)).await {
+        match timeout_at(deadline, send(state, &lease, &forward)).await {
             Ok(Ok(answer)) => return Ok(answer.into_response()),
             Ok(Err(ForwardError::Unreachable)) => {}
             Ok(Err(ForwardError::TooLarge)) => return Err(RequestError::BackEndFailed),
             Ok(Err(ForwardError::Broken)) => sent = true,
             Err(_) => return Err(RequestError::DeadlinePassed),
         }
-        shared.metrics.retries.with_label_values(&["application"]).inc();
+        state.metrics.retries.with_label_values(&["application"]).inc();
     }
     if sent {
         return Err(RequestError::BackEndFailed);
@@ -275,12 +275,12 @@
 }
 
 async fn send(
-    shared: &RouterState,
+    state: &RouterState,
     lease: &Lease,
     forward: &ForwardedRequest,
 ) -> Result<Answer, ForwardError> {
     let url = format!("http://{}{}", lease.target.address, forward.path);
-    let mut request = shared
+    let mut request = state
         .http
         .request(forward.method.clone(), url)
         .header(REQUEST_ID_HEADER, forward.request_id.to_string())
@@ -296,7 +296,7 @@
         back_end: lease.target.id,
         address: lease.target.address,
         incarnation: None,
-        sent_at: shared.crashes.now(),
+        sent_at: state.crashes.now(),
     };
     let answered = match request.send().await {
         Ok(response) => {
@@ -314,10 +314,10 @@
     let id = forward.request_id.to_string();
     match &answered {
         Ok(answer) if answer.status < 500 => {
-            shared.crashes.record_completed(&id, &forward.identity())
+            state.crashes.record_completed(&id, &forward.identity())
         }
         Err(ForwardError::Broken) => {
-            shared.crashes.record_interrupted(&id, &forward.identity(), sent)
+            state.crashes.record_interrupted(&id, &forward.identity(), sent)
         }
         _ => {}
     }
--- a/crates/router/src/crashes.rs
+++ b/crates/router/src/crashes.rs
@@ -188,7 +188,7 @@
 }
 
 /// Applies the quarantines recorded by the replicas to the crash watch until the feed ends.
-pub async fn follow_quarantine(feed: Feed, watch: Arc<CrashWatch>) {
+pub async fn apply_quarantines(feed: Feed, watch: Arc<CrashWatch>) {
     let mut view = feed.view();
     loop {
         let latest = Arc::clone(&view.borrow_and_update());
--- a/crates/router/src/engine_observer.rs
+++ b/crates/router/src/engine_observer.rs
@@ -21,7 +21,7 @@
 }
 
 impl EngineObserver {
-    /// Observations of `engine` are published through `hub` if there is one.
+    /// Creates an observer of `engine` that publishes through `hub` if there is one.
     pub fn new(engine: EngineId, engines: Arc<Engines>, hub: Option<Arc<SharingHub>>) -> Self {
         EngineObserver { engine, engines, hub }
     }
--- a/crates/router/src/engine_pollers.rs
+++ b/crates/router/src/engine_pollers.rs
@@ -100,7 +100,7 @@
 }
 
 /// Starts and stops pollers when the settings or the group of routers change.
-pub async fn follow_settings(
+pub async fn manage_pollers(
     mut view: watch::Receiver<SettingsView>,
     mut peers: watch::Receiver<PeerView>,
     http: reqwest::Client,
--- a/crates/router/src/error.rs
+++ b/crates/router/src/error.rs
@@ -70,7 +70,7 @@
     /// The request may have run and its answer isn't known.
     #[error("the request may have run; its outcome is unknown")]
     OutcomeUnknown,
-    /// The request is quarantined because it crashed back ends. It may have run before.
+    /// The request is quarantined because it crashed back ends; earlier attempts may have run.
     #[error("back ends ended under this request; it is sent to none any more")]
     Quarantined,
     /// The back end failed after it may have started the request.
--- a/crates/router/src/http_api.rs
+++ b/crates/router/src/http_api.rs
@@ -32,75 +32,75 @@
 const RESUME_HEADER: &str = "x-resume-from";
 
 /// Returns the routes of the caller API.
-pub fn caller_api(shared: Arc<RouterState>) -> AxumRouter {
+pub fn caller_api(state: Arc<RouterState>) -> AxumRouter {
     AxumRouter::new()
         .route("/v1/chat/completions", post(chat_completions))
         .route("/apply/{*path}", post(applications::apply))
         .route("/board/{*path}", get(applications::board))
         .route("/previews/{*path}", get(previews::preview))
-        .with_state(shared)
+        .with_state(state)
 }
 
 /// Returns the routes of the operator API.
-pub fn operator_api(shared: Arc<RouterState>) -> AxumRouter {
+pub fn operator_api(state: Arc<RouterState>) -> AxumRouter {
     AxumRouter::new()
         .route("/healthz", get(|| async { "ok\n" }))
         .route("/readyz", get(ready))
         .route("/metrics", get(metrics))
         .route("/v1/status", get(status))
-        .with_state(shared)
+        .with_state(state)
 }
 
-async fn ready(State(shared): State<Arc<RouterState>>) -> Response {
-    match shared.is_ready() {
+async fn ready(State(state): State<Arc<RouterState>>) -> Response {
+    match state.is_ready() {
         true => (StatusCode::OK, "ready\n").into_response(),
         false => (StatusCode::SERVICE_UNAVAILABLE, "not ready\n").into_response(),
     }
 }
 
-async fn metrics(State(shared): State<Arc<RouterState>>) -> Vec<u8> {
-    let revision = shared.view().in_force.revision.0;
-    shared.metrics.revision.set(i64::try_from(revision).unwrap_or(i64::MAX));
-    let age = shared.settings_age().as_millis();
-    shared.metrics.settings_age_ms.set(i64::try_from(age).unwrap_or(i64::MAX));
-    let traffic = &shared.plane.traffic;
-    let control = &shared.metrics.control_bytes;
+async fn metrics(State(state): State<Arc<RouterState>>) -> Vec<u8> {
+    let revision = state.view().in_force.revision.0;
+    state.metrics.revision.set(i64::try_from(revision).unwrap_or(i64::MAX));
+    let age = state.settings_age().as_millis();
+    state.metrics.settings_age_ms.set(i64::try_from(age).unwrap_or(i64::MAX));
+    let traffic = &state.plane.traffic;
+    let control = &state.metrics.control_bytes;
     let counted = [
         (control.with_label_values(&["in"]), traffic.received()),
         (control.with_label_values(&["out"]), traffic.sent()),
-        (shared.metrics.lookup_bytes.with_label_values(&["both"]), traffic.lookups()),
+        (state.metrics.lookup_bytes.with_label_values(&["both"]), traffic.lookups()),
     ];
     for (counter, bytes) in counted {
         counter.inc_by(bytes.saturating_sub(counter.get()));
     }
-    shared.metrics.render()
+    state.metrics.render()
 }
 
-async fn status(State(shared): State<Arc<RouterState>>, headers: HeaderMap) -> Response {
-    if !is_operator(&headers, &shared.config.operator_keys) {
+async fn status(State(state): State<Arc<RouterState>>, headers: HeaderMap) -> Response {
+    if !is_operator(&headers, &state.config.operator_keys) {
         return RequestError::Unauthenticated.into_response();
     }
     let body = json!({
-        "node": shared.config.node.0,
-        "zone": shared.config.zone.as_str(),
-        "ready": shared.is_ready(),
-        "revision": shared.view().in_force.revision.0,
-        "peers": shared.plane.peers.borrow().routers.iter().map(|peer| peer.node.0).collect::<Vec<_>>(),
-        "settings_age_ms": shared.settings_age().as_millis() as u64,
-        "in_flight": shared.metrics.in_flight.get(),
+        "node": state.config.node.0,
+        "zone": state.config.zone.as_str(),
+        "ready": state.is_ready(),
+        "revision": state.view().in_force.revision.0,
+        "peers": state.plane.peers.borrow().routers.iter().map(|peer| peer.node.0).collect::<Vec<_>>(),
+        "settings_age_ms": state.settings_age().as_millis() as u64,
+        "in_flight": state.metrics.in_flight.get(),
     });
     axum::Json(body).into_response()
 }
 
-async fn chat_completions(State(shared): State<Arc<RouterState>>, request: Request) -> Response {
+async fn chat_completions(State(state): State<Arc<RouterState>>, request: Request) -> Response {
     let started = Instant::now();
-    let result = serve_chat(Arc::clone(&shared), request, started).await;
-    into_counted_response(&shared, "chat", result)
+    let result = serve_chat(Arc::clone(&state), request, started).await;
+    into_counted_response(&state, "chat", result)
 }
 
 /// Counts the result of a request and converts an error into a response.
 pub(crate) fn into_counted_response(
-    shared: &RouterState,
+    state: &RouterState,
     kind: &str,
     result: Result<Response, RequestError>,
 ) -> Response {
@@ -108,7 +108,7 @@
         Ok(_) => "accepted",
         Err(error) => error.code(),
     };
-    shared.metrics.requests.with_label_values(&[kind, code]).inc();
+    state.metrics.requests.with_label_values(&[kind, code]).inc();
     result.unwrap_or_else(|error| {
         log::info!("event=request_refused kind={kind} code={code} reason=\"{error}\"");
         error.into_response()
@@ -116,15 +116,15 @@
 }
 
 async fn serve_chat(
-    shared: Arc<RouterState>,
+    state: Arc<RouterState>,
     request: Request,
     started: Instant,
 ) -> Result<Response, RequestError> {
-    let mut in_flight = shared.begin_request()?;
-    let view = shared.view();
+    let mut in_flight = state.begin_request()?;
+    let view = state.view();
     let (parts, body) = request.into_parts();
     let caller = authenticate(&view.in_force, &parts.headers, TrafficKind::Chat)?;
-    shared.check_cut_off(&caller.settings)?;
+    state.check_cut_off(&caller.settings)?;
     let request_id = request_id(&parts.headers)?;
     let resume_from = resume_from(&parts.headers)?;
     let body = read_body(body, caller.settings.max_body_bytes).await?;
@@ -140,12 +140,12 @@
     );
     let deadline = started + Duration::from_millis(caller.settings.deadline_ms);
     let tenant = caller.home.tenant.clone();
-    shared.plane.engines.record_request(caller.settings.retry_budget_percent);
+    state.plane.engines.record_request(caller.settings.retry_budget_percent);
     let mut plan = ChatPlan::new(&tenant, Arc::clone(&caller.settings), &chat.prompt);
-    shared.admit(&mut in_flight, &caller)?;
-    plan.shared_holders = shared.plane.hub.holders(&plan.blocks.hashes).await;
+    state.admit(&mut in_flight, &caller)?;
+    plan.shared_holders = state.plane.hub.holders(&plan.blocks.hashes).await;
     let job = ChatJob { request_id, tenant, chat, plan, started, deadline, resume_from };
-    let (relay, origin) = open(Arc::clone(&shared), job).await?;
+    let (relay, origin) = open(Arc::clone(&state), job).await?;
     log::info!(
         "event=request_opened request={request_id} engine={} cached_tokens={}",
         origin.engine,
@@ -155,7 +155,7 @@
     tokio::spawn(relay.run(sender));
     let pieces = ReceiverStream::new(receiver);
     let mut response = if stream {
-        let first_token = FirstToken { shared: Arc::clone(&shared), started, seen: false };
+        let first_token = FirstToken { state: Arc::clone(&state), started, seen: false };
         stream_response(request_id, model.to_string(), pieces, in_flight, first_token)
     } else {
         axum::Json(collect(request_id, model.as_str(), pieces).await?).into_response()
@@ -191,7 +191,7 @@
 
 /// Records the time to first token of one stream.
 struct FirstToken {
-    shared: Arc<RouterState>,
+    state: Arc<RouterState>,
     started: Instant,
     seen: bool,
 }
@@ -200,7 +200,7 @@
     fn record(&mut self) {
         if !self.seen {
             self.seen = true;
-            self.shared.metrics.first_token.observe(self.started.elapsed().as_secs_f64());
+            self.state.metrics.first_token.observe(self.started.elapsed().as_secs_f64());
         }
     }
 }
--- a/crates/router/src/previews.rs
+++ b/crates/router/src/previews.rs
@@ -93,7 +93,7 @@
 
 /// Relay of one preview stream.
 struct PreviewRelay {
-    shared: Arc<RouterState>,
+    state: Arc<RouterState>,
     call: PreviewCall,
     opened: OpenPreview,
     search: Search,
@@ -101,22 +101,22 @@
 }
 
 /// Serves `GET /previews/...`.
-pub async fn preview(State(shared): State<Arc<RouterState>>, request: Request) -> Response {
-    let result = serve_preview(&shared, request).await;
-    into_counted_response(&shared, "preview", result)
+pub async fn preview(State(state): State<Arc<RouterState>>, request: Request) -> Response {
+    let result = serve_preview(&state, request).await;
+    into_counted_response(&state, "preview", result)
 }
 
 async fn serve_preview(
-    shared: &Arc<RouterState>,
+    state: &Arc<RouterState>,
     request: Request,
 ) -> Result<Response, RequestError> {
-    let mut in_flight = shared.begin_request()?;
+    let mut in_flight = state.begin_request()?;
     let started = Instant::now();
-    let view = shared.view();
+    let view = state.view();
     let (parts, _body) = request.into_parts();
     let caller = authenticate(&view.in_force, &parts.headers, TrafficKind::Preview)?;
-    shared.check_cut_off(&caller.settings)?;
-    shared.admit(&mut in_flight, &caller)?;
+    state.check_cut_off(&caller.settings)?;
+    state.admit(&mut in_flight, &caller)?;
     let request_id = request_id(&parts.headers)?;
     let start = range_start(&parts.headers)?;
     let path = parts.uri.path().to_owned();
@@ -128,14 +128,14 @@
     );
     let call = PreviewCall { id: request_id, path, tenant: caller.home.tenant.clone() };
     let mut search = Search::default();
-    let opened = open_on_any_server(shared, &call, start, &mut search).await?;
-    shared.metrics.first_token.observe(started.elapsed().as_secs_f64());
+    let opened = open_on_any_server(state, &call, start, &mut search).await?;
+    state.metrics.first_token.observe(started.elapsed().as_secs_f64());
     let mut response = Response::new(Body::empty());
     set_headers(&mut response, &opened, start);
     insert_header(response.headers_mut(), REQUEST_ID_HEADER, &request_id.to_string());
     let (sender, receiver) = mpsc::channel(PIECE_BUFFER);
-    let shared = Arc::clone(shared);
-    let relay = PreviewRelay { shared, call, opened, search, _in_flight: in_flight };
+    let state = Arc::clone(state);
+    let relay = PreviewRelay { state, call, opened, search, _in_flight: in_flight };
     tokio::spawn(relay.run(sender));
     *response.body_mut() = Body::from_stream(ReceiverStream::new(receiver));
     Ok(response)
@@ -171,18 +171,18 @@
 }
 
 async fn open_on_any_server(
-    shared: &Arc<RouterState>,
+    state: &Arc<RouterState>,
     call: &PreviewCall,
     start: u64,
     search: &mut Search,
 ) -> Result<OpenPreview, RequestError> {
     while search.excluded.len() < MAX_ATTEMPTS {
-        shared.crashes.check(&call.id.to_string(), &call.identity())?;
-        let zone = &shared.config.zone;
-        let chosen = shared.back_ends.choose(BackEndKind::Preview, zone, &search.excluded);
+        state.crashes.check(&call.id.to_string(), &call.identity())?;
+        let zone = &state.config.zone;
+        let chosen = state.back_ends.choose(BackEndKind::Preview, zone, &search.excluded);
         let Some(lease) = chosen else { break };
         let server = lease.target.id;
-        match open_on_server(shared, lease, call, start).await {
+        match open_on_server(state, lease, call, start).await {
             Ok(opened) => return Ok(opened),
             Err(PreviewError::Status(404)) => return Err(RequestError::NotFound),
             Err(PreviewError::Status(416)) => {
@@ -202,15 +202,15 @@
 }
 
 async fn open_on_server(
-    shared: &RouterState,
+    state: &RouterState,
     lease: Lease,
     call: &PreviewCall,
     start: u64,
 ) -> Result<OpenPreview, PreviewError> {
     let url = format!("http://{}{}", lease.target.address, call.path);
     let (back_end, address) = (lease.target.id, lease.target.address);
-    let sent = SentAttempt { back_end, address, incarnation: None, sent_at: shared.crashes.now() };
-    let request = shared.http.get(url).header(header::RANGE, format!("bytes={start}-")).send();
+    let sent = SentAttempt { back_end, address, incarnation: None, sent_at: state.crashes.now() };
+    let request = state.http.get(url).header(header::RANGE, format!("bytes={start}-")).send();
     let response = match timeout(STALL_TIMEOUT, request).await {
         Ok(Ok(response)) => response,
         Ok(Err(error)) => {
@@ -218,7 +218,7 @@
             if error.is_connect() {
                 return Err(PreviewError::Unreachable);
             }
-            shared.crashes.record_interrupted(&call.id.to_string(), &call.identity(), sent);
+            state.crashes.record_interrupted(&call.id.to_string(), &call.identity(), sent);
             return Err(PreviewError::Broken);
         }
         Err(_) => {
@@ -261,11 +261,7 @@
             log::warn!("event=preview_interrupted at={next} reason=\"{error}\"");
             if error == PreviewError::Broken {
                 let id = self.call.id.to_string();
-                self.shared.crashes.record_interrupted(
-                    &id,
-                    &self.call.identity(),
-                    self.opened.sent,
-                );
+                self.state.crashes.record_interrupted(&id, &self.call.identity(), self.opened.sent);
             }
             self.search.may_have_run = true;
             if self.resume_on_another_server(next).await.is_err() {
@@ -298,15 +294,15 @@
             }
             *next += length;
         }
-        self.shared.crashes.record_completed(&self.call.id.to_string(), &self.call.identity());
+        self.state.crashes.record_completed(&self.call.id.to_string(), &self.call.identity());
         Ok(())
     }
 
     async fn resume_on_another_server(&mut self, next: u64) -> Result<(), RequestError> {
         self.opened.lease.record_failure();
         self.search.excluded.push(self.opened.lease.target.id);
-        self.shared.metrics.retries.with_label_values(&["preview"]).inc();
-        let opened = open_on_any_server(&self.shared, &self.call, next, &mut self.search).await?;
+        self.state.metrics.retries.with_label_values(&["preview"]).inc();
+        let opened = open_on_any_server(&self.state, &self.call, next, &mut self.search).await?;
         // A different length or tag means that the preview has changed.
         if opened.span.total != self.opened.span.total || opened.tag != self.opened.tag {
             return Err(RequestError::BackEndFailed);
--- a/crates/router/src/relay/attempt.rs
+++ b/crates/router/src/relay/attempt.rs
@@ -90,7 +90,7 @@
 
 /// Sends the request to the engine of `dispatch`.
 pub(super) async fn try_engine(
-    shared: &Arc<RouterState>,
+    state: &Arc<RouterState>,
     job: &ChatJob,
     dispatch: Dispatch,
     from: u64,
@@ -99,13 +99,13 @@
     if !dispatch.wait_for_prefix().await {
         return Err(AttemptError::NotRun(LEAVING_CODE.to_owned()));
     }
-    let address = shared.back_ends.address(engine).ok_or(AttemptError::Unreachable)?;
+    let address = state.back_ends.address(engine).ok_or(AttemptError::Unreachable)?;
     let id = RequestId(rand::random());
     let url = format!("http://{address}/v1/requests/{id}/cancel");
-    let mut cancel = CancelGuard { http: shared.http.clone(), url, armed: true };
+    let mut cancel = CancelGuard { http: state.http.clone(), url, armed: true };
     let (back_end, incarnation) = (engine, dispatch.decision.incarnation);
-    let sent = SentAttempt { back_end, address, incarnation, sent_at: shared.crashes.now() };
-    let request = engine_request(shared, job, &dispatch, address, id, from);
+    let sent = SentAttempt { back_end, address, incarnation, sent_at: state.crashes.now() };
+    let request = engine_request(state, job, &dispatch, address, id, from);
     let response = match timeout_at(job.deadline, request.send()).await {
         Err(_) => return Err(AttemptError::Deadline),
         Ok(Err(error)) if error.is_connect() => {
@@ -113,7 +113,7 @@
             return Err(AttemptError::Unreachable);
         }
         Ok(Err(_)) => {
-            shared.crashes.record_interrupted(&job.request_id.to_string(), &job.identity(), sent);
+            state.crashes.record_interrupted(&job.request_id.to_string(), &job.identity(), sent);
             return Err(AttemptError::Broken);
         }
         Ok(Ok(response)) => response,
@@ -125,7 +125,7 @@
     let body: EngineErrorBody = response.json().await.unwrap_or_default();
     cancel.armed = !body.error.not_run;
     if body.error.code == LEAVING_CODE {
-        shared.plane.engines.set_leaving(engine, LeavingSource::Engine, true);
+        state.plane.engines.set_leaving(engine, LeavingSource::Engine, true);
     }
     if body.error.not_run {
         return Err(AttemptError::NotRun(body.error.code));
@@ -137,7 +137,7 @@
 }
 
 fn engine_request(
-    shared: &RouterState,
+    state: &RouterState,
     job: &ChatJob,
     dispatch: &Dispatch,
     address: SocketAddr,
@@ -146,7 +146,7 @@
 ) -> reqwest::RequestBuilder {
     let settings = &job.plan.settings;
     let remaining = job.deadline.saturating_duration_since(Instant::now());
-    let mut request = shared
+    let mut request = state
         .http
         .post(format!("http://{address}{CHAT_PATH}"))
         .header("content-type", "application/json")
--- a/crates/router/src/relay/mod.rs
+++ b/crates/router/src/relay/mod.rs
@@ -33,7 +33,7 @@
 
 /// Relay of a chat completion that an engine has accepted.
 pub struct Relay {
-    shared: Arc<RouterState>,
+    state: Arc<RouterState>,
     job: ChatJob,
     attempt: Attempt,
     progress: Progress,
@@ -47,7 +47,7 @@
             match self.forward_stream(&pieces).await {
                 Ok(StreamEnd::Complete) => {
                     let id = self.job.request_id.to_string();
-                    self.shared.crashes.record_completed(&id, &self.job.identity());
+                    self.state.crashes.record_completed(&id, &self.job.identity());
                     break Piece::Done;
                 }
                 Ok(StreamEnd::CallerDisconnected) => {
@@ -69,14 +69,14 @@
     async fn resume_on_another_engine(&mut self, error: AttemptError) -> Result<(), RequestError> {
         if error == AttemptError::Broken {
             let id = self.job.request_id.to_string();
-            self.shared.crashes.record_interrupted(&id, &self.job.identity(), self.attempt.sent);
+            self.state.crashes.record_interrupted(&id, &self.job.identity(), self.attempt.sent);
         }
         let engine = self.attempt.dispatch.decision.engine;
         self.progress.excluded.push(engine);
         // The engine had accepted the request, so it may have run whatever later attempts report.
         self.progress.may_have_run = true;
-        take_retry(&self.shared, &self.job, &mut self.progress, engine, &error)?;
-        self.attempt = open_attempt(&self.shared, &self.job, &mut self.progress).await?;
+        take_retry(&self.state, &self.job, &mut self.progress, engine, &error)?;
+        self.attempt = open_attempt(&self.state, &self.job, &mut self.progress).await?;
         Ok(())
     }
 
--- a/crates/router/src/relay/opening.rs
+++ b/crates/router/src/relay/opening.rs
@@ -22,18 +22,18 @@
 ///
 /// # Errors
 /// Fails when no engine accepts the request; [`RequestError::not_run`] holds only if none ran it.
-pub async fn open(shared: Arc<RouterState>, job: ChatJob) -> Result<(Relay, Origin), RequestError> {
+pub async fn open(state: Arc<RouterState>, job: ChatJob) -> Result<(Relay, Origin), RequestError> {
     let mut progress = Progress::new(job.resume_from);
-    let attempt = open_attempt(&shared, &job, &mut progress).await?;
+    let attempt = open_attempt(&state, &job, &mut progress).await?;
     let origin = Origin {
         engine: attempt.dispatch.decision.engine,
         cached_tokens: header_number(&attempt.response, "x-cached-tokens").unwrap_or(0),
     };
-    let metrics = &shared.metrics.prompt_tokens;
+    let metrics = &state.metrics.prompt_tokens;
     let computed = u64::from(job.plan.blocks.tokens).saturating_sub(origin.cached_tokens);
     metrics.with_label_values(&["hit"]).inc_by(origin.cached_tokens);
     metrics.with_label_values(&["miss"]).inc_by(computed);
-    Ok((Relay { shared, job, attempt, progress }, origin))
+    Ok((Relay { state, job, attempt, progress }, origin))
 }
 
 fn header_number(response: &reqwest::Response, name: &str) -> Option<u64> {
@@ -42,19 +42,19 @@
 
 /// Tries engines until one accepts the request.
 pub(super) async fn open_attempt(
-    shared: &Arc<RouterState>,
+    state: &Arc<RouterState>,
     job: &ChatJob,
     progress: &mut Progress,
 ) -> Result<Attempt, RequestError> {
     loop {
-        shared.crashes.check(&job.request_id.to_string(), &job.identity())?;
+        state.crashes.check(&job.request_id.to_string(), &job.identity())?;
         let within = job.first_token_within(progress);
-        let chosen = shared.plane.engines.choose(&job.plan, within, &progress.excluded);
+        let chosen = state.plane.engines.choose(&job.plan, within, &progress.excluded);
         let dispatch = chosen.map_err(|refusal| progress.refusal_error(refusal))?;
         let engine = dispatch.decision.engine;
         log_decision(job, &dispatch);
         progress.attempts += 1;
-        let error = match try_engine(shared, job, dispatch, progress.next_index).await {
+        let error = match try_engine(state, job, dispatch, progress.next_index).await {
             Ok(attempt) => return Ok(attempt),
             Err(error) => error,
         };
@@ -64,10 +64,10 @@
             AttemptError::Rejected(reason) => {
                 return Err(RequestError::Malformed(reason.clone()));
             }
-            AttemptError::Unreachable => shared.plane.engines.mark_down(engine),
+            AttemptError::Unreachable => state.plane.engines.mark_down(engine),
             _ => {}
         }
-        take_retry(shared, job, progress, engine, &error)?;
+        take_retry(state, job, progress, engine, &error)?;
     }
 }
 
@@ -87,7 +87,7 @@
 
 /// Takes another attempt from the retry budget, or returns the caller's error.
 pub(super) fn take_retry(
-    shared: &RouterState,
+    state: &RouterState,
     job: &ChatJob,
     progress: &mut Progress,
     engine: EngineId,
@@ -113,10 +113,10 @@
         time_left: job.deadline.saturating_duration_since(Instant::now()),
         time_needed: MIN_ATTEMPT_TIME,
     };
-    shared.plane.engines.take_retry(&question).map_err(|denied| {
+    state.plane.engines.take_retry(&question).map_err(|denied| {
         log::warn!("event=retry_denied request={} reason=\"{denied}\"", job.request_id);
         progress.retry_denied_error()
     })?;
-    shared.metrics.retries.with_label_values(&["chat"]).inc();
+    state.metrics.retries.with_label_values(&["chat"]).inc();
     Ok(())
 }
--- a/crates/router/src/run.rs
+++ b/crates/router/src/run.rs
@@ -16,7 +16,7 @@
 use crate::backends::BackEnds;
 use crate::config::RouterConfig;
 use crate::control_plane::ControlPlane;
-use crate::crashes::{Crashes, follow_quarantine};
+use crate::crashes::{Crashes, apply_quarantines};
 use crate::engine_pollers;
 use crate::http_api;
 use crate::limits::Limits;
@@ -87,10 +87,10 @@
     let config = Arc::new(config);
     let callers = listen(config.caller).await?;
     let operators = listen(config.operator).await?;
-    let shared = start(Arc::clone(&config)).await?;
+    let state = start(Arc::clone(&config)).await?;
     let (close, closed) = watch::channel(false);
-    let caller_server = serve(callers, http_api::caller_api(Arc::clone(&shared)), closed.clone());
-    let operator_server = serve(operators, http_api::operator_api(Arc::clone(&shared)), closed);
+    let caller_server = serve(callers, http_api::caller_api(Arc::clone(&state)), closed.clone());
+    let operator_server = serve(operators, http_api::operator_api(Arc::clone(&state)), closed);
     let servers = async { tokio::try_join!(caller_server, operator_server) };
     log::info!(
         "event=router_started node={} zone={} callers={} operators={}",
@@ -102,14 +102,14 @@
     tokio::pin!(servers);
     let drain = async {
         stop.await;
-        drain(&shared).await
+        drain(&state).await
     };
     tokio::pin!(drain);
     let drained = tokio::select! {
         ended = &mut servers => return ended.map(|_| ()).map_err(RouterError::Serve),
         drained = &mut drain => drained,
     };
-    shared.plane.leave().await;
+    state.plane.leave().await;
     let _ = close.send(true);
     // All answers have been sent or the drain has timed out.
     let _ = timeout(CLOSE_TIMEOUT, servers).await;
@@ -123,7 +123,7 @@
     tokio::spawn(apply_back_ends(plane.settings.clone(), Arc::clone(&back_ends)));
     let http =
         reqwest::Client::builder().connect_timeout(BACK_END_CONNECT_TIMEOUT).no_proxy().build()?;
-    tokio::spawn(engine_pollers::follow_settings(
+    tokio::spawn(engine_pollers::manage_pollers(
         plane.settings.clone(),
         plane.peers.clone(),
         http.clone(),
@@ -164,7 +164,7 @@
     });
     let watch = Arc::new(CrashWatch::new(feed.clone(), metrics.crashes.clone()));
     tokio::spawn(Arc::clone(&watch).run());
-    tokio::spawn(follow_quarantine(feed, Arc::clone(&watch)));
+    tokio::spawn(apply_quarantines(feed, Arc::clone(&watch)));
     let key = config.cluster_key.fingerprint_key();
     let known = (Arc::clone(&plane.engines), Arc::clone(back_ends));
     Arc::new(Crashes::new(watch, key, config.node, known))
@@ -193,15 +193,15 @@
 }
 
 /// Reports not ready, then refuses new requests and waits for those in flight.
-async fn drain(shared: &RouterState) -> Result<(), RouterError> {
-    shared.stopping.store(true, Ordering::Release);
-    log::info!("event=drain_started in_flight={}", shared.metrics.in_flight.get());
+async fn drain(state: &RouterState) -> Result<(), RouterError> {
+    state.stopping.store(true, Ordering::Release);
+    log::info!("event=drain_started in_flight={}", state.metrics.in_flight.get());
     sleep(READY_GRACE).await;
-    shared.closed.store(true, Ordering::Release);
-    let seconds = shared.config.limits.drain_seconds;
+    state.closed.store(true, Ordering::Release);
+    let seconds = state.config.limits.drain_seconds;
     let deadline = Instant::now() + Duration::from_secs(seconds);
     loop {
-        let in_flight = shared.metrics.in_flight.get();
+        let in_flight = state.metrics.in_flight.get();
         if in_flight == 0 {
             return Ok(());
         }
