--- a/crates/router/tests/readiness.rs
+++ b/crates/router/tests/readiness.rs
@@ -1,30 +1,30 @@
-//! A router is ready once its back ends are taken over from the settings in force.
+//! A router is ready once the back ends of the settings in force are applied.
 
 use juniper_router::backends::BackEnds;
 use juniper_router::engines::Engines;
-use juniper_router::in_force::InForce;
+use juniper_router::in_force::SettingsInForce;
 use juniper_settings::SettingsTree;
 use juniper_types::Revision;
 
-fn settings(revision: u64) -> InForce {
-    InForce::new(Revision(revision), SettingsTree::default())
+fn settings(revision: u64) -> SettingsInForce {
+    SettingsInForce::new(Revision(revision), SettingsTree::default())
 }
 
 #[test]
-fn engines_count_as_taken_over_only_from_settings_in_force() {
+fn engines_count_as_applied_only_from_settings_in_force() {
     let engines = Engines::new();
-    assert!(!engines.has_followed());
-    engines.follow(&settings(0));
-    assert!(!engines.has_followed(), "nothing is in force yet");
-    engines.follow(&settings(1));
-    assert!(engines.has_followed());
+    assert!(!engines.has_applied_settings());
+    engines.apply_settings(&settings(0));
+    assert!(!engines.has_applied_settings(), "revision 0 means that no settings are in force");
+    engines.apply_settings(&settings(1));
+    assert!(engines.has_applied_settings());
 }
 
 #[test]
-fn back_ends_count_as_taken_over_only_from_settings_in_force() {
+fn back_ends_count_as_applied_only_from_settings_in_force() {
     let back_ends = BackEnds::default();
-    back_ends.follow(&settings(0));
-    assert!(!back_ends.has_followed(), "nothing is in force yet");
-    back_ends.follow(&settings(1));
-    assert!(back_ends.has_followed());
+    back_ends.apply_settings(&settings(0));
+    assert!(!back_ends.has_applied_settings(), "revision 0 means that no settings are in force");
+    back_ends.apply_settings(&settings(1));
+    assert!(back_ends.has_applied_settings());
 }
