--- a/crates/control/src/fleet_calls.rs
+++ b/crates/control/src/fleet_calls.rs
@@ -140,7 +140,7 @@
     /// # Errors
     /// Fails if no quorum commits the version in time.
     pub async fn set_target_weights(&self, model: String, version: u64) -> Result<(), Refusal> {
-        let command = Command::NameWeights { model: model.clone(), version };
+        let command = Command::SetTargetWeights { model: model.clone(), version };
         self.write("weights", command).await?;
         log::info!("event=weights_named model={model} version={version}");
         Ok(())
--- a/crates/router/src/crashes.rs
+++ b/crates/router/src/crashes.rs
@@ -117,7 +117,7 @@
 
     /// Records that a back end has answered the request completely.
     pub fn record_completed(&self, id: &str, request: &RequestIdentity<'_>) {
-        self.watch.note_answered(id, self.fingerprint(request));
+        self.watch.record_completed_request(id, self.fingerprint(request));
     }
 
     /// Records that the connection broke before the answer was complete. A background task probes
@@ -135,7 +135,7 @@
             // A planned shutdown isn't evidence against the request.
             return;
         }
-        self.watch.note_cut(&instance, sent.address, fingerprint, sent.sent_at);
+        self.watch.record_interrupted_request(&instance, sent.address, fingerprint, sent.sent_at);
         if lock(&self.probed).insert(instance.clone()) {
             let crashes = Arc::clone(self);
             tokio::spawn(async move {
@@ -169,7 +169,7 @@
         while started.elapsed() < PROBE_DURATION {
             if let Some(proof) = self.find_proof(&sent).await {
                 *lock(&self.crash_counts).entry(sent.back_end).or_default() += 1;
-                return self.watch.note_ended(instance, proof);
+                return self.watch.record_server_crash(instance, proof);
             }
             sleep(PROBE_INTERVAL).await;
         }
--- a/crates/router/src/link.rs
+++ b/crates/router/src/link.rs
@@ -70,7 +70,7 @@
             let _ = call.reply_to.send(Err(CallError::Unreachable));
             return;
         }
-        let message = self.calls.begin(call.request, call.reply_to);
+        let message = self.calls.start_call(call.request, call.reply_to);
         let sent = match self.calls.writer() {
             Some(writer) => writer.send(&message).await.is_ok(),
             None => false,
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -87,7 +87,7 @@
             zone: config.zone.clone(),
             role: MemberRole::Router,
             address: config.internal,
-            life: arguments.incarnation,
+            incarnation: arguments.incarnation,
         };
         let seeds = config.peers.iter().map(|peer| peer.address).collect();
         let detector = Detector::new(DetectorConfig::default(), own, seeds, rand::random());
--- a/crates/router/src/sharing/mod.rs
+++ b/crates/router/src/sharing/mod.rs
@@ -102,7 +102,7 @@
         let zone = &self.identity.zone;
         let same_zone = peers.routers.iter().filter(|peer| peer.zone == *zone);
         let members: Vec<(RouterLife, SocketAddr)> = same_zone
-            .map(|peer| (RouterLife { node: peer.node, life: peer.life }, peer.address))
+            .map(|peer| (RouterLife { node: peer.node, life: peer.incarnation }, peer.address))
             .collect();
         let mut state = self.lock();
         state.links.retain(|linked, _| members.iter().any(|(member, _)| member == linked));
--- a/crates/router/src/sharing/rounds.rs
+++ b/crates/router/src/sharing/rounds.rs
@@ -62,7 +62,7 @@
     }
 
     async fn deliver(&self, to: RouterLife, link: Option<Link>, message: ShareMessage) {
-        let request = Request::Share { life: self.own.life, news: message };
+        let request = Request::Share { incarnation: self.own.life, updates: message };
         let reply = match link {
             Some(link) => link.call(request, DELIVERY_TIMEOUT).await.ok(),
             None => None,
--- a/crates/router/src/sharing/service.rs
+++ b/crates/router/src/sharing/service.rs
@@ -75,8 +75,8 @@
             let now = hub.engines.now();
             Reply::Holders { checkpoints: hub.lock().sharing.lookup(&keys, now) }
         }
-        Request::Share { life, news } => {
-            Reply::Shared { in_doubt: hub.apply_peer_message(RouterLife { node, life }, &news) }
+        Request::Share { incarnation, updates } => {
+            Reply::Shared { engines_with_gaps: hub.apply_peer_message(RouterLife { node, life: incarnation }, &updates) }
         }
         _ => Reply::Refused(Refusal::NotAllowed),
     }
