--- a/crates/router/src/sharing/service.rs
+++ b/crates/router/src/sharing/service.rs
@@ -75,9 +75,10 @@
             let now = hub.engines.now();
             Reply::Holders { checkpoints: hub.lock().sharing.lookup(&keys, now) }
         }
-        Request::Share { incarnation, updates } => {
-            Reply::Shared { engines_with_gaps: hub.apply_peer_message(RouterLife { node, life: incarnation }, &updates) }
-        }
+        Request::Share { incarnation, updates } => Reply::Shared {
+            engines_with_gaps: hub
+                .apply_peer_message(RouterLife { node, life: incarnation }, &updates),
+        },
         _ => Reply::Refused(Refusal::NotAllowed),
     }
 }
