--- a/crates/router/src/relay/attempt.rs
+++ b/crates/router/src/relay/attempt.rs
@@ -24,7 +24,7 @@
 /// Error of one attempt on an engine.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum AttemptError {
-    #[error("the engine refused the request without running it: {0}")]
+    #[error("the engine did not run the request: {0}")]
     NotRun(String),
     #[error("the engine is unreachable")]
     Unreachable,
