--- a/crates/control/src/fleet_calls.rs
+++ b/crates/control/src/fleet_calls.rs
@@ -26,7 +26,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum FleetCallError {
     /// The configuration is invalid.
-    #[error("configuration has {} fault(s), the first: {}", .0.len(), .0[0])]
+    #[error("the configuration has {} fault(s), the first: {}", .0.len(), .0[0])]
     Invalid(Vec<CatalogFault>),
     /// The replicas refused the call or no quorum answered in time.
     #[error(transparent)]
--- a/crates/control/src/operator/error.rs
+++ b/crates/control/src/operator/error.rs
@@ -13,11 +13,11 @@
 /// Error of an operator call.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum OperatorError {
-    #[error("operator key required: authorization: Bearer <key>")]
+    #[error("an operator key is needed: authorization: Bearer <key>")]
     Unauthorized,
     #[error("no such resource")]
     NotFound,
-    #[error("method not allowed for this resource")]
+    #[error("method not allowed here")]
     MethodNotAllowed,
     #[error(transparent)]
     Body(#[from] JsonRejection),
@@ -27,27 +27,27 @@
     Path(#[from] juniper_settings::path::PathError),
     #[error(transparent)]
     Fingerprint(#[from] FingerprintError),
-    #[error("settings tree has no node {0}")]
+    #[error("the tree has no node {0}")]
     NoNode(SettingsPath),
-    #[error("settings tree has no back end {0}")]
+    #[error("the tree has no back end {0}")]
     NoBackEnd(EngineId),
-    #[error("revision not available: only {oldest} to {current} are stored")]
+    #[error("revisions {oldest} to {current} are kept")]
     RevisionUnavailable { oldest: Revision, current: Revision },
-    #[error("author is longer than {limit} bytes")]
+    #[error("the author has more than {limit} bytes")]
     AuthorTooLong { limit: usize },
-    #[error("encoded change has {bytes} bytes, more than the limit of {limit}")]
+    #[error("the change has {bytes} encoded bytes, at most {limit} are allowed")]
     TooLarge { bytes: usize, limit: usize },
-    #[error("base revision is outdated: revision {current} is in force")]
+    #[error("the tree has moved on: revision {current} is in force")]
     Conflict { current: Revision, answer: WriteAnswer },
-    #[error("resulting settings tree would have {count} fault(s)")]
+    #[error("the resulting tree would have {count} fault(s)")]
     Invalid { count: usize, answer: WriteAnswer },
-    #[error("change id was already used by another change, which made revision {revision}")]
+    #[error("the change id was used for another change, which made revision {revision}")]
     ChangeIdReused { revision: Revision },
     #[error("too many changes, retry after {retry_after_ms} ms")]
     RateLimited { retry_after_ms: u64 },
     #[error("{0}")]
     Refused(Refusal),
-    #[error("failed to encode metrics: {0}")]
+    #[error("metrics: {0}")]
     Metrics(#[from] prometheus::Error),
 }
 
