--- a/crates/consensus/src/replica/election.rs
+++ b/crates/consensus/src/replica/election.rs
@@ -132,9 +132,11 @@
     /// Grants the vote to the first candidate of the term whose log is at least as
     /// up-to-date as this replica's, so that an elected leader has every committed entry.
     pub(super) fn on_vote_request(&mut self, from: ReplicaId, last: Position) {
-        let unvoted = self.hard_state.vote.is_none_or(|voted| voted == from);
-        let engaged = self.leader.is_some() || !matches!(self.state, State::Follower);
-        let may_vote = unvoted && (!engaged || self.hard_state.vote == Some(from));
+        let vote_available = self.hard_state.vote.is_none_or(|voted| voted == from);
+        let has_leader_or_campaigns =
+            self.leader.is_some() || !matches!(self.state, State::Follower);
+        let may_vote =
+            vote_available && (!has_leader_or_campaigns || self.hard_state.vote == Some(from));
         let granted = may_vote && last >= self.log.last();
         if granted {
             self.hard_state.vote = Some(from);
--- a/crates/consensus/tests/growth.rs
+++ b/crates/consensus/tests/growth.rs
@@ -4,7 +4,7 @@
 
 use juniper_consensus::{Body, RestoredState};
 use juniper_types::NodeId;
-use support::{Cluster, ELECTION, id};
+use support::{Cluster, ELECTION_TICKS, id};
 
 /// Cluster of five voters, with learners up to `members` in total.
 fn large_cluster(members: u64) -> (Cluster, u64) {
@@ -14,7 +14,7 @@
         cluster.start(id(node, u128::from(node)), RestoredState::default());
         cluster.tick(2);
     }
-    cluster.tick(ELECTION);
+    cluster.tick(ELECTION_TICKS);
     let count = cluster.node(leader).replica.status().membership.members.len() as u64;
     assert_eq!(count, members, "not all replicas have joined");
     assert!(cluster.node(leader).replica.is_leader());
--- a/crates/consensus/tests/members.rs
+++ b/crates/consensus/tests/members.rs
@@ -7,13 +7,13 @@
     MembershipError, Message, Payload, RestoredState, StopReason,
 };
 use juniper_types::NodeId;
-use support::{Cluster, ELECTION, id, initial_disk, zone};
+use support::{Cluster, ELECTION_TICKS, id, initial_disk, zone};
 
 /// Ticks within which a lost voter is replaced.
-const REPLACEMENT: u64 = 400;
+const REPLACEMENT_TICKS: u64 = 400;
 
 /// Ticks without contact after which a member is considered inactive.
-const SILENCE: u64 = 10;
+const INACTIVITY_TICKS: u64 = 10;
 
 fn follower(cluster: &mut Cluster) -> u64 {
     let leader = cluster.leader();
@@ -35,7 +35,7 @@
     let new = id(wiped, 99);
     cluster.start(new, RestoredState::default());
     assert!(!cluster.node(wiped).replica.status().membership.is_voter(new));
-    cluster.tick(REPLACEMENT);
+    cluster.tick(REPLACEMENT_TICKS);
     let membership = cluster.node(leader).replica.status().membership;
     assert!(membership.is_voter(new), "{membership:?}");
     assert_eq!(membership.members.len(), 3, "the lost disk is still a member: {membership:?}");
@@ -50,7 +50,7 @@
     cluster.start(id(wiped, 99), RestoredState::default());
     let third = (1..=3).find(|node| *node != leader && *node != wiped).unwrap();
     cluster.partitioned.insert(leader);
-    cluster.tick(REPLACEMENT);
+    cluster.tick(REPLACEMENT_TICKS);
     assert!(cluster.nodes.values().filter(|node| node.replica.is_leader()).count() == 0);
     let status = cluster.node(third).replica.status();
     assert!(status.leader.is_none());
@@ -65,13 +65,13 @@
     let second = (1..=3).find(|node| *node != leader && *node != first).unwrap();
     cluster.start(id(first, 99), RestoredState::default());
     cluster.partitioned.insert(second);
-    cluster.tick(REPLACEMENT);
+    cluster.tick(REPLACEMENT_TICKS);
     assert!(
         !cluster.node(leader).replica.is_leader(),
         "the leader has no quorum, but did not step down"
     );
     cluster.partitioned.clear();
-    cluster.tick(REPLACEMENT);
+    cluster.tick(REPLACEMENT_TICKS);
     let leader = cluster.leader();
     cluster.propose(leader, b"two");
     assert!(cluster.nodes.values().all(|node| node.applied == [&b"one"[..], b"two"]));
@@ -82,10 +82,10 @@
     let mut cluster = Cluster::of_voters(3);
     cluster.elect();
     cluster.start(id(4, 4), RestoredState::default());
-    cluster.tick(REPLACEMENT);
+    cluster.tick(REPLACEMENT_TICKS);
     let lost = follower(&mut cluster);
     cluster.partitioned.insert(lost);
-    cluster.tick(REPLACEMENT);
+    cluster.tick(REPLACEMENT_TICKS);
     let voters = voters(&mut cluster);
     assert_eq!(voters.len(), 3);
     assert!(!voters.contains(&id(lost, lost.into()).to_string()), "{voters:?}");
@@ -99,7 +99,7 @@
         let mut cluster = Cluster::of_voters(3);
         let leader = cluster.elect();
         cluster.start(id(4, 4), RestoredState::default());
-        cluster.tick(ELECTION);
+        cluster.tick(ELECTION_TICKS);
         cluster.propose(leader, b"one");
         let lost = follower(&mut cluster);
         cluster.partitioned.insert(lost);
@@ -116,7 +116,7 @@
         }
         cluster.tick(lost_after);
         cluster.partitioned.insert(4);
-        cluster.tick(REPLACEMENT);
+        cluster.tick(REPLACEMENT_TICKS);
         let leader = cluster.leader();
         cluster.propose(leader, b"two");
         let intact: Vec<u64> = (1..=3).filter(|node| *node != lost).collect();
@@ -133,11 +133,11 @@
     let mut cluster = Cluster::of_voters(3);
     let leader = cluster.elect();
     cluster.start(id(4, 4), RestoredState::default());
-    cluster.tick(ELECTION);
-    let silent = follower(&mut cluster);
-    let third = (1..=3).find(|node| *node != leader && *node != silent).unwrap();
-    cluster.partitioned.insert(silent);
-    cluster.tick(2 * SILENCE);
+    cluster.tick(ELECTION_TICKS);
+    let inactive = follower(&mut cluster);
+    let third = (1..=3).find(|node| *node != leader && *node != inactive).unwrap();
+    cluster.partitioned.insert(inactive);
+    cluster.tick(2 * INACTIVITY_TICKS);
     let voter = id(third, third.into());
     let replace = MembershipChange::Replace { voter, standby: id(4, 4) };
     let rejected = cluster.node(leader).replica.propose_membership_change(&replace);
@@ -171,14 +171,14 @@
 fn changes_without_an_active_quorum_are_rejected() {
     let mut cluster = Cluster::of_voters(3);
     let leader = cluster.elect();
-    let silent = follower(&mut cluster);
-    let third = (1..=3).find(|node| *node != leader && *node != silent).unwrap();
+    let inactive = follower(&mut cluster);
+    let third = (1..=3).find(|node| *node != leader && *node != inactive).unwrap();
     let replica = |cluster: &mut Cluster, node| cluster.node(node).replica.status().id;
     let own = replica(&mut cluster, leader);
     let rejected =
         cluster.node(leader).replica.propose_membership_change(&MembershipChange::Remove(own));
     assert_eq!(rejected, Err(MembershipChangeError::IsLeader));
-    cluster.partitioned.insert(silent);
+    cluster.partitioned.insert(inactive);
     cluster.tick(15);
     let change = MembershipChange::Remove(replica(&mut cluster, third));
     let rejected = cluster.node(leader).replica.propose_membership_change(&change);
@@ -202,7 +202,7 @@
     assert_eq!(rejected, Err(MembershipChangeError::Unsafe));
     cluster.start(id(lost, 99), RestoredState::default());
     cluster.partitioned.clear();
-    cluster.tick(REPLACEMENT);
+    cluster.tick(REPLACEMENT_TICKS);
     let status = cluster.node(leader).replica.status();
     assert!(status.is_leader() && status.membership.is_voter(id(lost, 99)));
 }
@@ -220,14 +220,14 @@
         }
         cluster.tick(noticed_after);
         cluster.partitioned.insert(wiped);
-        cluster.tick(REPLACEMENT);
+        cluster.tick(REPLACEMENT_TICKS);
         assert!(
             cluster.node(leader).replica.is_leader(),
             "the leader stepped down despite two voters out of three"
         );
         cluster.start(id(wiped, 100), RestoredState::default());
         cluster.partitioned.clear();
-        cluster.tick(REPLACEMENT);
+        cluster.tick(REPLACEMENT_TICKS);
         let membership = cluster.node(leader).replica.status().membership;
         assert!(membership.is_voter(id(wiped, 100)), "{membership:?}");
     }
@@ -248,7 +248,7 @@
     cluster.start(id(1, 1), ahead);
     cluster.start(id(2, 2), disk.clone());
     cluster.start(id(3, 3), disk);
-    cluster.tick(3 * ELECTION);
+    cluster.tick(3 * ELECTION_TICKS);
     let leader = cluster.leader();
     cluster.propose(leader, b"one");
     assert_ne!(leader, 1, "the demoted replica is still the leader");
@@ -262,7 +262,7 @@
     let epoch = cluster.node(2).disk.hard_state.epoch.recovered(11);
     let recovered = Membership::of_voters(epoch, [(id(1, 1), zone(1))]);
     cluster.start(id(1, 1), initial_disk(&recovered));
-    cluster.tick(ELECTION);
+    cluster.tick(ELECTION_TICKS);
     for excluded in [2, 3] {
         let status = cluster.node(excluded).replica.status();
         assert_eq!(status.stopped, Some(StopReason::Fenced));
--- a/crates/consensus/tests/open_membership.rs
+++ b/crates/consensus/tests/open_membership.rs
@@ -5,10 +5,10 @@
 
 use juniper_consensus::RestoredState;
 use juniper_types::NodeId;
-use support::{Cluster, ELECTION, id};
+use support::{Cluster, ELECTION_TICKS, id};
 
 /// Ticks within which a lost voter is replaced.
-const REPLACEMENT: u64 = 400;
+const REPLACEMENT_TICKS: u64 = 400;
 
 /// Node that is not an initial member.
 const NEWCOMER: u64 = 9;
@@ -35,7 +35,7 @@
     let leader = cluster.elect();
     cluster.propose(leader, b"one");
     cluster.start(id(NEWCOMER, 99), RestoredState::default());
-    cluster.tick(ELECTION);
+    cluster.tick(ELECTION_TICKS);
     let newcomer = id(NEWCOMER, 99);
     assert!(cluster.node(leader).replica.status().membership.contains(newcomer));
     cluster
@@ -48,7 +48,7 @@
     let follower = follower(&mut cluster);
     cluster.seeds = Some(vec![NodeId(follower)]);
     cluster.start(id(NEWCOMER, 99), RestoredState::default());
-    cluster.tick(ELECTION);
+    cluster.tick(ELECTION_TICKS);
     let membership = cluster.node(leader).replica.status().membership;
     assert!(membership.contains(id(NEWCOMER, 99)), "{membership:?}");
 }
@@ -58,7 +58,7 @@
     let mut cluster = Cluster::of_voters(3);
     let leader = cluster.elect();
     cluster.start(id(NEWCOMER, 99), RestoredState::default());
-    cluster.tick(ELECTION);
+    cluster.tick(ELECTION_TICKS);
     assert_eq!(cluster.node(leader).replica.status().membership.members.len(), 3);
 }
 
@@ -67,7 +67,7 @@
     let mut cluster = with_standby();
     let leaving = follower(&mut cluster);
     cluster.node(leaving).replica.retire();
-    cluster.tick(ELECTION);
+    cluster.tick(ELECTION_TICKS);
     let voters = voters(&mut cluster);
     assert_eq!(voters.len(), 3, "{voters:?}");
     assert!(voters.contains(&NEWCOMER) && !voters.contains(&leaving), "{voters:?}");
@@ -75,7 +75,7 @@
     cluster.partitioned.insert(leaving);
     let lost = voters.iter().copied().find(|node| *node != NEWCOMER).unwrap();
     cluster.partitioned.insert(lost);
-    cluster.tick(ELECTION);
+    cluster.tick(ELECTION_TICKS);
     let leader = cluster.leader();
     cluster.propose(leader, b"two");
     assert_eq!(cluster.node(NEWCOMER).applied, [b"one", b"two"]);
@@ -87,7 +87,7 @@
     cluster.elect();
     let leaving = follower(&mut cluster);
     assert!(cluster.node(leaving).replica.retire(), "the retiring replica is no longer a voter");
-    cluster.tick(ELECTION);
+    cluster.tick(ELECTION_TICKS);
     assert_eq!(voters(&mut cluster).len(), 3);
 }
 
@@ -96,7 +96,7 @@
     let mut cluster = with_standby();
     let gone = follower(&mut cluster);
     cluster.partitioned.insert(gone);
-    cluster.tick(REPLACEMENT);
+    cluster.tick(REPLACEMENT_TICKS);
     let voters = voters(&mut cluster);
     assert!(voters.contains(&NEWCOMER) && !voters.contains(&gone), "{voters:?}");
 }
@@ -125,7 +125,7 @@
     let restarted = follower(&mut cluster);
     let disk = cluster.node(restarted).disk.clone();
     cluster.start(id(restarted, restarted.into()), disk);
-    cluster.tick(ELECTION);
+    cluster.tick(ELECTION_TICKS);
     assert_eq!(cluster.leader(), leader);
     assert_eq!(cluster.node(leader).replica.status().term, term);
 }
--- a/crates/consensus/tests/replication.rs
+++ b/crates/consensus/tests/replication.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use juniper_consensus::{Body, ProposeError, Role};
-use support::{Cluster, ELECTION};
+use support::{Cluster, ELECTION_TICKS};
 
 fn restart(cluster: &mut Cluster, node: u64) {
     let (id, disk) = (cluster.node(node).replica.status().id, cluster.node(node).disk.clone());
@@ -35,7 +35,7 @@
     assert!(matches!(rejected, Err(ProposeError::NotLeader { leader: None })));
     cluster.propose(new, b"kept");
     cluster.partitioned.clear();
-    cluster.tick(ELECTION);
+    cluster.tick(ELECTION_TICKS);
     assert!(cluster.nodes.values().all(|node| node.applied == [b"kept"]));
 }
 
@@ -46,9 +46,9 @@
     let partitioned = cluster.nodes.keys().copied().find(|node| *node != leader).unwrap();
     let term = cluster.node(leader).replica.status().term;
     cluster.partitioned.insert(partitioned);
-    cluster.tick(5 * ELECTION);
+    cluster.tick(5 * ELECTION_TICKS);
     cluster.partitioned.clear();
-    cluster.tick(ELECTION);
+    cluster.tick(ELECTION_TICKS);
     assert_eq!(cluster.leader(), leader);
     assert_eq!(cluster.node(partitioned).replica.status().term, term);
 }
@@ -65,7 +65,7 @@
     assert!(!cluster.delivered.iter().any(|message| acknowledged(&message.body)));
     assert!(cluster.node(leader).applied.is_empty());
     cluster.partitioned.insert(leader);
-    cluster.tick(ELECTION);
+    cluster.tick(ELECTION_TICKS);
     let voted = |body: &Body| matches!(body, Body::VoteRequest { .. } | Body::VoteReply { .. });
     assert!(!cluster.delivered.iter().any(|message| voted(&message.body)));
     cluster.stalled_disks.clear();
@@ -112,7 +112,7 @@
     }
     cluster.partitioned.insert(leader);
     cluster.node(leader).replica.read(9).unwrap();
-    cluster.tick(ELECTION);
+    cluster.tick(ELECTION_TICKS);
     assert_eq!(cluster.node(leader).dropped_reads, [9]);
     assert!(!cluster.node(leader).reads.contains(&9));
 }
@@ -129,10 +129,10 @@
     cluster.node(leader).replica.compact(applied, state.clone()).unwrap();
     cluster.propose(leader, b"after");
     cluster.partitioned.clear();
-    cluster.tick(ELECTION);
+    cluster.tick(ELECTION_TICKS);
     assert_eq!(cluster.node(partitioned).applied, [state, b"after".to_vec()]);
     restart(&mut cluster, partitioned);
-    cluster.tick(ELECTION);
+    cluster.tick(ELECTION_TICKS);
     assert_eq!(cluster.node(partitioned).replica.status().snapshot.index, applied);
     assert_eq!(cluster.node(partitioned).applied.len(), 2);
 }
@@ -148,8 +148,8 @@
     restart(&mut cluster, broken);
     cluster.propose(leader, b"after");
     cluster.delivered.clear();
-    cluster.tick(ELECTION);
-    assert!(cluster.delivered.len() < 10 * ELECTION as usize, "{}", cluster.delivered.len());
+    cluster.tick(ELECTION_TICKS);
+    assert!(cluster.delivered.len() < 10 * ELECTION_TICKS as usize, "{}", cluster.delivered.len());
 }
 
 #[test]
--- a/crates/consensus/tests/support/mod.rs
+++ b/crates/consensus/tests/support/mod.rs
@@ -12,7 +12,7 @@
 use juniper_types::{NodeId, ZoneName};
 
 /// Ticks within which a connected quorum elects a leader.
-pub const ELECTION: u64 = 60;
+pub const ELECTION_TICKS: u64 = 60;
 
 /// Limit on delivered messages, to detect endless exchanges between replicas.
 const MAX_MESSAGES: usize = 100_000;
@@ -150,7 +150,7 @@
 
     /// Runs the cluster for the time of an election and returns the leader.
     pub fn elect(&mut self) -> u64 {
-        self.tick(ELECTION);
+        self.tick(ELECTION_TICKS);
         self.leader()
     }
 
--- a/crates/control-state/src/departures.rs
+++ b/crates/control-state/src/departures.rs
@@ -4,7 +4,7 @@
 
 use juniper_registry::{Departure, InstanceId, InstanceName, StartTime};
 
-/// Number of departures retained regardless of their age. Earlier builds retain no others.
+/// Number of departures retained regardless of their age. Earlier builds retain only these.
 pub const MIN_RETAINED_DEPARTURES: usize = 1_024;
 
 /// Minimum retention time of a departure, in seconds. Longer than the times after which
--- a/crates/control-state/src/snapshot.rs
+++ b/crates/control-state/src/snapshot.rs
@@ -37,7 +37,7 @@
 }
 
 #[derive(Decode)]
-struct Decoded {
+struct DecodedState {
     #[n(0)]
     version: u16,
     #[n(1)]
@@ -66,9 +66,9 @@
     fleet: Option<EncodedFleet>,
 }
 
-/// Borrowed equivalent of [`Decoded`], with the same fields in the same order.
+/// Borrowed equivalent of [`DecodedState`], with the same fields in the same order.
 #[derive(Encode)]
-struct Encoded<'a> {
+struct EncodedState<'a> {
     #[n(0)]
     version: u16,
     #[n(1)]
@@ -98,7 +98,7 @@
 impl ControlState {
     /// Encodes the complete state.
     pub fn to_snapshot(&self) -> Vec<u8> {
-        to_bytes(&Encoded {
+        to_bytes(&EncodedState {
             version: SNAPSHOT_VERSION,
             applied: self.applied,
             revision: self.settings.revision,
@@ -122,7 +122,7 @@
         if version > SNAPSHOT_VERSION {
             return Err(SnapshotError::Version(version));
         }
-        let decoded: Decoded = minicbor::decode(bytes)?;
+        let decoded: DecodedState = minicbor::decode(bytes)?;
         debug_assert_eq!(decoded.version, version);
         let settings = SettingsState {
             tree: ValidatedTree::new(decoded.tree).map_err(SnapshotError::Tree)?,
