--- a/crates/routing/examples/decision_time.rs
+++ b/crates/routing/examples/decision_time.rs
@@ -1,11 +1,11 @@
-//! Measures the time of one decision at several fleet sizes.
+//! Measures the duration of one routing decision at several fleet sizes.
 //!
 //! `cargo run --release -p juniper-routing --example decision_time`
 //!
-//! Three cases: nobody holds the prompt; eight engines hold part of it; every
-//! engine holds its outermost part, as with a prefix that all requests share.
-//! Between decisions, work is counted and reports are taken, so that the
-//! table changes as it does in a router.
+//! Three cases: no engine has the prompt cached; eight engines have part of it
+//! cached; every engine has its leading blocks cached, as with a prefix shared by
+//! all requests. Between decisions the table records dispatches and load
+//! reports, as in a router.
 
 use std::time::{Duration, Instant};
 
@@ -26,40 +26,40 @@
 const PROMPT_TOKENS: u32 = 3_900;
 const ZONES: u32 = 14;
 
-/// Time between two prompts for one engine, in microseconds: twice what it
-/// takes to compute one in full.
-const ENGINE_GAP_US: u64 = 2_600_000;
+/// Time between two prompts per engine, in microseconds: twice the time of a
+/// full prefill.
+const ENGINE_INTERVAL_US: u64 = 2_600_000;
 
-/// How much of the prompt is held, and where.
+/// Distribution of the cached prompt over the engines.
 #[derive(Clone, Copy)]
 enum Case {
-    Nobody,
-    Eight,
-    Everybody,
+    NoHolder,
+    EightHolders,
+    AllHold,
 }
 
 impl Case {
     const ALL: [(Case, &'static str); 3] =
-        [(Case::Nobody, "nobody"), (Case::Eight, "eight"), (Case::Everybody, "everybody")];
+        [(Case::NoHolder, "nobody"), (Case::EightHolders, "eight"), (Case::AllHold, "everybody")];
 
     fn holders(self, engines: u32, random: &mut ChaCha8Rng) -> Vec<Holder> {
         match self {
-            Case::Nobody => Vec::new(),
-            Case::Eight => {
+            Case::NoHolder => Vec::new(),
+            Case::EightHolders => {
                 let first = random.random_range(0..engines);
                 (0..8).map(|place| holder((first + place * 13) % engines, 20 + place)).collect()
             }
-            Case::Everybody => (0..engines).map(|engine| holder(engine, 13)).collect(),
+            Case::AllHold => (0..engines).map(|engine| holder(engine, 13)).collect(),
         }
     }
 }
 
-fn life(engine: u32) -> Incarnation {
+fn incarnation_of(engine: u32) -> Incarnation {
     Incarnation(u64::from(engine) + 1)
 }
 
 fn holder(engine: u32, blocks: u32) -> Holder {
-    let incarnation = life(engine);
+    let incarnation = incarnation_of(engine);
     Holder { engine: EngineId(engine), incarnation, blocks, predicted: 0, computed_by: None }
 }
 
@@ -69,7 +69,7 @@
 
 fn load(engine: u32, serving: &ServingKey, random: &mut ChaCha8Rng) -> EngineLoad {
     EngineLoad {
-        incarnation: life(engine),
+        incarnation: incarnation_of(engine),
         age: Duration::from_millis(200),
         running: random.random_range(0..12),
         waiting: 0,
@@ -107,7 +107,7 @@
             .collect();
     let mut nanos = Vec::with_capacity(DECISIONS);
     for number in 0..DECISIONS {
-        let now = Timestamp(number as u64 * ENGINE_GAP_US / u64::from(engines));
+        let now = Timestamp(number as u64 * ENGINE_INTERVAL_US / u64::from(engines));
         let holders = case.holders(engines, random);
         let request = RouteRequest {
             serving: &serving,
--- a/crates/routing/src/admission/fair.rs
+++ b/crates/routing/src/admission/fair.rs
@@ -1,10 +1,8 @@
-//! The router's part of the queue and how tenants share it.
+//! Fair sharing of one router's queue among tenants.
 //!
-//! While the queue has room, anybody may use it. Once it is filled beyond
-//! [`CONTENDED`], a tenant may only add to it while it has less than its fair
-//! share, by weight, among the tenants active lately. The rest of the queue is
-//! thereby kept for tenants that have little in it, so that a large one can't
-//! starve a small one.
+//! Below the fill level [`CONTENDED_SHARE`], any tenant may add requests. Above
+//! it, a tenant may add requests only up to its weighted fair share among the
+//! recently active tenants, so that a large tenant can't starve a small one.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -15,19 +13,20 @@
 use super::MIN_RETRY_AFTER;
 use super::refusal::{AdmissionRefusal, LimitKind};
 
-/// Share of the queue from which on tenants are held to their fair shares.
-const CONTENDED: f64 = 0.5;
+/// Fill level of the queue above which tenants are held to their fair shares.
+const CONTENDED_SHARE: f64 = 0.5;
 
-/// Share of the queue that the lowest priority may fill; the highest may fill all.
+/// Share of the queue available to the lowest priority. The share grows linearly
+/// to the whole queue for the highest priority.
 const LOWEST_PRIORITY_SHARE: f64 = 0.7;
 
-/// Highest priority.
+/// Highest priority in the settings.
 const HIGHEST_PRIORITY: f64 = 9.0;
 
-/// A tenant counts as active for so long after its last request.
-const ACTIVE_FOR: Duration = Duration::from_secs(2);
+/// Time after its last request during which a tenant counts as active.
+const ACTIVITY_WINDOW: Duration = Duration::from_secs(2);
 
-/// Weight of the newest sample in the mean time that a token waits.
+/// Weight of the newest sample in the mean queueing time.
 const WAIT_GAIN: f64 = 0.05;
 
 #[derive(Clone, Debug)]
@@ -39,7 +38,7 @@
 
 impl TenantQueue {
     fn is_active(&self, now: Timestamp) -> bool {
-        self.waiting_tokens > 0 || now.since(self.active_at) < ACTIVE_FOR
+        self.waiting_tokens > 0 || now.since(self.active_at) < ACTIVITY_WINDOW
     }
 }
 
@@ -48,8 +47,8 @@
     capacity: f64,
     waiting_tokens: u64,
     tenants: HashMap<TenantName, TenantQueue>,
-    /// Mean time from admission to first token, in microseconds.
-    wait_us: f64,
+    /// Running mean of the time from admission to first token, in microseconds.
+    mean_wait_us: f64,
 }
 
 impl Default for FairQueue {
@@ -58,7 +57,7 @@
             capacity: f64::INFINITY,
             waiting_tokens: 0,
             tenants: HashMap::new(),
-            wait_us: MIN_RETRY_AFTER.as_micros() as f64,
+            mean_wait_us: MIN_RETRY_AFTER.as_micros() as f64,
         }
     }
 }
@@ -72,7 +71,7 @@
         self.capacity
     }
 
-    /// Whether the queue takes `tokens` more of `tenant`.
+    /// Checks whether `tenant` may add `tokens` to the queue.
     pub(super) fn check(
         &self,
         tenant: &TenantName,
@@ -80,27 +79,31 @@
         tokens: u32,
         now: Timestamp,
     ) -> Result<(), AdmissionRefusal> {
-        // An empty queue takes any request, however long.
+        // An empty queue accepts a request of any length.
         if self.waiting_tokens == 0 {
             return Ok(());
         }
         let filled = self.waiting_tokens as f64 + f64::from(tokens);
         let own = self.tenants.get(tenant).map_or(0, |queue| queue.waiting_tokens) as f64;
         let fair = self.fair_share(tenant, settings.share_weight, now);
-        if filled > CONTENDED * self.capacity && own > 0.0 && own + f64::from(tokens) > fair {
-            let over = own + f64::from(tokens) - fair;
-            return Err(self.refusal(LimitKind::FairShare, over, own));
+        if filled > CONTENDED_SHARE * self.capacity && own > 0.0 && own + f64::from(tokens) > fair {
+            let excess_tokens = own + f64::from(tokens) - fair;
+            return Err(self.refusal(LimitKind::FairShare, excess_tokens, own));
         }
         let priority = f64::from(settings.priority).min(HIGHEST_PRIORITY) / HIGHEST_PRIORITY;
-        let part = LOWEST_PRIORITY_SHARE + (1.0 - LOWEST_PRIORITY_SHARE) * priority;
-        if filled > part * self.capacity {
-            let over = filled - part * self.capacity;
-            return Err(self.refusal(LimitKind::Priority, over, self.waiting_tokens as f64));
+        let priority_share = LOWEST_PRIORITY_SHARE + (1.0 - LOWEST_PRIORITY_SHARE) * priority;
+        if filled > priority_share * self.capacity {
+            let excess_tokens = filled - priority_share * self.capacity;
+            return Err(self.refusal(
+                LimitKind::Priority,
+                excess_tokens,
+                self.waiting_tokens as f64,
+            ));
         }
         Ok(())
     }
 
-    /// Tokens of the queue that are `tenant`'s when all active ones want theirs.
+    /// Fair share of `tenant` among the active tenants, in tokens.
     fn fair_share(&self, tenant: &TenantName, weight: u32, now: Timestamp) -> f64 {
         let others = self.tenants.iter().filter(|(name, _)| *name != tenant);
         let active = others.filter(|(_, queue)| queue.is_active(now));
@@ -109,9 +112,15 @@
         self.capacity * own / (own + weights)
     }
 
-    /// `over` of the `waiting` tokens have to leave first, at the pace of late.
-    fn refusal(&self, limit: LimitKind, over: f64, waiting: f64) -> AdmissionRefusal {
-        let micros = self.wait_us * (over / waiting.max(1.0)).min(1.0);
+    /// Refusal with the expected time until `excess_tokens` of `queued_tokens` have
+    /// left the queue.
+    fn refusal(
+        &self,
+        limit: LimitKind,
+        excess_tokens: f64,
+        queued_tokens: f64,
+    ) -> AdmissionRefusal {
+        let micros = self.mean_wait_us * (excess_tokens / queued_tokens.max(1.0)).min(1.0);
         let retry_after = Duration::from_micros(micros as u64).max(MIN_RETRY_AFTER);
         AdmissionRefusal { limit, retry_after }
     }
@@ -146,7 +155,7 @@
             queue.waiting_tokens -= u64::from(tokens);
         }
         let waited = now.since(admitted_at).as_micros() as f64;
-        self.wait_us += WAIT_GAIN * (waited - self.wait_us);
+        self.mean_wait_us += WAIT_GAIN * (waited - self.mean_wait_us);
     }
 
     pub(super) fn maintain(&mut self, now: Timestamp) {
--- a/crates/routing/src/admission/refusal.rs
+++ b/crates/routing/src/admission/refusal.rs
@@ -1,24 +1,24 @@
-//! Why a request was not admitted.
+//! Refusals of admission.
 
 use std::time::Duration;
 
-/// The limit that a request would have broken.
+/// Limit that a refused request would have exceeded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum LimitKind {
-    /// Requests per second of the service.
+    /// Request rate of the service.
     Rate,
-    /// Requests in flight of the service.
+    /// Number of the service's requests in flight.
     Concurrency,
-    /// Share of the waiting work that the service may have.
+    /// Share of the queue that the service may use.
     QueueShare,
-    /// The queue is full and the tenant has its fair share of it.
+    /// Fair share of the tenant in a contended queue.
     FairShare,
-    /// The queue is too full for the request's priority.
+    /// Share of the queue available to the request's priority.
     Priority,
 }
 
 impl LimitKind {
-    /// The name in answers, logs and metrics.
+    /// Name of the limit in answers, logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             LimitKind::Rate => "rate",
@@ -36,12 +36,12 @@
     }
 }
 
-/// A request was not admitted; it was not run.
+/// Refusal of a request at admission. The request was not dispatched.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the limit {limit} is reached; retry after {} ms", .retry_after.as_millis())]
 pub struct AdmissionRefusal {
-    /// The limit.
+    /// Limit that was reached.
     pub limit: LimitKind,
-    /// When the request has a chance.
+    /// Delay after which a retry may succeed.
     pub retry_after: Duration,
 }
--- a/crates/routing/src/decide.rs
+++ b/crates/routing/src/decide.rs
@@ -1,9 +1,9 @@
-//! The decision: the engine with the least expected cost.
+//! Choice of the engine with the lowest expected cost.
 //!
-//! Among engines near the least cost the pick follows rendezvous hashing on the
-//! first block that none of them holds, so routers that miss the same prefix at
-//! the same moment compute it once, on one engine, while different prompts
-//! spread.
+//! Ties within a tolerance are broken by rendezvous hashing on the first block
+//! that no candidate has cached. Routers that dispatch the same uncached prefix
+//! at the same time thereby choose the same engine, while different prompts
+//! spread over the engines.
 
 use std::time::Duration;
 
@@ -16,22 +16,23 @@
 use crate::search::Search;
 use crate::table::EngineTable;
 
-/// Suggested pause while no engine serves the key: about as long as an engine
-/// takes to report again.
+/// Suggested retry delay while no engine serves the key: about one interval
+/// between load reports.
 const NO_ENGINE_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Why the engine was chosen.
+/// Reason for the choice of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// It holds as much of the prompt as any usable engine.
+    /// No usable engine has more of the prompt cached.
     BestHolder,
-    /// It holds part of the prompt; the engines with more of it are busier.
+    /// Part of the prompt is cached; engines with more of it are busier.
     Spread,
-    /// Nobody holds any of the prompt.
+    /// No usable engine has any of the prompt cached.
     NobodyHolds,
-    /// It holds none of the prompt; computing it costs less than to wait.
+    /// Nothing of the prompt is cached, but computing all of it costs less than
+    /// queueing at an engine with a cached prefix.
     LeastLoaded,
-    /// No engine has said yet that it serves the key; this one may.
+    /// No engine has reported what it serves yet.
     Unreported,
 }
 
@@ -53,60 +54,62 @@
     }
 }
 
-/// A wait for an attempt that is computing the prefix.
+/// Delay of a request until another attempt has computed the shared prefix.
 ///
-/// An engine shares a block only once it is computed. A request that arrives
-/// earlier computes the prefix a second time, behind the first in the same
-/// queue; sent when the first one has its first token, it finds the prefix and
-/// is served no later.
+/// An engine reuses a block only once it is computed. A request dispatched
+/// earlier would compute the prefix again, queued behind the first request. If
+/// dispatched after the first token of that request, it hits the cache and
+/// starts no later.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PrefixWait {
-    /// The router's own attempt, on the same engine. The wait is over when it
-    /// has its first token or has ended.
+    /// Attempt of this router on the same engine. The wait ends with the
+    /// attempt's first token or with its end.
     pub dispatch: DispatchId,
-    /// The wait is over after this time in any case.
+    /// Maximum time to wait.
     pub at_most: Duration,
 }
 
-/// The choice for one request.
+/// Routing decision for one request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Decision {
-    /// Where to send the request.
+    /// Chosen engine.
     pub engine: EngineId,
-    /// The life that the choice is about; `None` when the engine has not reported.
+    /// Incarnation of the chosen engine; `None` if the engine hasn't reported.
     pub incarnation: Option<Incarnation>,
-    /// Leading blocks that the engine should hold.
+    /// Leading blocks expected in the engine's cache.
     pub expected_blocks: u32,
-    /// Leading blocks to import from the store of kept KV cache first; zero for none.
+    /// Leading blocks to import from the external KV cache store before the
+    /// prefill; zero for no import.
     pub import_blocks: u32,
-    /// What to wait for before sending the request; `None` sends it at once.
+    /// Attempt to wait for before the dispatch; `None` dispatches at once.
     pub wait: Option<PrefixWait>,
-    /// Why this engine.
+    /// Reason for the choice.
     pub reason: Reason,
-    /// Engines that were considered.
+    /// Number of engines that serve the request's key.
     pub candidates: u32,
-    /// The parts of the expected cost.
+    /// Components of the expected cost.
     pub terms: CostTerms,
 }
 
-/// Why a request was not routed.
+/// Reason why a request was not routed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RefusalCode {
     /// No engine serves the model, adapter and weights.
     NoEngine,
-    /// Even without a queue the first token would come too late.
+    /// The first token would miss the deadline even without queueing.
     DeadlineTooShort,
-    /// The queues are too long for the deadline.
+    /// The engines' queues are too long for the deadline.
     Overloaded,
 }
 
-/// No engine can serve the request in time. Nothing was run.
+/// Refusal of a request that no engine can serve in time. The request was not
+/// dispatched.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{code}; retry after {} ms", .retry_after.as_millis())]
 pub struct Refusal {
-    /// Why.
+    /// Reason.
     pub code: RefusalCode,
-    /// When the request has a chance.
+    /// Delay after which a retry may succeed.
     pub retry_after: Duration,
 }
 
@@ -120,11 +123,12 @@
     }
 }
 
-/// Picks the engine for `request`. `holders` are the engines that hold its start.
+/// Chooses the engine for `request`. `holders` are the engines that have its
+/// leading blocks cached.
 ///
 /// # Errors
-/// A [`Refusal`] when no usable engine serves the request's key, or none is
-/// expected to give the first token in time.
+/// Returns a [`Refusal`] if no usable engine serves the request's key, or none
+/// is expected to return the first token in time.
 pub fn decide<R: Rng + ?Sized>(
     table: &EngineTable,
     holders: &[Holder],
@@ -134,6 +138,6 @@
 ) -> Result<Decision, Refusal> {
     let search = Search::new(table, holders, request, now);
     let survey = search.survey();
-    let nobody = Refusal { code: RefusalCode::NoEngine, retry_after: NO_ENGINE_RETRY_AFTER };
-    search.conclude(&survey, random.random()).unwrap_or(Err(nobody))
+    let no_engine = Refusal { code: RefusalCode::NoEngine, retry_after: NO_ENGINE_RETRY_AFTER };
+    search.decide(&survey, random.random()).unwrap_or(Err(no_engine))
 }
--- a/crates/routing/src/drain.rs
+++ b/crates/routing/src/drain.rs
@@ -1,18 +1,18 @@
-//! Which back ends are leaving, and who says so.
+//! Tracking of departing back ends.
 //!
-//! A back end gets no new work while any source says that it is leaving. The
-//! sources contradict each other now and then, because the platform's list
-//! lags; one that takes its word back doesn't overrule the others.
+//! A back end gets no new work while at least one source reports it as
+//! departing. Sources can disagree because the platform's list lags, so a source
+//! that withdraws its report doesn't override the others.
 
 use std::collections::HashMap;
 use std::hash::Hash;
 
 use juniper_types::EngineId;
 
-/// Who says that a back end is leaving.
+/// Source of a report that a back end is departing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum LeavingSource {
-    /// The platform's list of live and leaving machines.
+    /// The platform's list of live and departing machines.
     Platform,
     /// The settings tree.
     Settings,
@@ -30,7 +30,7 @@
     }
 }
 
-/// A set of sources that say so.
+/// Set of the sources that report a back end as departing.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct LeavingSources(u8);
 
@@ -43,7 +43,7 @@
         }
     }
 
-    pub(crate) fn says(self, source: LeavingSource) -> bool {
+    pub(crate) fn contains(self, source: LeavingSource) -> bool {
         self.0 & source.bit() != 0
     }
 
@@ -52,8 +52,7 @@
     }
 }
 
-/// Which back ends are leaving; for back ends other than engines, which
-/// [`crate::EngineTable`] tracks itself.
+/// Departing back ends other than engines. [`crate::EngineTable`] tracks engines.
 #[derive(Clone, Debug)]
 pub struct DrainTracker<K = EngineId> {
     leaving: HashMap<K, LeavingSources>,
@@ -66,12 +65,12 @@
 }
 
 impl<K: Copy + Eq + Hash> DrainTracker<K> {
-    /// Nobody is leaving.
+    /// Creates a tracker without departing back ends.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Notes what `source` says about `back_end`.
+    /// Records whether `source` reports `back_end` as departing.
     pub fn set_leaving(&mut self, back_end: K, source: LeavingSource, leaving: bool) {
         let sources = self.leaving.entry(back_end).or_default();
         sources.set(source, leaving);
@@ -80,12 +79,12 @@
         }
     }
 
-    /// Whether any source says that `back_end` is leaving.
+    /// Whether any source reports `back_end` as departing.
     pub fn is_leaving(&self, back_end: K) -> bool {
         self.leaving.contains_key(&back_end)
     }
 
-    /// Forgets a back end that is gone.
+    /// Removes a back end that no longer exists.
     pub fn remove(&mut self, back_end: K) {
         self.leaving.remove(&back_end);
     }
--- a/crates/routing/src/engine.rs
+++ b/crates/routing/src/engine.rs
@@ -1,4 +1,5 @@
-//! One engine as a router knows it: the last report and its own work since.
+//! State of one engine: its last load report and the requests that this router
+//! dispatched to it.
 
 use std::time::Duration;
 
@@ -11,106 +12,107 @@
 use crate::estimate::WorkRate;
 use crate::request::{DispatchId, DispatchedWork, ServingKey};
 
-/// An engine of the settings in force.
+/// Engine listed in the settings in force.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineDescriptor {
-    /// The engine.
+    /// Engine number.
     pub engine: EngineId,
-    /// Where it runs.
+    /// Zone that the engine runs in.
     pub zone: ZoneName,
 }
 
-/// A load report.
+/// Load report of an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineLoad {
-    /// Life of the engine that the report is of.
+    /// Incarnation that sent the report.
     pub incarnation: Incarnation,
-    /// Age of the report when it was read.
+    /// Age of the report when the router received it.
     pub age: Duration,
-    /// Requests in the batch.
+    /// Number of requests in the running batch.
     pub running: u32,
-    /// Requests waiting.
+    /// Number of queued requests.
     pub waiting: u32,
-    /// Prompt tokens of the waiting requests, cached or not.
+    /// Prompt tokens of the queued requests, cached or not.
     pub waiting_prompt_tokens: u64,
-    /// Model loaded, if any.
+    /// Loaded model, if any.
     pub model: Option<ModelName>,
-    /// Version of its weights.
+    /// Version of the loaded model's weights.
     pub weights: WeightsVersion,
-    /// Adapters loaded.
+    /// Loaded adapters.
     pub adapters: Vec<AdapterName>,
-    /// Whether the engine takes no new work.
+    /// Whether the engine is departing and takes no new work.
     pub leaving: bool,
 }
 
-/// What a table knows of one engine, for status pages and tests.
+/// Snapshot of one engine's state for status pages and tests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineView {
-    /// Where it runs.
+    /// Zone that the engine runs in.
     pub zone: ZoneName,
-    /// Its life, unless it is down or has not reported.
+    /// Current incarnation; `None` while the engine is down or hasn't reported.
     pub incarnation: Option<Incarnation>,
-    /// Whether it doesn't answer.
+    /// Whether the engine is marked as unreachable.
     pub down: bool,
-    /// Whether anybody says that it is leaving.
+    /// Whether any source reports the engine as departing.
     pub leaving: bool,
-    /// Expected time until it starts on new work.
+    /// Expected queueing time of a new request.
     pub queue: Duration,
-    /// The router's own attempts under way.
+    /// Number of this router's attempts in flight.
     pub own_in_flight: usize,
 }
 
-/// Means over the router's own work, which stand for that of other routers.
+/// Running means over this router's requests, used as estimates for the
+/// requests of other routers.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct OwnWork {
-    /// Tokens computed for a request.
+pub(crate) struct OwnWorkMeans {
+    /// Prefill tokens of a request.
     pub(crate) missed_tokens: f64,
-    /// Share of a prompt that is computed.
-    pub(crate) missed_share: f64,
-    /// Share of the attempts under way that wait for their first token.
+    /// Share of a prompt's tokens that miss the cache.
+    pub(crate) prefill_share_of_prompt: f64,
+    /// Share of an attempt's time before its first token.
     pub(crate) prefill_share: f64,
-    /// Time from dispatch to end, in microseconds.
+    /// Time from dispatch to completion, in microseconds.
     pub(crate) residence_us: f64,
 }
 
-/// Weight of the newest sample in running means.
+/// Weight of the newest sample in the running means.
 const MEAN_GAIN: f64 = 0.02;
 
-impl Default for OwnWork {
+impl Default for OwnWorkMeans {
     fn default() -> Self {
-        OwnWork {
+        OwnWorkMeans {
             missed_tokens: 500.0,
-            missed_share: 0.5,
+            prefill_share_of_prompt: 0.5,
             prefill_share: 0.2,
             residence_us: 2_000_000.0,
         }
     }
 }
 
-fn track(mean: &mut f64, sample: f64) {
+fn update_mean(mean: &mut f64, sample: f64) {
     *mean += MEAN_GAIN * (sample - *mean);
 }
 
-impl OwnWork {
-    pub(crate) fn note_dispatch(&mut self, work: DispatchedWork) {
+impl OwnWorkMeans {
+    pub(crate) fn record_dispatch(&mut self, work: DispatchedWork) {
         let prompt = f64::from(work.prompt_tokens.max(1));
-        track(&mut self.missed_tokens, f64::from(work.missed_tokens));
-        track(&mut self.missed_share, f64::from(work.missed_tokens) / prompt);
+        update_mean(&mut self.missed_tokens, f64::from(work.missed_tokens));
+        update_mean(&mut self.prefill_share_of_prompt, f64::from(work.missed_tokens) / prompt);
     }
 
-    pub(crate) fn note_end(&mut self, dispatch: &Dispatch, now: Timestamp) {
+    pub(crate) fn record_end(&mut self, dispatch: &Dispatch, now: Timestamp) {
         let residence = now.since(dispatch.at).as_micros() as f64;
-        track(&mut self.residence_us, residence);
+        update_mean(&mut self.residence_us, residence);
         if let Some(first_token_at) = dispatch.first_token_at
             && residence > 0.0
         {
             let prefill = first_token_at.since(dispatch.at).as_micros() as f64;
-            track(&mut self.prefill_share, prefill / residence);
+            update_mean(&mut self.prefill_share, prefill / residence);
         }
     }
 }
 
-/// One attempt of this router under way.
+/// Attempt of this router in flight.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Dispatch {
     pub(crate) id: DispatchId,
@@ -119,16 +121,16 @@
     pub(crate) first_token_at: Option<Timestamp>,
 }
 
-/// What the last report said of requests.
+/// Request counts of the last load report.
 #[derive(Clone, Copy, Debug)]
-struct ReportedLoad {
+struct ReportedRequests {
     taken_at: Timestamp,
     running: u32,
     waiting: u32,
     waiting_prompt_tokens: u64,
 }
 
-/// All that is known of one engine.
+/// State of one engine.
 #[derive(Clone, Debug)]
 pub(crate) struct Engine {
     pub(crate) id: EngineId,
@@ -138,9 +140,9 @@
     pub(crate) leaving: LeavingSources,
     model: Option<(ModelName, WeightsVersion)>,
     adapters: Vec<AdapterName>,
-    reported: Option<ReportedLoad>,
+    reported: Option<ReportedRequests>,
     dispatches: Vec<Dispatch>,
-    /// Own work sent lately.
+    /// Recent rate of work dispatched by this router.
     pub(crate) rate: WorkRate,
 }
 
@@ -164,12 +166,12 @@
         !self.down && !self.leaving.any()
     }
 
-    /// Whether the engine has said what it serves.
+    /// Whether the engine has sent a load report.
     pub(crate) fn is_known(&self) -> bool {
         self.reported.is_some()
     }
 
-    /// Every key that the engine serves.
+    /// Iterates over the keys that the engine serves.
     pub(crate) fn serving(&self) -> impl Iterator<Item = ServingKey> + '_ {
         let adapters = std::iter::once(None).chain(self.adapters.iter().cloned().map(Some));
         self.model.iter().flat_map(move |(model, weights)| {
@@ -178,7 +180,7 @@
         })
     }
 
-    /// Whether a report changes what the engine may be used for.
+    /// Whether a report changes the engine's group memberships.
     pub(crate) fn changes_service(&self, load: &EngineLoad) -> bool {
         let known = self.model.as_ref().map(|(model, weights)| (model, *weights));
         let now_serves = load.model.as_ref().map(|model| (model, load.weights));
@@ -186,12 +188,12 @@
             || self.down
             || known != now_serves
             || self.adapters != load.adapters
-            || self.leaving.says(LeavingSource::Engine) != load.leaving
+            || self.leaving.contains(LeavingSource::Engine) != load.leaving
     }
 
-    pub(crate) fn take_report(&mut self, load: &EngineLoad, now: Timestamp) {
+    pub(crate) fn apply_report(&mut self, load: &EngineLoad, now: Timestamp) {
         let age = u64::try_from(load.age.as_micros()).unwrap_or(u64::MAX);
-        self.reported = Some(ReportedLoad {
+        self.reported = Some(ReportedRequests {
             taken_at: Timestamp(now.0.saturating_sub(age)),
             running: load.running,
             waiting: load.waiting,
@@ -200,7 +202,7 @@
         self.down = false;
         if self.incarnation != Some(load.incarnation) {
             self.incarnation = Some(load.incarnation);
-            // What was sent to an earlier life is no work for this one.
+            // Requests dispatched to an earlier incarnation ended with it.
             self.dispatches.clear();
         }
         self.leaving.set(LeavingSource::Engine, load.leaving);
@@ -216,12 +218,13 @@
         self.dispatches.clear();
     }
 
-    pub(crate) fn add(&mut self, dispatch: Dispatch) {
+    pub(crate) fn add_dispatch(&mut self, dispatch: Dispatch) {
         self.dispatches.push(dispatch);
     }
 
-    /// Notes the first token of an attempt; false when it is unknown or had one.
-    pub(crate) fn first_token(&mut self, id: DispatchId, now: Timestamp) -> bool {
+    /// Records the first token of an attempt. Returns false if the attempt is
+    /// unknown or its first token was recorded before.
+    pub(crate) fn record_first_token(&mut self, id: DispatchId, now: Timestamp) -> bool {
         let dispatch = self.dispatches.iter_mut().find(|dispatch| dispatch.id == id);
         match dispatch {
             Some(dispatch) if dispatch.first_token_at.is_none() => {
@@ -232,13 +235,13 @@
         }
     }
 
-    /// Whether an own attempt is there and waits for its first token.
+    /// Whether an attempt of this router is in flight without a first token.
     pub(crate) fn is_prefilling(&self, id: DispatchId) -> bool {
         let dispatch = self.dispatches.iter().find(|dispatch| dispatch.id == id);
         dispatch.is_some_and(|dispatch| dispatch.first_token_at.is_none())
     }
 
-    pub(crate) fn remove(&mut self, id: DispatchId) -> Option<Dispatch> {
+    pub(crate) fn remove_dispatch(&mut self, id: DispatchId) -> Option<Dispatch> {
         let position = self.dispatches.iter().position(|dispatch| dispatch.id == id)?;
         Some(self.dispatches.remove(position))
     }
@@ -247,31 +250,32 @@
         self.dispatches.len()
     }
 
-    /// Own tokens that are still to be computed.
+    /// Prefill tokens of this router's attempts without a first token.
     pub(crate) fn own_pending_tokens(&self) -> u64 {
         let pending = self.dispatches.iter().filter(|dispatch| dispatch.first_token_at.is_none());
         pending.map(|dispatch| u64::from(dispatch.missed_tokens)).sum()
     }
 
-    /// Work of other routers in the last report, in microseconds. What is
-    /// running there beyond the own attempts is taken to be like the own ones.
-    pub(crate) fn others_us(&self, own: &OwnWork, model: &CostModel) -> f64 {
+    /// Pending work of other routers at the last report, in microseconds. Requests
+    /// of other routers are assumed to resemble this router's own.
+    pub(crate) fn other_routers_us(&self, own: &OwnWorkMeans, model: &CostModel) -> f64 {
         let Some(reported) = self.reported else {
             return 0.0;
         };
-        let sent_before = self.dispatches.iter().filter(|dispatch| dispatch.at < reported.taken_at);
-        let own_then = sent_before.count() as f64;
+        let dispatched_before =
+            self.dispatches.iter().filter(|dispatch| dispatch.at < reported.taken_at);
+        let own_reported = dispatched_before.count() as f64;
         let in_engine = f64::from(reported.running) + f64::from(reported.waiting);
-        let others_share = ((in_engine - own_then) / in_engine.max(1.0)).clamp(0.0, 1.0);
+        let others_share = ((in_engine - own_reported) / in_engine.max(1.0)).clamp(0.0, 1.0);
         let prefilling = f64::from(reported.running) * own.prefill_share;
         let running_tokens = prefilling * own.missed_tokens / 2.0;
-        let waiting_tokens = reported.waiting_prompt_tokens as f64 * own.missed_share;
+        let waiting_tokens = reported.waiting_prompt_tokens as f64 * own.prefill_share_of_prompt;
         others_share * (running_tokens + waiting_tokens) * model.token_us
     }
 
-    /// Time until the batch has room, in microseconds: requests wait only while
-    /// it has none.
-    pub(crate) fn batch_wait_us(&self, own: &OwnWork) -> f64 {
+    /// Expected time until the batch has room, in microseconds. An engine queues
+    /// requests only while its batch is full.
+    pub(crate) fn batch_wait_us(&self, own: &OwnWorkMeans) -> f64 {
         match self.reported {
             Some(reported) if reported.waiting > 0 && reported.running > 0 => {
                 let turns = f64::from(reported.waiting) / f64::from(reported.running);
@@ -281,7 +285,7 @@
         }
     }
 
-    /// Whether anything was running at the last report or was sent since.
+    /// Whether requests were running at the last report or were dispatched since.
     pub(crate) fn is_busy(&self) -> bool {
         !self.dispatches.is_empty() || self.reported.is_some_and(|load| load.running > 0)
     }
--- a/crates/routing/src/estimate.rs
+++ b/crates/routing/src/estimate.rs
@@ -1,25 +1,24 @@
-//! What a decision reads of each engine, kept small so that 1,500 of them are
-//! scanned within microseconds.
+//! Compact per-engine estimates that a decision scans for every engine.
 
 use juniper_types::{EngineId, Timestamp};
 
-use crate::cost::{ARRIVALS_PER_US, CostModel, CostTerms, Price, Score};
+use crate::cost::{ARRIVALS_PER_US, CostFunction, CostModel, CostTerms, Score};
 
-/// Time over which the rate of work of an engine is averaged, in microseconds.
+/// Averaging window of an engine's rate of work, in microseconds.
 const RATE_WINDOW_US: f64 = 1_000_000.0;
 
-/// Utilisation above which the expected queue is no longer extrapolated.
+/// Upper bound of the utilisation in the estimate of queue growth.
 const MAX_UTILISATION: f64 = 0.95;
 
-/// The expected queue of one engine: 24 bytes, as a scan of many waits for memory
-/// rather than for arithmetic. Single precision tells microseconds apart up to
-/// 16 s.
+/// Expected queue of one engine. Compact (24 bytes), because scans of many
+/// engines are bound by memory access. Single precision resolves microseconds up
+/// to 16 s.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Estimate {
-    /// When the own work there will be computed.
-    own_until: Timestamp,
-    /// What is before a request beside the own work, in microseconds.
-    fixed_queue_us: f32,
+    /// Expected completion of this router's work on the engine.
+    own_work_until: Timestamp,
+    /// Queue ahead of a request apart from this router's work, in microseconds.
+    other_queue_us: f32,
     transfer_us: f32,
     pressure_us: f32,
     pub(crate) engine: EngineId,
@@ -28,15 +27,15 @@
 impl Estimate {
     pub(crate) fn new(engine: EngineId, transfer_us: f64) -> Self {
         Estimate {
-            own_until: Timestamp::ZERO,
-            fixed_queue_us: 0.0,
+            own_work_until: Timestamp::ZERO,
+            other_queue_us: 0.0,
             transfer_us: transfer_us as f32,
             pressure_us: 0.0,
             engine,
         }
     }
 
-    /// The estimate of an engine about which nothing is known.
+    /// Resets the estimate to that of an engine without reports or work.
     pub(crate) fn reset(&mut self) {
         *self = Estimate::new(self.engine, f64::from(self.transfer_us));
     }
@@ -45,42 +44,43 @@
         self.transfer_us = transfer_us as f32;
     }
 
-    /// Work of other routers, and half an iteration if anything runs.
-    pub(crate) fn set_queue(&mut self, others_us: f64, busy: bool, model: &CostModel) {
+    /// Sets the queue apart from this router's work: work of other routers, plus
+    /// the start time of a busy engine.
+    pub(crate) fn set_queue(&mut self, other_routers_us: f64, busy: bool, model: &CostModel) {
         let start_us = if busy { model.busy_start_us } else { 0.0 };
-        self.fixed_queue_us = (others_us + start_us) as f32;
+        self.other_queue_us = (other_routers_us + start_us) as f32;
     }
 
-    /// Expected growth of the queue at this rate of work (as in a queue with
-    /// one server), which grows before the queue does.
+    /// Sets the expected growth of the queue from the rate of work, as in a
+    /// single-server queue. It rises before the queue does.
     pub(crate) fn set_rate(&mut self, rate: &WorkRate, model: &CostModel, now: Timestamp) {
         let utilisation = rate.at(now).min(MAX_UTILISATION);
         let growth = utilisation / (1.0 - utilisation);
         self.pressure_us = (model.pressure_factor * model.busy_start_us * growth) as f32;
     }
 
-    /// Adds own work to the end of the queue.
+    /// Appends work of this router to the queue.
     pub(crate) fn add_work(&mut self, work_us: f64, now: Timestamp) {
-        self.own_until = Timestamp(self.own_until.max(now).0 + work_us as u64);
+        self.own_work_until = Timestamp(self.own_work_until.max(now).0 + work_us as u64);
     }
 
-    /// Own work of `left_us` is all that is left from `now` on.
-    pub(crate) fn restart_work(&mut self, left_us: f64, now: Timestamp) {
-        self.own_until = Timestamp(now.0 + left_us as u64);
+    /// Replaces this router's pending work by `remaining_us` from `now` on.
+    pub(crate) fn reset_work(&mut self, remaining_us: f64, now: Timestamp) {
+        self.own_work_until = Timestamp(now.0 + remaining_us as u64);
     }
 
     pub(crate) fn queue_us(&self, now: Timestamp) -> f32 {
-        // Signed numbers turn into floating point in one instruction.
-        let own = (self.own_until.0 as i64 - now.0 as i64).max(0);
-        own as f32 + self.fixed_queue_us
+        // Signed integers convert to floating point in one instruction.
+        let own = (self.own_work_until.0 as i64 - now.0 as i64).max(0);
+        own as f32 + self.other_queue_us
     }
 
-    /// The score of work with this price here.
-    pub(crate) fn score(&self, price: &Price, now: Timestamp) -> Score {
-        price.score(self.queue_us(now), self.transfer_us, self.pressure_us)
+    /// Score of this engine under a cost function.
+    pub(crate) fn score(&self, cost_function: &CostFunction, now: Timestamp) -> Score {
+        cost_function.score(self.queue_us(now), self.transfer_us, self.pressure_us)
     }
 
-    /// The parts of the cost of a request that needs `compute_us` and `import_us` here.
+    /// Cost components of a request that needs `compute_us` and `import_us` here.
     pub(crate) fn terms(
         &self,
         model: &CostModel,
@@ -100,20 +100,21 @@
     }
 }
 
-/// Own work sent to one engine lately, in microseconds for each microsecond.
+/// Rate of work that this router dispatches to one engine, in microseconds of
+/// work per microsecond.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct WorkRate {
     rate: f64,
-    as_of: Timestamp,
+    updated_at: Timestamp,
 }
 
 impl WorkRate {
     pub(crate) fn at(&self, now: Timestamp) -> f64 {
-        let elapsed = now.0.saturating_sub(self.as_of.0) as f64;
+        let elapsed = now.0.saturating_sub(self.updated_at.0) as f64;
         self.rate / (1.0 + elapsed / RATE_WINDOW_US)
     }
 
     pub(crate) fn add(&mut self, work_us: f64, now: Timestamp) {
-        *self = WorkRate { rate: self.at(now) + work_us / RATE_WINDOW_US, as_of: now };
+        *self = WorkRate { rate: self.at(now) + work_us / RATE_WINDOW_US, updated_at: now };
     }
 }
--- a/crates/routing/src/groups.rs
+++ b/crates/routing/src/groups.rs
@@ -1,20 +1,20 @@
-//! Which engines may take new work, by what they serve.
+//! Usable engines, grouped by serving key.
 
 use std::collections::HashMap;
 
 use crate::engine::Engine;
 use crate::request::ServingKey;
 
-/// Position of an engine in the table.
+/// Index of an engine in the engine table.
 pub(crate) type Position = u32;
 
 const WORD_BITS: usize = u64::BITS as usize;
 
-/// Some engines of a table.
+/// Set of engines of a table.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Group {
     positions: Vec<Position>,
-    /// One bit for each position, for fast membership.
+    /// Bit set of the member positions.
     members: Vec<u64>,
 }
 
@@ -45,32 +45,32 @@
     }
 }
 
-/// The groups of a table.
+/// Groups of one engine table.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Groups {
     by_key: HashMap<ServingKey, Group>,
-    /// Usable engines that have not reported what they serve.
-    unknown: Group,
+    /// Usable engines without a load report.
+    unreported: Group,
     empty: Group,
 }
 
 impl Groups {
-    /// Engines that serve `key`.
+    /// Usable engines that serve `key`.
     pub(crate) fn serving(&self, key: &ServingKey) -> Option<&Group> {
         self.by_key.get(key)
     }
 
-    /// Usable engines that have not reported.
-    pub(crate) fn unknown(&self) -> &Group {
-        &self.unknown
+    /// Usable engines without a load report.
+    pub(crate) fn unreported(&self) -> &Group {
+        &self.unreported
     }
 
-    /// No engines.
-    pub(crate) fn none(&self) -> &Group {
+    /// The empty group.
+    pub(crate) fn empty(&self) -> &Group {
         &self.empty
     }
 
-    pub(crate) fn leave(&mut self, position: Position, engine: &Engine) {
+    pub(crate) fn remove_engine(&mut self, position: Position, engine: &Engine) {
         for key in engine.serving() {
             if let Some(group) = self.by_key.get_mut(&key) {
                 group.remove(position);
@@ -79,15 +79,15 @@
                 }
             }
         }
-        self.unknown.remove(position);
+        self.unreported.remove(position);
     }
 
-    pub(crate) fn join(&mut self, position: Position, engine: &Engine) {
+    pub(crate) fn insert_engine(&mut self, position: Position, engine: &Engine) {
         if !engine.is_usable() {
             return;
         }
         if !engine.is_known() {
-            self.unknown.insert(position);
+            self.unreported.insert(position);
         }
         for key in engine.serving() {
             self.by_key.entry(key).or_default().insert(position);
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,9 +1,9 @@
-//! Pure routing decisions, admission limits, retry budgets and drains.
+//! Routing decisions, admission limits, retry budgets and draining.
 //!
-//! [`EngineTable`] is what one router knows of its engines: lagging load
-//! reports, its own work since, and who is leaving. [`decide`] picks the engine
-//! with the least expected cost for a request. Time and random numbers are
-//! passed in; nothing here performs I/O.
+//! [`EngineTable`] holds the state of the engines in one router: load reports,
+//! the router's own requests since, and departures. [`decide`] chooses the
+//! engine with the lowest expected cost for a request. Callers pass in time and
+//! random numbers; nothing here performs I/O.
 
 pub mod admission;
 mod cost;
--- a/crates/routing/src/positions.rs
+++ b/crates/routing/src/positions.rs
@@ -1,4 +1,4 @@
-//! Positions of engines in the table, by engine number.
+//! Map from engine numbers to positions in the engine table.
 
 use std::collections::HashMap;
 
@@ -6,12 +6,12 @@
 
 use crate::groups::Position;
 
-/// Numbers below this are looked up in an array: a decision may look up each of
-/// 1,500 holders, and fleets number their engines from small numbers on.
-const DENSE_NUMBERS: usize = 1 << 16;
+/// Engine numbers below this bound use an array, because one decision may look
+/// up more than a thousand holders.
+const DENSE_ENGINE_NUMBERS: usize = 1 << 16;
 
-/// Marks a number without an engine.
-const NONE: Position = Position::MAX;
+/// Array entry of a number without an engine.
+const VACANT: Position = Position::MAX;
 
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Positions {
@@ -22,7 +22,7 @@
 impl Positions {
     pub(crate) fn get(&self, engine: EngineId) -> Option<Position> {
         match self.dense.get(engine.0 as usize) {
-            Some(&NONE) => None,
+            Some(&VACANT) => None,
             Some(position) => Some(*position),
             None => self.sparse.get(&engine).copied(),
         }
@@ -30,19 +30,19 @@
 
     pub(crate) fn insert(&mut self, engine: EngineId, position: Position) {
         let number = engine.0 as usize;
-        if number >= DENSE_NUMBERS {
+        if number >= DENSE_ENGINE_NUMBERS {
             self.sparse.insert(engine, position);
             return;
         }
         if number >= self.dense.len() {
-            self.dense.resize(number + 1, NONE);
+            self.dense.resize(number + 1, VACANT);
         }
         self.dense[number] = position;
     }
 
     pub(crate) fn remove(&mut self, engine: EngineId) {
         match self.dense.get_mut(engine.0 as usize) {
-            Some(position) => *position = NONE,
+            Some(position) => *position = VACANT,
             None => {
                 self.sparse.remove(&engine);
             }
--- a/crates/routing/src/request.rs
+++ b/crates/routing/src/request.rs
@@ -1,4 +1,4 @@
-//! What a decision is asked about, and the work that follows from it.
+//! Requests to route and the work of their attempts.
 
 use std::time::Duration;
 
@@ -10,27 +10,27 @@
 
 use crate::cost::CostWeights;
 
-/// What must be loaded on an engine for a request to run there.
+/// Model, adapter and weights that a request needs on its engine.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServingKey {
     /// Base model.
     pub model: ModelName,
-    /// Adapter beside it, if any.
+    /// Adapter on top of the base model, if any.
     pub adapter: Option<AdapterName>,
     /// Version of the model's weights.
     pub weights: WeightsVersion,
 }
 
-/// Identifies one attempt among the router's own work.
+/// Identifier of one attempt, unique within a router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct DispatchId(pub u64);
 
-/// The work that an attempt brings to its engine.
+/// Work of an attempt on its engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DispatchedWork {
-    /// Tokens of the prompt.
+    /// Number of tokens of the prompt.
     pub prompt_tokens: u32,
-    /// Tokens of it that the engine is expected to compute.
+    /// Tokens of the prompt that the engine is expected to compute.
     pub missed_tokens: u32,
 }
 
@@ -40,30 +40,31 @@
     }
 }
 
-/// One request to route.
+/// Request to route.
 #[derive(Clone, Copy, Debug)]
 pub struct RouteRequest<'a> {
-    /// What has to be loaded.
+    /// Model, adapter and weights that the engine must serve.
     pub serving: &'a ServingKey,
-    /// Full blocks of the prompt, as a hash chain.
+    /// Hash chain of the full blocks of the prompt.
     pub blocks: &'a [BlockHash],
-    /// Tokens of the prompt, the unfinished last block included.
+    /// Number of tokens of the prompt, including the partial last block.
     pub tokens: u32,
-    /// Leading blocks that the store of kept KV cache is known to hold.
+    /// Leading blocks known to be in the external KV cache store.
     pub importable_blocks: u32,
     /// Time from now within which the first token is due.
     pub first_token_within: Duration,
-    /// Engines that must not be used, such as those that failed already.
+    /// Engines that must not be chosen, such as those of failed attempts.
     pub excluded: &'a [EngineId],
-    /// Whether the request was accepted before and its engine failed. It is then
-    /// bound by its deadline only: refusing it would break what was begun.
+    /// Whether this is a retry of an accepted request whose engine failed. Such a
+    /// request is bound by its deadline alone, not by the length of queues.
     pub begun: bool,
-    /// Weights of the service in the cost.
+    /// Cost weights of the service.
     pub weights: CostWeights,
 }
 
 impl<'a> RouteRequest<'a> {
-    /// A request under `settings`; no engine is excluded, nothing importable.
+    /// Creates a request under `settings` without excluded engines or importable
+    /// blocks.
     pub fn new(
         settings: &EffectiveSettings,
         serving: &'a ServingKey,
@@ -82,11 +83,11 @@
         }
     }
 
-    /// Tokens to compute when the first `cached_blocks` blocks are cached. At
-    /// least one: the last token's output is always computed.
+    /// Prefill tokens with `cached_blocks` leading blocks cached; at least one,
+    /// because the last token is always computed.
     pub fn missed_tokens(&self, cached_blocks: u32) -> u32 {
-        let most = self.tokens.saturating_sub(1) / BLOCK_TOKENS;
-        let cached = PromptBlocks::tokens_in(cached_blocks.min(most) as usize);
+        let max_cached_blocks = self.tokens.saturating_sub(1) / BLOCK_TOKENS;
+        let cached = PromptBlocks::tokens_in(cached_blocks.min(max_cached_blocks) as usize);
         self.tokens.saturating_sub(cached)
     }
 }
--- a/crates/routing/src/retry.rs
+++ b/crates/routing/src/retry.rs
@@ -1,109 +1,112 @@
-//! Whether another attempt may follow a failed one.
+//! Retry policy and retry budget.
 //!
-//! Only what is repeatable is tried again, or what certainly did not run, and
-//! only within a budget: retries are a bounded share of the requests, so that
-//! a fault can't multiply the load that caused it.
+//! A request is retried only if it is safe to run twice or certainly did not
+//! run. The budget bounds retries to a share of the requests, so that a failure
+//! can't amplify the load that caused it.
 
 use std::time::Duration;
 
 use juniper_settings::TrafficKind;
 use juniper_types::Timestamp;
 
-/// Most attempts at one request, the first one included.
+/// Maximum number of attempts per request, including the first.
 pub const MAX_ATTEMPTS: u32 = 3;
 
-/// Retries that may be saved up for a burst of failures.
-const MAX_SAVED_RETRIES: f64 = 20.0;
+/// Maximum number of retries that the budget accumulates for bursts of failures.
+const MAX_ACCUMULATED_RETRIES: f64 = 20.0;
 
-/// Retries allowed per second however few requests come, so that a quiet
-/// service isn't left without any.
-const FLOOR_PER_SECOND: f64 = 1.0;
+/// Minimum refill rate of the budget, so that services with little traffic can
+/// retry.
+const MIN_RETRIES_PER_SECOND: f64 = 1.0;
 
-/// What came of the attempt before.
+/// Outcome of a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The back end said, or it is certain, that the request did not run.
+    /// The request certainly did not run.
     NotRun,
-    /// It may have run; nothing of the answer reached the caller.
+    /// The request may have run; nothing of the answer reached the caller.
     Unknown,
     /// Part of the answer reached the caller.
     PartlyAnswered,
 }
 
-/// What is asked about another attempt.
+/// Properties of a request that decide whether it may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryQuestion {
     /// Kind of traffic.
     pub kind: TrafficKind,
-    /// What came of the last attempt.
+    /// Outcome of the last attempt.
     pub outcome: AttemptOutcome,
-    /// Whether an answer can go on from where it broke off.
+    /// Whether a partial answer can be resumed.
     pub resumable: bool,
-    /// Attempts made so far.
+    /// Number of attempts so far.
     pub attempts: u32,
-    /// Time until the deadline.
+    /// Time left until the deadline.
     pub time_left: Duration,
-    /// Time that an attempt needs at least.
+    /// Minimum time needed for an attempt.
     pub time_needed: Duration,
 }
 
-/// Why there is no other attempt.
+/// Reason why a request is not retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RetryDenied {
-    /// The request may have run and must not run twice.
+    /// The request may have run and must run at most once.
     #[error("the request may have run and may not be repeated")]
     NotRepeatable,
-    /// Part of the answer is with the caller and the rest can't be had alone.
+    /// The caller has part of the answer, and the answer can't be resumed.
     #[error("the answer has begun and can't be resumed")]
     NotResumable,
-    /// [`MAX_ATTEMPTS`] were made.
+    /// All [`MAX_ATTEMPTS`] were used.
     #[error("the request was tried {MAX_ATTEMPTS} times")]
     Attempts,
-    /// The deadline leaves no time.
+    /// The time until the deadline is too short for another attempt.
     #[error("the deadline leaves no time for another attempt")]
     Deadline,
-    /// The retry budget is spent.
+    /// The retry budget is exhausted.
     #[error("the retry budget is spent")]
     Budget,
 }
 
-/// Retries allowed: a share of the requests, saved up to a limit.
+/// Budget of retries: a share of the requests, accumulated up to a limit.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     share: f64,
-    saved: f64,
+    available: f64,
     refilled_at: Timestamp,
 }
 
 impl RetryBudget {
-    /// A budget of `percent` retries per hundred requests, with some saved.
+    /// Creates a full budget that grows by `percent` retries per hundred requests.
     pub fn new(percent: u8) -> Self {
-        let mut budget =
-            RetryBudget { share: 0.0, saved: MAX_SAVED_RETRIES, refilled_at: Timestamp::ZERO };
+        let mut budget = RetryBudget {
+            share: 0.0,
+            available: MAX_ACCUMULATED_RETRIES,
+            refilled_at: Timestamp::ZERO,
+        };
         budget.set_percent(percent);
         budget
     }
 
-    /// Changes the share for requests from now on. Zero allows no retries.
+    /// Sets the share of retries for later requests. Zero empties the budget.
     pub fn set_percent(&mut self, percent: u8) {
         self.share = f64::from(percent) / 100.0;
         if percent == 0 {
-            self.saved = 0.0;
+            self.available = 0.0;
         }
     }
 
-    /// Counts a caller's request.
+    /// Credits the budget for a caller's request.
     pub fn record_request(&mut self, now: Timestamp) {
         self.refill(now);
         self.add(self.share);
     }
 
-    /// Allows another attempt and takes it from the budget, or says why not.
+    /// Spends one retry of the budget if another attempt is allowed.
     ///
     /// # Errors
-    /// The first reason against it; the budget is not touched then.
+    /// Returns the first reason against a retry; the budget is then unchanged.
     pub fn decide(&mut self, question: &RetryQuestion, now: Timestamp) -> Result<(), RetryDenied> {
-        check_harmless(question)?;
+        check_retry_safety(question)?;
         if question.attempts >= MAX_ATTEMPTS {
             return Err(RetryDenied::Attempts);
         }
@@ -111,10 +114,10 @@
             return Err(RetryDenied::Deadline);
         }
         self.refill(now);
-        if self.saved < 1.0 {
+        if self.available < 1.0 {
             return Err(RetryDenied::Budget);
         }
-        self.saved -= 1.0;
+        self.available -= 1.0;
         Ok(())
     }
 
@@ -122,18 +125,18 @@
         let elapsed = now.since(self.refilled_at).as_secs_f64();
         self.refilled_at = self.refilled_at.max(now);
         if self.share > 0.0 {
-            self.add(elapsed * FLOOR_PER_SECOND);
+            self.add(elapsed * MIN_RETRIES_PER_SECOND);
         }
     }
 
     fn add(&mut self, retries: f64) {
-        self.saved = (self.saved + retries).min(MAX_SAVED_RETRIES);
+        self.available = (self.available + retries).min(MAX_ACCUMULATED_RETRIES);
     }
 }
 
-/// Guards the rule that what may not be repeated runs at most once, and that an
-/// answer never restarts in front of a caller who has part of it.
-fn check_harmless(question: &RetryQuestion) -> Result<(), RetryDenied> {
+/// Checks that an at-most-once request never runs twice and that an answer never
+/// restarts after the caller received part of it.
+fn check_retry_safety(question: &RetryQuestion) -> Result<(), RetryDenied> {
     if question.kind == TrafficKind::AtMostOnce && question.outcome != AttemptOutcome::NotRun {
         return Err(RetryDenied::NotRepeatable);
     }
--- a/crates/routing/src/search.rs
+++ b/crates/routing/src/search.rs
@@ -1,67 +1,67 @@
-//! The search for the engine with the least expected cost.
+//! Search for the engine with the lowest expected cost.
 //!
-//! One pass scores the holders of the prompt's start and every engine that
-//! serves the key, in a single list of a few bytes each; a second one over the
-//! list picks among those near the least cost.
+//! The first pass scores the engines with cached leading blocks and every engine
+//! that serves the key into one compact list. The second pass over this list
+//! chooses among the candidates near the lowest cost.
 
 use std::time::Duration;
 
 use juniper_prefix_index::{Holder, rendezvous};
 use juniper_types::Timestamp;
 
-use crate::cost::{CostModel, CostTerms, Fit, Price, QueueBounds, Score, least};
+use crate::cost::{CostFunction, CostModel, CostTerms, Fit, QueueBounds, Score, lowest_cost};
 use crate::decide::{Decision, PrefixWait, Reason, Refusal, RefusalCode};
 use crate::estimate::Estimate;
 use crate::groups::Group;
 use crate::request::{DispatchId, RouteRequest};
 use crate::table::EngineTable;
 
-/// Shortest suggested pause.
+/// Minimum suggested retry delay.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// Predicted blocks that are worth a wait.
+/// Minimum number of predicted blocks to wait for.
 const MIN_AWAITED_BLOCKS: u32 = 2;
 
-/// Time that a wait may take beyond twice the expected queue.
+/// Allowance on top of twice the expected queueing time.
 const WAIT_SLACK: Duration = Duration::from_millis(500);
 
-/// What the first pass found.
+/// Result of the first pass.
 pub(crate) struct Survey {
-    /// Scores of the holders and then of the group, in their order.
+    /// Scores of the holders, followed by those of the group members.
     scores: Vec<Score>,
-    /// Leading blocks that any engine holds at most.
-    most_blocks: u32,
-    /// The least cost of all, in time or not.
+    /// Largest number of leading blocks cached on one usable engine.
+    max_cached_blocks: u32,
+    /// Lowest cost of all candidates, whether they meet the deadline or not.
     least_cost: f32,
-    /// The fit that is asked for.
-    wanted: Fit,
-    /// The least cost with it.
-    least_wanted: f32,
+    /// Minimum fit of the chosen engine.
+    wanted_fit: Fit,
+    /// Lowest cost among the candidates with at least this fit.
+    least_wanted_cost: f32,
 }
 
 impl Survey {
-    /// When the cheapest engine is too late or full, one with a queue that would
-    /// have to compute more is no way out: it would only spread the overload, and
-    /// cost the fleet the cached prefix as well.
-    fn new(scores: Vec<Score>, most_blocks: u32) -> Self {
-        let least_cost = least(&scores, Fit::UNFIT);
-        let timely = least(&scores, Fit::TIMELY);
-        let (wanted, least_wanted) = if least_cost < timely {
-            (Fit::CALM, least(&scores, Fit::CALM))
+    /// If the cheapest engine is too late or full, only engines with a short queue
+    /// are acceptable. Any other engine with a queue would have to compute more of
+    /// the prompt, which spreads the overload and wastes the cached prefix.
+    fn new(scores: Vec<Score>, max_cached_blocks: u32) -> Self {
+        let least_cost = lowest_cost(&scores, Fit::UNFIT);
+        let timely = lowest_cost(&scores, Fit::TIMELY);
+        let (wanted_fit, least_wanted_cost) = if least_cost < timely {
+            (Fit::SHORT_QUEUE, lowest_cost(&scores, Fit::SHORT_QUEUE))
         } else {
             (Fit::TIMELY, timely)
         };
-        Survey { scores, most_blocks, least_cost, wanted, least_wanted }
+        Survey { scores, max_cached_blocks, least_cost, wanted_fit, least_wanted_cost }
     }
 
-    /// Place of the least cost of all, unless there is no candidate.
+    /// Index of the lowest score; `None` if there is no candidate.
     fn cheapest(&self) -> Option<usize> {
-        let place = self.scores.iter().position(|score| score.cost <= self.least_cost);
-        place.filter(|_| self.least_cost.is_finite())
+        let index = self.scores.iter().position(|score| score.cost <= self.least_cost);
+        index.filter(|_| self.least_cost.is_finite())
     }
 }
 
-/// One engine in full.
+/// Candidate engine with its work and cost.
 struct Candidate<'a> {
     estimate: &'a Estimate,
     holder: Option<&'a Holder>,
@@ -96,77 +96,74 @@
         Search { table, group: table.group(request.serving), holders, request, bounds, now }
     }
 
-    /// Scores every candidate. Holders come twice, the second time as if they
-    /// held nothing, which never is the better score.
+    /// Scores every candidate. Holders appear twice: the second entry ignores their
+    /// cached blocks and never scores better than the first.
     pub(crate) fn survey(&self) -> Survey {
         let members = self.group.positions();
         let mut scores = Vec::with_capacity(self.holders.len() + members.len());
-        let mut most_blocks = 0;
-        let mut priced = 0;
-        let mut price = self.price(self.work(priced));
+        let mut max_cached_blocks = 0;
+        let mut priced_blocks = 0;
+        let mut cost_function = self.cost_function(self.work(priced_blocks));
         for holder in self.holders {
             let Some(estimate) = self.holder_estimate(holder) else {
                 scores.push(Score::UNFIT);
                 continue;
             };
-            // Many engines hold the same outer prefix and no more.
-            if holder.blocks != priced {
-                priced = holder.blocks;
-                price = self.price(self.work(priced));
+            // Consecutive holders often have the same number of blocks cached.
+            if holder.blocks != priced_blocks {
+                priced_blocks = holder.blocks;
+                cost_function = self.cost_function(self.work(priced_blocks));
             }
-            most_blocks = most_blocks.max(holder.blocks);
-            scores.push(estimate.score(&price, self.now));
+            max_cached_blocks = max_cached_blocks.max(holder.blocks);
+            scores.push(estimate.score(&cost_function, self.now));
         }
-        let price = self.price(self.work(0));
+        let cost_function = self.cost_function(self.work(0));
         let estimates = &self.table.estimates;
-        scores
-            .extend(members.iter().map(|place| estimates[*place as usize].score(&price, self.now)));
+        scores.extend(
+            members.iter().map(|index| estimates[*index as usize].score(&cost_function, self.now)),
+        );
         self.exclude(&mut scores);
-        Survey::new(scores, most_blocks)
+        Survey::new(scores, max_cached_blocks)
     }
 
     fn exclude(&self, scores: &mut [Score]) {
         if self.request.excluded.is_empty() {
             return;
         }
-        for (place, score) in scores.iter_mut().enumerate() {
-            let engine = self.estimate(place).map(|estimate| estimate.engine);
+        for (index, score) in scores.iter_mut().enumerate() {
+            let engine = self.estimate(index).map(|estimate| estimate.engine);
             if engine.is_some_and(|engine| self.request.excluded.contains(&engine)) {
                 *score = Score::UNFIT;
             }
         }
     }
 
-    /// The estimate of a holder that may take new work of the key. What another
-    /// life of the engine held doesn't count.
+    /// Estimate of a holder that may take new work for the key. Blocks cached by
+    /// another incarnation don't count.
     fn holder_estimate(&self, holder: &Holder) -> Option<&'a Estimate> {
         let position = self.table.position(holder.engine)?;
-        let counts = self.table.lives[position as usize] == Some(holder.incarnation);
-        let usable = counts && self.group.contains(position);
+        let is_current = self.table.incarnations[position as usize] == Some(holder.incarnation);
+        let usable = is_current && self.group.contains(position);
         usable.then(|| &self.table.estimates[position as usize])
     }
 
-    /// What is left to do where `blocks` blocks are cached.
+    /// Work that remains on an engine with `blocks` leading blocks cached.
     fn work(&self, blocks: u32) -> Work {
-        Work::least(&self.table.model, self.request, blocks)
+        Work::lowest_cost(&self.table.model, self.request, blocks)
     }
 
     fn terms(&self, estimate: &Estimate, work: Work) -> CostTerms {
         estimate.terms(&self.table.model, work.compute_us, work.import_us, self.now)
     }
 
-    fn price(&self, work: Work) -> Price {
+    fn cost_function(&self, work: Work) -> CostFunction {
         let Work { compute_us, import_us, .. } = work;
         let weights = self.request.weights;
-        Price::new(&self.table.model, weights, compute_us, import_us, self.bounds)
+        CostFunction::new(&self.table.model, weights, compute_us, import_us, self.bounds)
     }
 
-    /// The decision, or the refusal; `None` when there is no candidate at all.
-    pub(crate) fn conclude(
-        &self,
-        survey: &Survey,
-        random: u64,
-    ) -> Option<Result<Decision, Refusal>> {
+    /// Returns the decision or the refusal; `None` if there is no candidate.
+    pub(crate) fn decide(&self, survey: &Survey, random: u64) -> Option<Result<Decision, Refusal>> {
         let Some(chosen) = self.pick(survey, random) else {
             let cheapest = self.candidate(survey.cheapest()?)?;
             return Some(Err(self.refusal(&cheapest.terms)));
@@ -174,27 +171,27 @@
         self.candidate(chosen).map(|chosen| Ok(self.decision(survey, &chosen)))
     }
 
-    /// Place of the best-ranked candidate among those near the least cost.
+    /// Index of the highest-ranked candidate among those near the lowest cost.
     fn pick(&self, survey: &Survey, random: u64) -> Option<usize> {
-        let bound = survey.least_wanted + self.table.model.near_equal_us as f32;
-        let near = |score: &Score| score.cost <= bound && score.fit >= survey.wanted;
+        let bound = survey.least_wanted_cost + self.table.model.near_equal_us as f32;
+        let near = |score: &Score| score.cost <= bound && score.fit >= survey.wanted_fit;
         let key = self.spread_key(survey, near, random);
-        let mut first: Option<(u64, usize)> = None;
-        for (place, score) in survey.scores.iter().enumerate() {
+        let mut best: Option<(u64, usize)> = None;
+        for (index, score) in survey.scores.iter().enumerate() {
             if !near(score) {
                 continue;
             }
-            let rank = rendezvous::score(key, u64::from(self.estimate(place)?.engine.0));
-            // Of a holder's two places the first counts what it holds.
-            if first.is_none_or(|(known, _)| rank > known) {
-                first = Some((rank, place));
+            let rank = rendezvous::score(key, u64::from(self.estimate(index)?.engine.0));
+            // Of a holder's two entries, the first includes its cached blocks.
+            if best.is_none_or(|(known, _)| rank > known) {
+                best = Some((rank, index));
             }
         }
-        first.map(|(_, place)| place)
+        best.map(|(_, index)| index)
     }
 
-    /// Names the first block that none of those near the least cost holds, or
-    /// nothing in particular.
+    /// Rendezvous key: the first block that no candidate near the lowest cost has
+    /// cached, or `random` if all blocks are cached.
     fn spread_key(&self, survey: &Survey, near: impl Fn(&Score) -> bool, random: u64) -> u64 {
         let scored = self.holders.iter().zip(&survey.scores);
         let held = scored.filter(|(_, score)| near(score)).map(|(holder, _)| holder.blocks);
@@ -204,28 +201,28 @@
         }
     }
 
-    fn estimate(&self, place: usize) -> Option<&'a Estimate> {
-        if let Some(holder) = self.holders.get(place) {
+    fn estimate(&self, index: usize) -> Option<&'a Estimate> {
+        if let Some(holder) = self.holders.get(index) {
             return self.holder_estimate(holder);
         }
-        let position = self.group.positions().get(place - self.holders.len())?;
+        let position = self.group.positions().get(index - self.holders.len())?;
         self.table.estimates.get(*position as usize)
     }
 
-    fn candidate(&self, place: usize) -> Option<Candidate<'a>> {
-        let estimate = self.estimate(place)?;
-        let holder = self.holders.get(place);
+    fn candidate(&self, index: usize) -> Option<Candidate<'a>> {
+        let estimate = self.estimate(index)?;
+        let holder = self.holders.get(index);
         let work = self.work(holder.map_or(0, |holder| holder.blocks));
         Some(Candidate { estimate, holder, work, terms: self.terms(estimate, work) })
     }
 
     fn decision(&self, survey: &Survey, chosen: &Candidate<'_>) -> Decision {
-        let incarnation = self.table.life(chosen.estimate.engine);
+        let incarnation = self.table.incarnation(chosen.estimate.engine);
         let reason = match (incarnation, chosen.blocks()) {
             (None, _) => Reason::Unreported,
-            (_, 0) if survey.most_blocks == 0 => Reason::NobodyHolds,
+            (_, 0) if survey.max_cached_blocks == 0 => Reason::NobodyHolds,
             (_, 0) => Reason::LeastLoaded,
-            (_, blocks) if blocks == survey.most_blocks => Reason::BestHolder,
+            (_, blocks) if blocks == survey.max_cached_blocks => Reason::BestHolder,
             _ => Reason::Spread,
         };
         Decision {
@@ -240,7 +237,7 @@
         }
     }
 
-    /// The wait for the attempt that computes the chosen engine's predicted blocks.
+    /// Wait for the attempt that computes the chosen engine's predicted blocks.
     fn wait(&self, chosen: &Candidate<'_>) -> Option<PrefixWait> {
         let holder = chosen.holder?;
         let dispatch = DispatchId(holder.computed_by?.0);
@@ -253,7 +250,8 @@
         Some(PrefixWait { dispatch, at_most })
     }
 
-    /// The queue has to drain until it has room and the first token isn't late.
+    /// Refusal with the time after which the queue has room and the first token
+    /// would meet the deadline.
     fn refusal(&self, cheapest: &CostTerms) -> Refusal {
         let late_us = cheapest.first_token_us() - self.bounds.within_us;
         let code = if late_us > cheapest.queue_us {
@@ -267,7 +265,7 @@
     }
 }
 
-/// Computing and importing that a request needs on one engine.
+/// Prefill and import work of a request on one engine.
 #[derive(Clone, Copy, Debug)]
 struct Work {
     compute_us: f64,
@@ -276,18 +274,18 @@
 }
 
 impl Work {
-    fn least(model: &CostModel, request: &RouteRequest<'_>, blocks: u32) -> Work {
+    fn lowest_cost(model: &CostModel, request: &RouteRequest<'_>, blocks: u32) -> Work {
         let compute_us = f64::from(request.missed_tokens(blocks)) * model.token_us;
         let computed = Work { compute_us, import_us: 0.0, import_blocks: 0 };
         let imported = request.importable_blocks.saturating_sub(blocks);
         if imported == 0 {
             return computed;
         }
-        let rest_us = f64::from(request.missed_tokens(blocks + imported)) * model.token_us;
+        let remaining_us = f64::from(request.missed_tokens(blocks + imported)) * model.token_us;
         let import_us = f64::from(imported) * model.import_block_us;
-        if rest_us + import_us >= compute_us {
+        if remaining_us + import_us >= compute_us {
             return computed;
         }
-        Work { compute_us: rest_us, import_us, import_blocks: blocks + imported }
+        Work { compute_us: remaining_us, import_us, import_blocks: blocks + imported }
     }
 }
--- a/crates/routing/tests/admission.rs
+++ b/crates/routing/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Limits of one router and of a fleet of routers.
+//! Admission limits of one router and of a fleet of routers.
 
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
     TenantName::new(name).expect("valid")
 }
 
-fn ask(
+fn admit(
     admission: &mut Admission,
     name: &str,
     settings: &EffectiveSettings,
@@ -39,17 +39,18 @@
     let mut admission = Admission::new();
     let settings = settings(|settings| settings.concurrency = 2);
     let share = FleetShare::even(1);
-    let ask = |admission: &mut Admission| ask(admission, "a", &settings, share, Timestamp::ZERO);
-    let first = ask(&mut admission).expect("admitted");
-    let _second = ask(&mut admission).expect("admitted");
-    let refusal = ask(&mut admission).expect_err("two are in flight");
+    let admit =
+        |admission: &mut Admission| admit(admission, "a", &settings, share, Timestamp::ZERO);
+    let first = admit(&mut admission).expect("admitted");
+    let _second = admit(&mut admission).expect("admitted");
+    let refusal = admit(&mut admission).expect_err("two are in flight");
     assert_eq!(refusal.limit, LimitKind::Concurrency);
     admission.release(first, Timestamp::from_millis(10));
-    assert!(ask(&mut admission).is_ok());
+    assert!(admit(&mut admission).is_ok());
 }
 
 #[test]
-fn a_request_that_waits_as_told_passes_the_rate_limit() {
+fn retry_after_the_suggested_delay_passes_the_rate_limit() {
     let mut admission = Admission::new();
     let settings = settings(|settings| {
         settings.rate_per_second = 4.0;
@@ -58,12 +59,12 @@
     let share = FleetShare::even(1);
     let mut now = Timestamp::from_millis(500);
     for _ in 0..20 {
-        match ask(&mut admission, "a", &settings, share, now) {
+        match admit(&mut admission, "a", &settings, share, now) {
             Ok(ticket) => admission.release(ticket, now),
             Err(refusal) => {
                 assert_eq!(refusal.limit, LimitKind::Rate);
                 now = now.after(refusal.retry_after);
-                let ticket = ask(&mut admission, "a", &settings, share, now).expect("waited");
+                let ticket = admit(&mut admission, "a", &settings, share, now).expect("waited");
                 admission.release(ticket, now);
             }
         }
@@ -71,7 +72,7 @@
 }
 
 #[test]
-fn routers_together_keep_the_rate_of_the_fleet() {
+fn routers_together_stay_within_the_fleet_rate() {
     fn holds(routers: u8, rate: u8, burst: u8) -> bool {
         let routers = u32::from(routers % 8) + 1;
         let settings = settings(|settings| {
@@ -83,13 +84,13 @@
         for millis in (0..4_000).step_by(5) {
             let now = Timestamp::from_millis(millis);
             for router in &mut fleet {
-                if let Ok(ticket) = ask(router, "a", &settings, FleetShare::even(routers), now) {
+                if let Ok(ticket) = admit(router, "a", &settings, FleetShare::even(routers), now) {
                     admitted += 1;
                     router.release(ticket, now);
                 }
             }
         }
-        // The stated error: each router has a burst of one at least.
+        // Each router has a burst of at least one.
         let most = 4.0 * f64::from(rate) + f64::from(u32::from(burst).max(routers)) + 1.0;
         f64::from(admitted) <= most
     }
@@ -97,7 +98,7 @@
 }
 
 #[test]
-fn shares_by_the_same_reports_add_up() {
+fn shares_by_demand_sum_to_one() {
     fn holds(demands: Vec<u16>) -> bool {
         let routers = demands.len() as u32;
         let all: f64 = demands.iter().map(|demand| f64::from(*demand)).sum();
@@ -109,31 +110,31 @@
 }
 
 #[test]
-fn a_service_has_at_most_its_share_of_the_queue() {
+fn service_is_limited_to_its_queue_share() {
     let mut admission = Admission::new();
     admission.set_queue_capacity(1_000.0);
     let settings = settings(|settings| settings.queue_share_percent = 30);
     let share = FleetShare::even(1);
     let mut tickets: Vec<Ticket> = (0..3)
-        .map(|_| ask(&mut admission, "a", &settings, share, Timestamp::ZERO).expect("admitted"))
+        .map(|_| admit(&mut admission, "a", &settings, share, Timestamp::ZERO).expect("admitted"))
         .collect();
-    let refusal = ask(&mut admission, "a", &settings, share, Timestamp::ZERO);
+    let refusal = admit(&mut admission, "a", &settings, share, Timestamp::ZERO);
     assert_eq!(refusal.expect_err("three wait").limit, LimitKind::QueueShare);
     admission.first_token(&mut tickets[0], Timestamp::from_millis(5));
-    assert!(ask(&mut admission, "a", &settings, share, Timestamp::from_millis(5)).is_ok());
+    assert!(admit(&mut admission, "a", &settings, share, Timestamp::from_millis(5)).is_ok());
 }
 
 #[test]
-fn a_large_tenant_leaves_room_for_small_ones() {
+fn large_tenant_leaves_queue_capacity_for_small_ones() {
     let mut admission = Admission::new();
     admission.set_queue_capacity(10_000.0);
     let settings = settings(|settings| settings.queue_share_percent = 100);
     let share = FleetShare::even(1);
     let now = Timestamp::ZERO;
     let admitted = |admission: &mut Admission, name: &str| {
-        std::iter::from_fn(|| ask(admission, name, &settings, share, now).ok()).count()
+        std::iter::from_fn(|| admit(admission, name, &settings, share, now).ok()).count()
     };
-    let _small = ask(&mut admission, "small", &settings, share, now).expect("admitted");
+    let _small = admit(&mut admission, "small", &settings, share, now).expect("admitted");
     let large = admitted(&mut admission, "large");
     assert!((49..=51).contains(&large), "{large} of 100 places");
     let small = admitted(&mut admission, "small");
@@ -141,7 +142,7 @@
 }
 
 #[test]
-fn a_lone_tenant_uses_the_whole_queue_of_its_priority() {
+fn single_tenant_may_fill_the_queue_share_of_its_priority() {
     let mut admission = Admission::new();
     admission.set_queue_capacity(10_000.0);
     let share = FleetShare::even(1);
@@ -150,14 +151,14 @@
             settings.queue_share_percent = 100;
             settings.priority = priority;
         });
-        while ask(&mut admission, "a", &settings, share, Timestamp::ZERO).is_ok() {}
+        while admit(&mut admission, "a", &settings, share, Timestamp::ZERO).is_ok() {}
         let service = ServiceName::new("screening").expect("valid");
         assert_eq!(admission.in_flight(&tenant("a"), &service), most);
     }
 }
 
 #[test]
-fn weights_divide_a_contended_queue() {
+fn contended_queue_is_shared_by_weight() {
     let mut admission = Admission::new();
     admission.set_queue_capacity(10_000.0);
     let share = FleetShare::even(1);
@@ -171,14 +172,14 @@
     let (heavy, light) = (with_weight(300), with_weight(100));
     let mut counts = [0_u32; 2];
     for _ in 0..200 {
-        counts[0] += u32::from(ask(&mut admission, "a", &heavy, share, Timestamp::ZERO).is_ok());
-        counts[1] += u32::from(ask(&mut admission, "b", &light, share, Timestamp::ZERO).is_ok());
+        counts[0] += u32::from(admit(&mut admission, "a", &heavy, share, Timestamp::ZERO).is_ok());
+        counts[1] += u32::from(admit(&mut admission, "b", &light, share, Timestamp::ZERO).is_ok());
     }
     assert_eq!(counts, [75, 25]);
 }
 
 #[test]
-fn counts_return_to_zero_and_idle_services_are_forgotten() {
+fn idle_services_are_removed() {
     fn holds(steps: Vec<(u8, u8)>) -> bool {
         let mut admission = Admission::new();
         admission.set_queue_capacity(800.0);
@@ -189,9 +190,13 @@
             now = now.after(Duration::from_millis(1));
             let name = format!("tenant-{}", name % 4);
             match action % 3 {
-                0 => {
-                    tickets.extend(ask(&mut admission, &name, &settings, FleetShare::even(2), now))
-                }
+                0 => tickets.extend(admit(
+                    &mut admission,
+                    &name,
+                    &settings,
+                    FleetShare::even(2),
+                    now,
+                )),
                 1 => tickets.iter_mut().take(1).for_each(|t| admission.first_token(t, now)),
                 _ => tickets.pop().into_iter().for_each(|t| admission.release(t, now)),
             }
--- a/crates/routing/tests/decide.rs
+++ b/crates/routing/tests/decide.rs
@@ -1,4 +1,4 @@
-//! Decisions on fixed views, and properties of decisions on any view.
+//! Routing decisions: examples and properties.
 
 mod support;
 
@@ -15,7 +15,7 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use support::{blocks, holder, idle_load, life, serving, table};
+use support::{blocks, holder, idle_load, incarnation, serving, table};
 
 const NOW: Timestamp = Timestamp::from_millis(10_000);
 const TOKENS: u32 = 2_600;
@@ -38,7 +38,7 @@
     }
 }
 
-fn load_up(table: &mut EngineTable, engine: EngineId, attempts: u64, missed_tokens: u32) {
+fn dispatch_attempts(table: &mut EngineTable, engine: EngineId, attempts: u64, missed_tokens: u32) {
     for attempt in 0..attempts {
         let id = DispatchId(u64::from(engine.0) << 32 | attempt);
         let work = DispatchedWork { prompt_tokens: TOKENS, missed_tokens };
@@ -47,25 +47,25 @@
 }
 
 #[test]
-fn the_engine_that_holds_most_gets_the_request() {
+fn engine_with_the_longest_cached_prefix_is_chosen() {
     let table = table(6, NOW);
     let holders = [holder(2, 10), holder(4, 38), holder(5, 20)];
     let decision = route(&table, &holders, 1).expect("routed");
     assert_eq!((decision.engine, decision.expected_blocks), (EngineId(4), 38));
     assert_eq!(decision.reason, Reason::BestHolder);
-    assert_eq!(decision.incarnation, Some(life(4)));
+    assert_eq!(decision.incarnation, Some(incarnation(4)));
 }
 
 #[test]
-fn a_queue_longer_than_the_missed_tokens_moves_the_request() {
+fn long_queue_outweighs_a_longer_cached_prefix() {
     let mut table = table(3, NOW);
-    load_up(&mut table, EngineId(1), 4, 2_600);
+    dispatch_attempts(&mut table, EngineId(1), 4, 2_600);
     let decision = route(&table, &[holder(1, 38), holder(2, 20)], 1).expect("routed");
     assert_eq!((decision.engine, decision.reason), (EngineId(2), Reason::Spread));
 }
 
 #[test]
-fn entries_of_an_ended_life_do_not_count() {
+fn cached_blocks_of_an_ended_incarnation_do_not_count() {
     let table = table(2, NOW);
     let stale = Holder { incarnation: Incarnation(1), ..holder(1, 38) };
     let decision = route(&table, &[stale], 1).expect("routed");
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn routers_that_miss_the_same_prefix_agree() {
+fn routers_choose_the_same_engine_for_an_uncached_prefix() {
     let table = table(12, NOW);
     let chosen = route(&table, &[], 5).expect("routed").engine;
     let (key, chain) = (serving(), blocks(5, 40));
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn different_prompts_spread_over_equal_engines() {
+fn different_prompts_spread_over_idle_engines() {
     let table = table(12, NOW);
     let mut counts = [0_u32; 12];
     for prompt in 0..600 {
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn no_engine_with_the_weights_is_a_refusal() {
+fn request_for_unserved_weights_is_refused() {
     let table = table(4, NOW);
     let key = juniper_routing::ServingKey { weights: WeightsVersion(9), ..serving() };
     let chain = blocks(1, 40);
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn an_engine_that_has_not_reported_serves_only_while_no_other_is_known() {
+fn unreported_engine_is_used_only_until_another_has_reported() {
     let mut fresh = table(0, NOW);
     support::insert(&mut fresh, EngineId(9));
     let decision = route(&fresh, &[], 1).expect("routed");
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn an_engine_that_has_not_reported_is_no_way_out_when_the_others_leave() {
+fn unreported_engine_is_not_used_when_the_others_depart() {
     let mut table = table(1, NOW);
     support::insert(&mut table, EngineId(9));
     table.set_leaving(EngineId(0), LeavingSource::Engine, true);
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn a_leaving_engine_gets_nothing_until_every_source_takes_it_back() {
+fn departing_engine_is_excluded_until_every_source_withdraws() {
     let mut table = table(1, NOW);
     table.set_leaving(EngineId(0), LeavingSource::Platform, true);
     table.set_leaving(EngineId(0), LeavingSource::Settings, true);
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn a_dead_engine_gets_nothing_until_it_reports() {
+fn engine_marked_down_is_excluded_until_it_reports() {
     let mut table = table(2, NOW);
     table.mark_down(EngineId(0));
     assert!((0..50).all(|prompt| route(&table, &[], prompt).expect("routed").engine.0 == 1));
@@ -152,10 +152,10 @@
 }
 
 #[test]
-fn a_request_that_has_begun_is_bound_by_its_deadline_only() {
+fn begun_request_is_bound_by_its_deadline_only() {
     let mut table = table(2, NOW);
-    load_up(&mut table, EngineId(0), 10, 2_600);
-    load_up(&mut table, EngineId(1), 10, 2_600);
+    dispatch_attempts(&mut table, EngineId(0), 10, 2_600);
+    dispatch_attempts(&mut table, EngineId(1), 10, 2_600);
     let (key, chain) = (serving(), blocks(1, 40));
     let random = &mut ChaCha8Rng::seed_from_u64(0);
     let within = Duration::from_secs(11);
@@ -168,16 +168,16 @@
     assert!(decide(&table, &[], &late, NOW, random).is_err());
 }
 
-/// The same queue is too long for a request that is due soon and has room for
-/// one that is due later.
+/// A queue that is too long for a short deadline has room for requests with a
+/// long deadline.
 #[test]
-fn the_longest_queue_follows_the_time_that_is_left() {
+fn maximum_queue_depends_on_the_deadline() {
     let mut table = table(2, NOW);
-    load_up(&mut table, EngineId(0), 4, 2_600);
-    load_up(&mut table, EngineId(1), 4, 2_600);
+    dispatch_attempts(&mut table, EngineId(0), 4, 2_600);
+    dispatch_attempts(&mut table, EngineId(1), 4, 2_600);
     let (key, chain) = (serving(), blocks(1, 40));
     let random = &mut ChaCha8Rng::seed_from_u64(0);
-    // Four prompts of 2,600 tokens take about 3.5 s.
+    // The queue of four prompts with 2,600 tokens each takes about 3.5 s.
     let due = |seconds| RouteRequest {
         first_token_within: Duration::from_secs(seconds),
         ..request(&key, &chain)
@@ -188,16 +188,16 @@
 }
 
 #[test]
-fn what_comes_too_late_is_refused_with_the_time_that_the_queue_needs() {
+fn late_request_is_refused_with_the_time_to_drain_the_queue() {
     let mut table = table(2, NOW);
-    load_up(&mut table, EngineId(0), 30, 2_600);
-    load_up(&mut table, EngineId(1), 30, 2_600);
+    dispatch_attempts(&mut table, EngineId(0), 30, 2_600);
+    dispatch_attempts(&mut table, EngineId(1), 30, 2_600);
     let (key, chain) = (serving(), blocks(1, 40));
     let random = &mut ChaCha8Rng::seed_from_u64(0);
     let soon = RouteRequest { first_token_within: Duration::from_secs(2), ..request(&key, &chain) };
     let refusal = decide(&table, &[], &soon, NOW, random).expect_err("too late");
     assert_eq!(refusal.code, RefusalCode::Overloaded);
-    // 31 prompts of 2,600 tokens take about 27.4 s; 2 s are allowed.
+    // 31 prompts of 2,600 tokens take about 27.4 s, and the deadline is 2 s.
     let seconds = refusal.retry_after.as_secs_f64();
     assert!((25.0..26.0).contains(&seconds), "{seconds}");
 
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn an_import_replaces_computing_where_it_is_cheaper() {
+fn import_replaces_prefill_where_it_is_cheaper() {
     let table = table(2, NOW);
     let (key, chain) = (serving(), blocks(1, 40));
     let random = &mut ChaCha8Rng::seed_from_u64(0);
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn work_of_other_routers_counts_by_the_reports() {
+fn reported_work_of_other_routers_counts() {
     let mut table = table(2, NOW);
     let busy = juniper_routing::EngineLoad {
         running: 8,
@@ -237,7 +237,7 @@
 }
 
 #[test]
-fn a_request_waits_for_the_attempt_that_computes_its_prefix() {
+fn request_waits_for_the_attempt_that_computes_its_prefix() {
     let mut table = table(2, NOW);
     let computing = DispatchId(8);
     let work = DispatchedWork { prompt_tokens: TOKENS, missed_tokens: TOKENS };
@@ -255,7 +255,7 @@
 }
 
 #[test]
-fn a_nearer_zone_wins_between_equals() {
+fn nearer_zone_is_preferred_between_equal_engines() {
     let mut table = table(4, NOW);
     let far = ZoneName::new("zone-1").expect("valid");
     table.set_round_trip(&far, Duration::from_millis(60));
@@ -266,9 +266,9 @@
 }
 
 #[test]
-fn a_first_token_shows_that_the_work_ahead_is_done() {
+fn first_token_completes_the_work_ahead() {
     let mut table = table(1, NOW);
-    load_up(&mut table, EngineId(0), 4, 2_600);
+    dispatch_attempts(&mut table, EngineId(0), 4, 2_600);
     let later = NOW.after(Duration::from_millis(100));
     table.first_token(EngineId(0), DispatchId(0), later);
     let view = table.view(EngineId(0), later).expect("known");
@@ -283,7 +283,7 @@
 }
 
 #[test]
-fn a_decision_names_a_usable_engine_that_is_not_excluded() {
+fn decision_chooses_a_usable_engine_that_is_not_excluded() {
     fn holds(engines: u8, held: Vec<(u8, u8)>, excluded: Vec<u8>, down: Vec<u8>) -> bool {
         let engines = u32::from(engines % 24);
         let mut table = table(engines, NOW);
@@ -316,7 +316,7 @@
 }
 
 #[test]
-fn a_removed_engine_is_never_chosen() {
+fn removed_engine_is_never_chosen() {
     fn holds(engines: u8, removed: Vec<u8>) -> bool {
         let mut table = table(u32::from(engines % 24) + 1, NOW);
         for engine in &removed {
--- a/crates/routing/tests/retry.rs
+++ b/crates/routing/tests/retry.rs
@@ -1,4 +1,4 @@
-//! What may be retried, and how often.
+//! Retry policy and retry budget.
 
 use std::time::Duration;
 
@@ -19,21 +19,24 @@
 };
 
 #[test]
-fn at_most_once_traffic_is_retried_only_if_it_did_not_run() {
+fn at_most_once_request_is_retried_only_if_it_did_not_run() {
     let mut budget = RetryBudget::new(10);
-    let ask = |outcome| RetryQuestion { kind: TrafficKind::AtMostOnce, outcome, ..CHAT };
+    let retry_question = |outcome| RetryQuestion { kind: TrafficKind::AtMostOnce, outcome, ..CHAT };
     let denied = Err(RetryDenied::NotRepeatable);
-    assert_eq!(budget.decide(&ask(AttemptOutcome::Unknown), Timestamp::ZERO), denied);
-    assert_eq!(budget.decide(&ask(AttemptOutcome::PartlyAnswered), Timestamp::ZERO), denied);
-    assert_eq!(budget.decide(&ask(AttemptOutcome::NotRun), Timestamp::ZERO), Ok(()));
+    assert_eq!(budget.decide(&retry_question(AttemptOutcome::Unknown), Timestamp::ZERO), denied);
+    assert_eq!(
+        budget.decide(&retry_question(AttemptOutcome::PartlyAnswered), Timestamp::ZERO),
+        denied
+    );
+    assert_eq!(budget.decide(&retry_question(AttemptOutcome::NotRun), Timestamp::ZERO), Ok(()));
 }
 
 #[test]
-fn an_answer_that_has_begun_is_only_resumed() {
+fn partial_answer_is_retried_only_if_resumable() {
     let mut budget = RetryBudget::new(10);
-    let begun = RetryQuestion { outcome: AttemptOutcome::PartlyAnswered, ..CHAT };
-    assert_eq!(budget.decide(&begun, Timestamp::ZERO), Ok(()));
-    let unresumable = RetryQuestion { resumable: false, ..begun };
+    let partial = RetryQuestion { outcome: AttemptOutcome::PartlyAnswered, ..CHAT };
+    assert_eq!(budget.decide(&partial, Timestamp::ZERO), Ok(()));
+    let unresumable = RetryQuestion { resumable: false, ..partial };
     assert_eq!(budget.decide(&unresumable, Timestamp::ZERO), Err(RetryDenied::NotResumable));
 }
 
@@ -47,15 +50,15 @@
 }
 
 #[test]
-fn no_percent_means_no_retry() {
+fn zero_percent_allows_no_retry() {
     let mut budget = RetryBudget::new(0);
     budget.record_request(Timestamp::from_millis(60_000));
-    let asked = budget.decide(&CHAT, Timestamp::from_millis(60_000));
-    assert_eq!(asked, Err(RetryDenied::Budget));
+    let result = budget.decide(&CHAT, Timestamp::from_millis(60_000));
+    assert_eq!(result, Err(RetryDenied::Budget));
 }
 
 #[test]
-fn retries_stay_within_their_share_however_many_attempts_fail() {
+fn retries_stay_within_the_budget() {
     fn holds(percent: u8, requests: u16) -> bool {
         let percent = percent % 31;
         let requests = u32::from(requests % 5_000);
--- a/crates/routing/tests/support/mod.rs
+++ b/crates/routing/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Engines, prompts and holders for tests.
+//! Test fixtures: engines, prompts and holders.
 
 use std::time::Duration;
 
@@ -18,14 +18,14 @@
     std::iter::successors(Some(first), |block| Some(block.next(b"next"))).take(count).collect()
 }
 
-pub fn life(engine: u32) -> Incarnation {
+pub fn incarnation(engine: u32) -> Incarnation {
     Incarnation(u64::from(engine) + 1_000)
 }
 
 pub fn holder(engine: u32, blocks: u32) -> Holder {
     Holder {
         engine: EngineId(engine),
-        incarnation: life(engine),
+        incarnation: incarnation(engine),
         blocks,
         predicted: 0,
         computed_by: None,
@@ -34,7 +34,7 @@
 
 pub fn idle_load(engine: EngineId) -> EngineLoad {
     EngineLoad {
-        incarnation: life(engine.0),
+        incarnation: incarnation(engine.0),
         age: Duration::ZERO,
         running: 0,
         waiting: 0,
@@ -46,7 +46,7 @@
     }
 }
 
-/// Even engines are in `zone-0`, odd ones in `zone-1`.
+/// Inserts an engine into `zone-0` (even numbers) or `zone-1` (odd numbers).
 pub fn insert(table: &mut EngineTable, engine: EngineId) {
     let zone = ZoneName::new(format!("zone-{}", engine.0 % 2)).expect("valid");
     table.insert(&EngineDescriptor { engine, zone });
