--- a/crates/sharing/src/group.rs
+++ b/crates/sharing/src/group.rs
@@ -1,51 +1,51 @@
-//! The routers of a zone, and which of them does what.
+//! The routers of a zone and the assignment of engines and keys to them.
 //!
-//! Rendezvous hashing over the routers that are up answers both questions, so
-//! routers with the same view agree without talking. While views differ an
-//! engine may have two followers or none for a moment; the sequence numbers of
-//! the updates keep that from being more than missing knowledge.
+//! Assignments use rendezvous hashing over the live routers, so routers with the
+//! same view agree without communication. While views differ, an engine may
+//! temporarily have two followers or none. The sequence numbers of updates ensure
+//! that this only delays knowledge of its cache and never corrupts it.
 
 use juniper_prefix_index::coarse::CheckpointKey;
 use juniper_prefix_index::rendezvous;
 use juniper_types::{EngineId, Incarnation, NodeId};
 
-/// One start of a router process. A restarted router has lost its shard, so it
-/// counts as another owner.
+/// Incarnation of a router process. A restarted router has lost its shard and
+/// therefore counts as a different owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RouterLife {
-    /// The router.
+    /// Node of the router.
     pub node: NodeId,
-    /// Drawn at each start.
+    /// Random number drawn at each start.
     pub life: Incarnation,
 }
 
-/// The routers of one zone that are up, this one included.
+/// Live routers of one zone, including this one.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Group {
     members: Vec<RouterLife>,
 }
 
 impl Group {
-    /// A group of `members`, in any order.
+    /// Creates a group of `members`, given in any order.
     pub fn new(members: impl IntoIterator<Item = RouterLife>) -> Self {
         let mut members: Vec<RouterLife> = members.into_iter().collect();
         members.sort_unstable();
-        // A node is in the group once, with its latest view.
+        // Each node is in the group only once.
         members.dedup_by_key(|member| member.node);
         Group { members }
     }
 
-    /// The routers, by node number.
+    /// Members in the order of their node numbers.
     pub fn members(&self) -> &[RouterLife] {
         &self.members
     }
 
-    /// The router that keeps `key`.
+    /// Router that owns `key`.
     pub fn owner(&self, key: &CheckpointKey) -> Option<RouterLife> {
         self.find(key.owner(self.nodes())?)
     }
 
-    /// The router that follows `engine`.
+    /// Router that follows `engine`.
     pub fn follower(&self, engine: EngineId) -> Option<RouterLife> {
         self.find(rendezvous::owner(u64::from(engine.0), self.nodes())?)
     }
@@ -59,32 +59,32 @@
     }
 }
 
-/// Which engines a router asks for what.
+/// Engines that a router reads cache events and loads from.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FollowPlan {
-    /// Engines whose cache events and load it reads.
+    /// Engines whose cache events and load the router reads.
     pub followed: Vec<EngineId>,
-    /// Engines whose load alone it reads, as candidates in other zones.
+    /// Engines of which the router reads only the load, as additional candidates.
     pub sampled: Vec<EngineId>,
-    /// Whether other routers follow the rest.
+    /// Whether other routers follow the remaining engines.
     pub shared: bool,
 }
 
-/// Engines of the own zone whose load a router reads while it doesn't know yet
-/// which other routers there are.
-pub const SAMPLED_OF_OWN_ZONE: usize = 8;
+/// Number of engines of its own zone whose load a router reads until it knows the
+/// other routers.
+pub const SAMPLED_IN_OWN_ZONE: usize = 8;
 
-/// Engines of each other zone that a router keeps an eye on, so that it has
-/// somewhere to send when its own zone has no engine left.
-pub const SAMPLED_PER_ZONE: usize = 2;
+/// Number of engines of each other zone whose load a router reads, as a fallback
+/// if its own zone has no usable engine.
+pub const SAMPLED_PER_OTHER_ZONE: usize = 2;
 
 impl FollowPlan {
-    /// The plan of router `own` in `group`. `own_zone` and `other_zones` name the
-    /// engines of its zone and of each other zone.
+    /// Creates the plan of router `own` in `group`. `own_zone` and `other_zones`
+    /// list the engines of its zone and of each other zone.
     ///
-    /// A router that has just started takes itself for alone. Until `settled` it
-    /// follows no engine of a large fleet: a herd of restarted routers would
-    /// otherwise read the cache of every engine of the zone, each for itself.
+    /// A router that has just started doesn't know the other routers. Until
+    /// `settled`, it follows no engine of a large fleet. Otherwise many routers that
+    /// restart together would each read the caches of all engines of the zone.
     pub fn new(
         own: RouterLife,
         group: &Group,
@@ -98,19 +98,20 @@
             let followed = own_zone.iter().chain(other_zones.iter().flatten()).copied().collect();
             return FollowPlan { followed, sampled: Vec::new(), shared: false };
         }
-        let foreign = other_zones.iter().flat_map(|zone| sample(own, zone, SAMPLED_PER_ZONE));
+        let sampled_far =
+            other_zones.iter().flat_map(|zone| sample(own, zone, SAMPLED_PER_OTHER_ZONE));
         if !settled {
-            let near = sample(own, own_zone, SAMPLED_OF_OWN_ZONE);
-            let sampled = near.into_iter().chain(foreign).collect();
+            let sampled_near = sample(own, own_zone, SAMPLED_IN_OWN_ZONE);
+            let sampled = sampled_near.into_iter().chain(sampled_far).collect();
             return FollowPlan { followed: Vec::new(), sampled, shared: true };
         }
-        let mine = |engine: &&EngineId| group.follower(**engine) == Some(own);
-        let followed = own_zone.iter().filter(mine).copied().collect();
-        FollowPlan { followed, sampled: foreign.collect(), shared: true }
+        let is_followed_by_own = |engine: &&EngineId| group.follower(**engine) == Some(own);
+        let followed = own_zone.iter().filter(is_followed_by_own).copied().collect();
+        FollowPlan { followed, sampled: sampled_far.collect(), shared: true }
     }
 }
 
-/// Spreads the routers over the engines of a zone.
+/// Chooses `count` engines of a zone, different ones for different routers.
 fn sample(own: RouterLife, zone: &[EngineId], count: usize) -> Vec<EngineId> {
     let engines = zone.iter().map(|engine| u64::from(engine.0));
     let ranked = rendezvous::ranked(own.node.0, engines);
--- a/crates/sharing/src/lib.rs
+++ b/crates/sharing/src/lib.rs
@@ -1,10 +1,10 @@
-//! How the routers of a zone share what they know of engines.
+//! Sharing of engine state among the routers of a zone.
 //!
-//! A small fleet needs none of this: every router follows every engine. Above
-//! that size each engine is followed by one router, which passes on two things:
-//! the engine's load to every router of the zone, and the sampled index entries
-//! to the router that owns them. [`Sharing`] is the whole state of one router as
-//! a pure state machine; sockets and clocks belong to its owner.
+//! In a small fleet every router follows every engine. In a larger fleet each
+//! engine is followed by one router, which sends the engine's load to every
+//! router of the zone, and sampled prefix index entries to the routers that own
+//! them. [`Sharing`] is the state machine of one router; the caller provides
+//! I/O and time.
 
 pub mod group;
 mod loads;
--- a/crates/sharing/src/loads.rs
+++ b/crates/sharing/src/loads.rs
@@ -1,4 +1,4 @@
-//! Loads of followed engines on their way to the other routers of the zone.
+//! Publication of followed engines' loads to the other routers of the zone.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -8,43 +8,46 @@
 use crate::group::{Group, RouterLife};
 use crate::message::{LoadDigest, ServingDigest};
 
-/// Time after which serving states are sent again though nothing changed, so
-/// that a lost message is made good.
+/// Interval at which unchanged serving states are rebroadcast, to make up for
+/// lost messages.
 const SERVING_REFRESH: Duration = Duration::from_secs(30);
 
 #[derive(Debug)]
-struct Followed {
+struct FollowedEngine {
     load: LoadDigest,
-    taken: Timestamp,
+    received_at: Timestamp,
     serving: ServingDigest,
-    /// Routers that have the serving state already.
-    told: BTreeSet<RouterLife>,
-    /// Whether the load changed since the last round.
-    fresh: bool,
+    /// Routers to which the current serving state was sent.
+    sent_to: BTreeSet<RouterLife>,
+    /// Whether the load was reported since the last round.
+    updated: bool,
 }
 
-/// Latest loads of the engines that this router follows.
+/// Publisher of the latest loads of the engines that this router follows.
 #[derive(Debug, Default)]
 pub(crate) struct LoadPublisher {
-    engines: BTreeMap<EngineId, Followed>,
-    refreshed: Timestamp,
+    engines: BTreeMap<EngineId, FollowedEngine>,
+    refreshed_at: Timestamp,
 }
 
 impl LoadPublisher {
-    pub(crate) fn note(&mut self, serving: ServingDigest, load: LoadDigest, now: Timestamp) {
-        let told = match self.engines.remove(&serving.engine) {
-            Some(known) if known.serving == serving => known.told,
+    pub(crate) fn record(&mut self, serving: ServingDigest, load: LoadDigest, now: Timestamp) {
+        let sent_to = match self.engines.remove(&serving.engine) {
+            Some(known) if known.serving == serving => known.sent_to,
             _ => BTreeSet::new(),
         };
         let engine = serving.engine;
-        self.engines.insert(engine, Followed { load, taken: now, serving, told, fresh: true });
+        self.engines.insert(
+            engine,
+            FollowedEngine { load, received_at: now, serving, sent_to, updated: true },
+        );
     }
 
     pub(crate) fn mark_down(&mut self, engine: EngineId) {
         if let Some(known) = self.engines.get_mut(&engine) {
-            known.told.clear();
+            known.sent_to.clear();
             known.serving.up = false;
-            known.fresh = false;
+            known.updated = false;
         }
     }
 
@@ -52,14 +55,14 @@
         self.engines.remove(&engine);
     }
 
-    /// A router that may have missed the serving states gets them again.
+    /// Schedules all serving states again for a router that may have missed them.
     pub(crate) fn delivery_failed(&mut self, to: RouterLife) {
         for known in self.engines.values_mut() {
-            known.told.remove(&to);
+            known.sent_to.remove(&to);
         }
     }
 
-    /// What `to` has to be told.
+    /// Returns the serving states and loads to send to `to` in this round.
     pub(crate) fn digests_for(
         &mut self,
         to: RouterLife,
@@ -68,26 +71,26 @@
         let mut serving = Vec::new();
         let mut loads = Vec::new();
         for known in self.engines.values_mut() {
-            if known.told.insert(to) {
+            if known.sent_to.insert(to) {
                 serving.push(known.serving.clone());
             }
-            if known.fresh && known.serving.up {
-                let waited = now.since(known.taken).as_millis() as u64;
+            if known.updated && known.serving.up {
+                let waited = now.since(known.received_at).as_millis() as u64;
                 loads.push(LoadDigest { age_ms: known.load.age_ms + waited, ..known.load });
             }
         }
         (serving, loads)
     }
 
-    /// Ends a round: loads already sent are not sent again.
+    /// Ends a round: its loads aren't sent again.
     pub(crate) fn end_round(&mut self, group: &Group, now: Timestamp) {
-        let refresh = now.since(self.refreshed) >= SERVING_REFRESH;
+        let refresh = now.since(self.refreshed_at) >= SERVING_REFRESH;
         if refresh {
-            self.refreshed = now;
+            self.refreshed_at = now;
         }
         for known in self.engines.values_mut() {
-            known.fresh = false;
-            known.told.retain(|router| !refresh && group.members().contains(router));
+            known.updated = false;
+            known.sent_to.retain(|router| !refresh && group.members().contains(router));
         }
     }
 }
--- a/crates/sharing/src/publisher.rs
+++ b/crates/sharing/src/publisher.rs
@@ -1,9 +1,8 @@
-//! The follower's side: sampled entries of the engines it follows, on their way
-//! to the routers that own them.
+//! Publication of followed engines' sampled index entries to their owners.
 //!
-//! Each owner gets a numbered stream for each engine. The first message of a
-//! stream names everything (a resync); later ones only what changed. Whatever
-//! may have been lost is repaired by another resync, never by guessing.
+//! Each pair of owner and engine has a numbered stream. The first message of a
+//! stream lists all entries (a resync), later ones list changes. After a possible
+//! loss the next message is another resync.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -19,30 +18,31 @@
     keys: BTreeSet<CheckpointKey>,
 }
 
-/// The last change of each key since the last message; true means stored.
-type Pending = BTreeMap<CheckpointKey, bool>;
+/// Last change of each key since the last message: true if stored, false if
+/// removed.
+type PendingChanges = BTreeMap<CheckpointKey, bool>;
 
 #[derive(Debug)]
 struct Stream {
     sequence: u64,
-    pending: Pending,
+    pending: PendingChanges,
     needs_resync: bool,
 }
 
 impl Default for Stream {
     fn default() -> Self {
-        Stream { sequence: 0, pending: Pending::new(), needs_resync: true }
+        Stream { sequence: 0, pending: PendingChanges::new(), needs_resync: true }
     }
 }
 
-/// Updates for one owner.
+/// Updates to send to one owner.
 #[derive(Debug, Default)]
 pub(crate) struct Outgoing {
     pub(crate) deltas: Vec<CoarseDelta>,
     pub(crate) resyncs: Vec<CoarseUpdate>,
 }
 
-/// Collects cache events into updates for the owners.
+/// Collector of cache events that batches them into updates for the owners.
 #[derive(Debug, Default)]
 pub(crate) struct Publisher {
     group: Group,
@@ -51,22 +51,23 @@
 }
 
 impl Publisher {
-    /// Moves keys whose owner changed. The old owner is told to drop them, the
-    /// new one to keep them, and nobody else hears of it.
+    /// Sets the group and reassigns keys whose owner changed: queues a removal for
+    /// the old owner and an insertion for the new one.
     pub(crate) fn set_group(&mut self, group: Group) {
         self.streams.retain(|(owner, _), _| group.members().contains(owner));
         let before = std::mem::replace(&mut self.group, group);
         for (engine, known) in &self.engines {
             for key in &known.keys {
-                let (old, new) = (before.owner(key), self.group.owner(key));
-                if old == new {
+                let (old_owner, new_owner) = (before.owner(key), self.group.owner(key));
+                if old_owner == new_owner {
                     continue;
                 }
-                let old_stream = old.and_then(|owner| self.streams.get_mut(&(owner, *engine)));
+                let old_stream =
+                    old_owner.and_then(|owner| self.streams.get_mut(&(owner, *engine)));
                 if let Some(stream) = old_stream {
                     stream.pending.insert(*key, false);
                 }
-                if let Some(owner) = new {
+                if let Some(owner) = new_owner {
                     let stream = self.streams.entry((owner, *engine)).or_default();
                     stream.pending.insert(*key, true);
                 }
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Adds events of an engine that this router follows.
+    /// Applies cache events of an engine that this router follows.
     pub(crate) fn apply(
         &mut self,
         engine: EngineId,
@@ -83,20 +84,20 @@
     ) {
         self.start_incarnation(engine, incarnation);
         for event in events {
-            self.change(engine, &event.stored, true);
-            self.change(engine, &event.removed, false);
+            self.apply_change(engine, &event.stored, true);
+            self.apply_change(engine, &event.removed, false);
         }
     }
 
-    /// Replaces what is known of an engine.
+    /// Replaces the entries of an engine by a snapshot.
     pub(crate) fn replace(&mut self, engine: EngineId, snapshot: &Snapshot) {
-        self.void(engine);
+        self.clear(engine);
         self.engines.entry(engine).or_default().incarnation = snapshot.incarnation;
-        self.change(engine, &snapshot.blocks, true);
+        self.apply_change(engine, &snapshot.blocks, true);
     }
 
-    /// Nothing counts of the engine any more.
-    pub(crate) fn void(&mut self, engine: EngineId) {
+    /// Removes all entries of the engine and schedules resyncs.
+    pub(crate) fn clear(&mut self, engine: EngineId) {
         if let Some(known) = self.engines.get_mut(&engine) {
             known.keys.clear();
         }
@@ -106,26 +107,27 @@
         }
     }
 
-    /// Another router follows the engine now, and its resyncs replace ours.
+    /// Removes an engine that another router follows now. Resyncs of the new
+    /// follower replace the entries at the owners.
     pub(crate) fn unfollow(&mut self, engine: EngineId) {
         self.engines.remove(&engine);
         self.streams.retain(|(_, streamed), _| *streamed != engine);
     }
 
-    /// The owner may have missed messages about every engine.
+    /// Schedules resyncs of every engine for an owner that may have missed messages.
     pub(crate) fn delivery_failed(&mut self, owner: RouterLife) {
         let streams = self.streams.iter_mut().filter(|((to, _), _)| *to == owner);
         streams.for_each(|(_, stream)| stream.needs_resync = true);
     }
 
-    /// The owner has missed messages about `engine`.
-    pub(crate) fn in_doubt(&mut self, owner: RouterLife, engine: EngineId) {
+    /// Schedules a resync of `engine` for an owner that has missed messages.
+    pub(crate) fn request_resync(&mut self, owner: RouterLife, engine: EngineId) {
         if let Some(stream) = self.streams.get_mut(&(owner, engine)) {
             stream.needs_resync = true;
         }
     }
 
-    /// Updates since the last call, by owner.
+    /// Takes the updates since the last call, by owner.
     pub(crate) fn flush(&mut self) -> BTreeMap<RouterLife, Outgoing> {
         let mut outgoing: BTreeMap<RouterLife, Outgoing> = BTreeMap::new();
         for ((owner, engine), stream) in &mut self.streams {
@@ -135,13 +137,13 @@
             if !stream.needs_resync && stream.pending.is_empty() {
                 continue;
             }
-            let to_owner = outgoing.entry(*owner).or_default();
+            let updates = outgoing.entry(*owner).or_default();
             stream.sequence += 1;
             let pending = std::mem::take(&mut stream.pending);
             if std::mem::take(&mut stream.needs_resync) {
                 let group = &self.group;
                 let owned = known.keys.iter().filter(|key| group.owner(key) == Some(*owner));
-                to_owner.resyncs.push(CoarseUpdate {
+                updates.resyncs.push(CoarseUpdate {
                     engine: *engine,
                     incarnation: known.incarnation,
                     sequence: stream.sequence,
@@ -149,7 +151,7 @@
                     removed: KeyList::default(),
                 });
             } else {
-                to_owner.deltas.push(CoarseDelta {
+                updates.deltas.push(CoarseDelta {
                     engine: *engine,
                     sequence: stream.sequence,
                     stored: keys_with(&pending, true),
@@ -160,22 +162,22 @@
         outgoing
     }
 
-    /// Sampled entries held.
-    pub(crate) fn keys(&self) -> usize {
+    /// Number of sampled entries of all followed engines.
+    pub(crate) fn key_count(&self) -> usize {
         self.engines.values().map(|known| known.keys.len()).sum()
     }
 
-    /// A new life starts with nothing, and its streams with a resync.
+    /// Starts a new incarnation without entries; its streams begin with a resync.
     fn start_incarnation(&mut self, engine: EngineId, incarnation: Incarnation) {
         let known = self.engines.entry(engine).or_default();
         if known.incarnation == incarnation {
             return;
         }
         known.incarnation = incarnation;
-        self.void(engine);
+        self.clear(engine);
     }
 
-    fn change(&mut self, engine: EngineId, blocks: &[BlockHash], is_stored: bool) {
+    fn apply_change(&mut self, engine: EngineId, blocks: &[BlockHash], is_stored: bool) {
         let Some(known) = self.engines.get_mut(&engine) else {
             return;
         };
@@ -200,6 +202,6 @@
     }
 }
 
-fn keys_with(pending: &Pending, wanted: bool) -> KeyList {
+fn keys_with(pending: &PendingChanges, wanted: bool) -> KeyList {
     KeyList::new(pending.iter().filter(|(_, stored)| **stored == wanted).map(|(key, _)| *key))
 }
--- a/crates/sharing/src/sharing.rs
+++ b/crates/sharing/src/sharing.rs
@@ -1,4 +1,4 @@
-//! The sharing state of one router.
+//! Sharing state of one router.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,59 +15,61 @@
 use crate::message::{LoadDigest, ServingDigest, ShareMessage};
 use crate::publisher::Publisher;
 
-/// Shortest time between two rounds. Other routers look a prefix up this long
-/// after its engine reported it; until then each knows its own requests.
+/// Minimum time between two rounds. Other routers find a cached prefix with up to
+/// this delay; until then each router relies on predictions from its own requests.
 const MIN_ROUND_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time between two rounds for each member of the group: ten messages a second.
+/// Time between two rounds per member of the group, which limits a router to ten
+/// messages per second.
 const ROUND_INTERVAL_PER_MEMBER: Duration = Duration::from_millis(100);
 
-/// How much a router keeps for sharing.
+/// Number of entries that a router keeps for sharing.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SharingSize {
-    /// Sampled entries of the engines that it follows.
+    /// Sampled entries of the engines that the router follows.
     pub published_keys: usize,
-    /// Sampled entries that it owns.
+    /// Sampled entries that the router owns.
     pub owned_keys: usize,
 }
 
-/// The keys of one prompt that one router owns.
+/// Query for the keys of one prompt that one router owns.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Question {
-    /// Who is to be asked.
+    /// Router to query.
     pub owner: RouterLife,
-    /// The keys.
+    /// Keys to look up.
     pub keys: KeyList,
     positions: Vec<usize>,
 }
 
-/// One prompt's checkpoints, as questions to their owners.
+/// Lookup of one prompt's checkpoints, split into queries to their owners.
 #[derive(Clone, Debug)]
 pub struct Questions {
     checkpoints: Vec<Checkpoint>,
     answers: Vec<Option<CheckpointHolders>>,
-    /// What has to be asked of other routers; own keys are answered already.
+    /// Queries to other routers. Keys of this router are answered already.
     pub remote: Vec<Question>,
 }
 
 impl Questions {
-    /// Takes over an owner's answer; one of the wrong length is left out.
-    pub fn answer(&mut self, question: &Question, holders: Vec<CheckpointHolders>) {
-        if holders.len() != question.positions.len() {
+    /// Records an owner's answer. An answer of the wrong length is ignored.
+    pub fn answer(&mut self, owner_query: &Question, holders: Vec<CheckpointHolders>) {
+        if holders.len() != owner_query.positions.len() {
             return;
         }
-        for (position, holders) in question.positions.iter().zip(holders) {
+        for (position, holders) in owner_query.positions.iter().zip(holders) {
             self.answers[*position] = Some(holders);
         }
     }
 
-    /// The engines that hold the start of the prompt, as far as answered.
+    /// Engines with cached leading blocks of the prompt, according to the answers
+    /// so far.
     pub fn holders(&self) -> Vec<CoarseHolder> {
         combine(&self.checkpoints, &self.answers)
     }
 }
 
-/// What one router shares with the others of its zone.
+/// State machine of one router that shares engine state within its zone.
 #[derive(Debug)]
 pub struct Sharing {
     own: RouterLife,
@@ -75,13 +77,13 @@
     publisher: Publisher,
     loads: LoadPublisher,
     shard: CoarseShard,
-    /// Whose resync the shard's entries of an engine come from. Sequence numbers
-    /// mean something only within one sender's stream.
+    /// Sender of the last resync of each engine. Sequence numbers are comparable
+    /// only within one sender's stream.
     senders: BTreeMap<EngineId, RouterLife>,
 }
 
 impl Sharing {
-    /// A router alone in its group.
+    /// Creates the state of a router that is alone in its group.
     pub fn new(own: RouterLife) -> Self {
         let mut sharing = Sharing {
             own,
@@ -95,19 +97,19 @@
         sharing
     }
 
-    /// Time until the next round. It grows with the group, so that the messages
-    /// of one router in a second stay the same.
+    /// Time until the next round. Proportional to the size of the group, which
+    /// keeps a router's message rate constant.
     pub fn round_interval(&self) -> Duration {
         let members = u32::try_from(self.group.members().len()).unwrap_or(u32::MAX);
         ROUND_INTERVAL_PER_MEMBER.saturating_mul(members).max(MIN_ROUND_INTERVAL)
     }
 
-    /// Who shares with whom.
+    /// Routers of the zone.
     pub fn group(&self) -> &Group {
         &self.group
     }
 
-    /// Takes over a new view of the group.
+    /// Sets the routers of the zone and reassigns keys accordingly.
     pub fn set_group(&mut self, group: Group) {
         if group == self.group {
             return;
@@ -116,7 +118,7 @@
         self.publisher.set_group(group);
     }
 
-    /// Adds cache events of an engine that this router follows.
+    /// Applies cache events of an engine that this router follows.
     pub fn cache_events(
         &mut self,
         engine: EngineId,
@@ -126,45 +128,45 @@
         self.publisher.apply(engine, incarnation, events);
     }
 
-    /// Replaces the cache of an engine that this router follows.
+    /// Applies a cache snapshot of an engine that this router follows.
     pub fn cache_snapshot(&mut self, engine: EngineId, snapshot: &Snapshot) {
         self.publisher.replace(engine, snapshot);
     }
 
-    /// Voids the cache of an engine that this router follows.
+    /// Clears the cache entries of an engine that this router follows.
     pub fn void_cache(&mut self, engine: EngineId) {
-        self.publisher.void(engine);
+        self.publisher.clear(engine);
     }
 
-    /// Notes a load report of an engine that this router follows.
+    /// Records a load report of an engine that this router follows.
     pub fn load(&mut self, serving: ServingDigest, load: LoadDigest, now: Timestamp) {
-        self.loads.note(serving, load, now);
+        self.loads.record(serving, load, now);
     }
 
-    /// An engine that this router follows doesn't answer.
+    /// Marks an engine that this router follows as unreachable.
     pub fn mark_down(&mut self, engine: EngineId) {
         self.loads.mark_down(engine);
-        self.publisher.void(engine);
+        self.publisher.clear(engine);
     }
 
-    /// Another router follows the engine from now on.
+    /// Stops publishing for an engine that another router follows from now on.
     pub fn unfollow(&mut self, engine: EngineId) {
         self.loads.unfollow(engine);
         self.publisher.unfollow(engine);
     }
 
-    /// Forgets an engine that left the settings.
+    /// Removes an engine that is no longer in the settings.
     pub fn remove_engine(&mut self, engine: EngineId) {
         self.unfollow(engine);
         self.senders.remove(&engine);
         self.shard.remove_engine(engine);
     }
 
-    /// One round: a message for every router that has to hear something. Own
-    /// keys are applied at once.
+    /// Ends a round: returns a message for every router with pending updates, and
+    /// applies the updates of keys that this router owns.
     ///
     /// # Errors
-    /// [`IndexFull`] when the own shard has no room for another engine.
+    /// Returns [`IndexFull`] if this router's shard has no room for another engine.
     pub fn flush(&mut self, now: Timestamp) -> Result<Vec<(RouterLife, ShareMessage)>, IndexFull> {
         let mut outgoing = self.publisher.flush();
         if let Some(own) = outgoing.remove(&self.own) {
@@ -184,11 +186,11 @@
         Ok(messages)
     }
 
-    /// Applies another router's updates to the own shard. Returns the engines
-    /// whose stream has a gap; the sender has to resync them.
+    /// Applies another router's updates to this router's shard. Returns the engines
+    /// whose stream has a gap, which the sender has to resync.
     ///
     /// # Errors
-    /// [`IndexFull`] when the shard has no room for another engine.
+    /// Returns [`IndexFull`] if the shard has no room for another engine.
     pub fn receive(
         &mut self,
         from: RouterLife,
@@ -221,25 +223,27 @@
         Ok(in_doubt)
     }
 
-    /// The receiver named engines whose stream has a gap.
+    /// Schedules resyncs of the engines whose stream has a gap at `owner`.
     pub fn in_doubt(&mut self, owner: RouterLife, engines: &[EngineId]) {
         for engine in engines {
-            self.publisher.in_doubt(owner, *engine);
+            self.publisher.request_resync(owner, *engine);
         }
     }
 
-    /// A message was not confirmed.
+    /// Schedules resyncs for a router that didn't acknowledge a message.
     pub fn delivery_failed(&mut self, to: RouterLife) {
         self.publisher.delivery_failed(to);
         self.loads.delivery_failed(to);
     }
 
-    /// The engines that hold each of `keys`, in their order, from the own shard.
+    /// Looks up the engines that hold each of `keys` in this router's shard, in the
+    /// order of the keys.
     pub fn lookup(&self, keys: &KeyList, now: Timestamp) -> Vec<CheckpointHolders> {
         self.shard.lookup(keys, now)
     }
 
-    /// Splits the checkpoints of a prompt by owner.
+    /// Starts the lookup of a prompt: answers this router's keys and splits the
+    /// others by owner.
     pub fn questions(&self, blocks: &[BlockHash], now: Timestamp) -> Questions {
         let checkpoints = checkpoints(blocks);
         let mut by_owner: BTreeMap<RouterLife, Vec<usize>> = BTreeMap::new();
@@ -249,22 +253,25 @@
             }
         }
         let answers = vec![None; checkpoints.len()];
-        let mut questions = Questions { checkpoints, answers, remote: Vec::new() };
+        let mut query = Questions { checkpoints, answers, remote: Vec::new() };
         for (owner, positions) in by_owner {
-            let keys = positions.iter().map(|position| questions.checkpoints[*position].key);
-            let question = Question { owner, keys: KeyList::new(keys), positions };
+            let keys = positions.iter().map(|position| query.checkpoints[*position].key);
+            let owner_query = Question { owner, keys: KeyList::new(keys), positions };
             if owner == self.own {
-                let holders = self.lookup(&question.keys, now);
-                questions.answer(&question, holders);
+                let holders = self.lookup(&owner_query.keys, now);
+                query.answer(&owner_query, holders);
             } else {
-                questions.remote.push(question);
+                query.remote.push(owner_query);
             }
         }
-        questions
+        query
     }
 
-    /// How much is kept.
+    /// Number of entries kept.
     pub fn size(&self) -> SharingSize {
-        SharingSize { published_keys: self.publisher.keys(), owned_keys: self.shard.size().entries }
+        SharingSize {
+            published_keys: self.publisher.key_count(),
+            owned_keys: self.shard.size().entries,
+        }
     }
 }
--- a/crates/sharing/tests/sharing.rs
+++ b/crates/sharing/tests/sharing.rs
@@ -1,4 +1,4 @@
-//! Routers of one zone that share an engine's cache, with losses and restarts.
+//! Sharing of an engine's cache within one zone under message loss and restarts.
 
 use juniper_prefix_index::{CacheEvent, Snapshot};
 use juniper_sharing::{
@@ -9,10 +9,10 @@
 
 const NOW: Timestamp = Timestamp(0);
 const ENGINE: EngineId = EngineId(1);
-const LIFE: Incarnation = Incarnation(7);
+const INCARNATION: Incarnation = Incarnation(7);
 
-fn router(node: u64, life: u64) -> RouterLife {
-    RouterLife { node: NodeId(node), life: Incarnation(life) }
+fn router(node: u64, incarnation: u64) -> RouterLife {
+    RouterLife { node: NodeId(node), life: Incarnation(incarnation) }
 }
 
 fn prompt(seed: u64, length: usize) -> Vec<BlockHash> {
@@ -29,7 +29,7 @@
     CacheEvent { sequence, stored: stored.to_vec(), removed: removed.to_vec() }
 }
 
-/// Routers that reach each other, apart from the messages a test drops.
+/// Routers of one zone. Tests choose which messages are lost.
 struct Zone {
     routers: Vec<(RouterLife, Sharing)>,
 }
@@ -40,80 +40,85 @@
         for member in members {
             zone.routers.push((*member, Sharing::new(*member)));
         }
-        zone.agree();
+        zone.update_groups();
         zone
     }
 
-    fn agree(&mut self) {
-        let group = Group::new(self.routers.iter().map(|(life, _)| *life));
+    fn update_groups(&mut self) {
+        let group = Group::new(self.routers.iter().map(|(incarnation, _)| *incarnation));
         self.routers.iter_mut().for_each(|(_, sharing)| sharing.set_group(group.clone()));
     }
 
-    fn at(&mut self, life: RouterLife) -> &mut Sharing {
-        &mut self.routers.iter_mut().find(|(known, _)| *known == life).unwrap().1
+    fn router_mut(&mut self, incarnation: RouterLife) -> &mut Sharing {
+        &mut self.routers.iter_mut().find(|(known, _)| *known == incarnation).unwrap().1
     }
 
-    /// One round; messages for which `lost` says so don't arrive, and their
-    /// sender notices only if `noticed`.
+    /// Runs one round without the messages selected by `lost`. Senders are informed
+    /// of the loss if `noticed`.
     fn round(&mut self, lost: impl Fn(RouterLife, RouterLife) -> bool, noticed: bool) {
-        let senders: Vec<RouterLife> = self.routers.iter().map(|(life, _)| *life).collect();
+        let senders: Vec<RouterLife> =
+            self.routers.iter().map(|(incarnation, _)| *incarnation).collect();
         for sender in senders {
-            for (to, message) in self.at(sender).flush(NOW).unwrap() {
+            for (to, message) in self.router_mut(sender).flush(NOW).unwrap() {
                 if lost(sender, to) {
                     if noticed {
-                        self.at(sender).delivery_failed(to);
+                        self.router_mut(sender).delivery_failed(to);
                     }
                     continue;
                 }
-                let in_doubt = self.at(to).receive(sender, &message).unwrap();
-                self.at(sender).in_doubt(to, &in_doubt);
+                let in_doubt = self.router_mut(to).receive(sender, &message).unwrap();
+                self.router_mut(sender).in_doubt(to, &in_doubt);
             }
         }
     }
 
-    fn settle(&mut self) {
+    fn run_rounds(&mut self) {
         (0..3).for_each(|_| self.round(|_, _| false, true));
     }
 
-    /// What `asker` finds out about `blocks` from all routers.
-    fn found(&mut self, asker: RouterLife, blocks: &[BlockHash]) -> Vec<(EngineId, Incarnation)> {
-        let mut questions = self.at(asker).questions(blocks, NOW);
-        for question in questions.remote.clone() {
-            let holders = self.at(question.owner).lookup(&question.keys, NOW);
-            questions.answer(&question, holders);
+    /// Holders of `blocks` that `asker` finds with the answers of all routers.
+    fn find_holders(
+        &mut self,
+        asker: RouterLife,
+        blocks: &[BlockHash],
+    ) -> Vec<(EngineId, Incarnation)> {
+        let mut query = self.router_mut(asker).questions(blocks, NOW);
+        for owner_query in query.remote.clone() {
+            let holders = self.router_mut(owner_query.owner).lookup(&owner_query.keys, NOW);
+            query.answer(&owner_query, holders);
         }
-        questions.holders().iter().map(|holder| (holder.engine, holder.incarnation)).collect()
+        query.holders().iter().map(|holder| (holder.engine, holder.incarnation)).collect()
     }
 }
 
-fn three() -> [RouterLife; 3] {
+fn three_routers() -> [RouterLife; 3] {
     [router(1, 10), router(2, 20), router(3, 30)]
 }
 
 #[test]
-fn every_router_finds_what_one_of_them_followed() {
-    let mut zone = Zone::new(&three());
+fn every_router_finds_blocks_of_an_engine_that_one_follows() {
+    let mut zone = Zone::new(&three_routers());
     let blocks = prompt(1, 320);
-    zone.at(router(1, 10)).cache_events(ENGINE, LIFE, &[event(1, &blocks, &[])]);
-    zone.settle();
-    for asker in three() {
-        assert_eq!(zone.found(asker, &blocks), [(ENGINE, LIFE)]);
+    zone.router_mut(router(1, 10)).cache_events(ENGINE, INCARNATION, &[event(1, &blocks, &[])]);
+    zone.run_rounds();
+    for asker in three_routers() {
+        assert_eq!(zone.find_holders(asker, &blocks), [(ENGINE, INCARNATION)]);
     }
-    zone.at(router(1, 10)).cache_events(ENGINE, LIFE, &[event(2, &[], &blocks)]);
-    zone.settle();
-    assert!(zone.found(router(2, 20), &blocks).is_empty());
+    zone.router_mut(router(1, 10)).cache_events(ENGINE, INCARNATION, &[event(2, &[], &blocks)]);
+    zone.run_rounds();
+    assert!(zone.find_holders(router(2, 20), &blocks).is_empty());
 }
 
 #[test]
-fn stored_and_evicted_in_one_round_is_sent_at_most_once() {
-    let [first, second, third] = three();
+fn block_stored_and_evicted_in_one_round_is_sent_only_as_removed() {
+    let [first, second, third] = three_routers();
     let mut sharing = Sharing::new(first);
     sharing.set_group(Group::new([first, second, third]));
-    // A first message to every owner, so that the next one holds changes only.
-    sharing.cache_events(ENGINE, LIFE, &[event(1, &prompt(1, 640), &[])]);
+    // The first message to each owner is a resync; later ones contain changes only.
+    sharing.cache_events(ENGINE, INCARNATION, &[event(1, &prompt(1, 640), &[])]);
     sharing.flush(NOW).unwrap();
     let blocks = prompt(4, 640);
-    sharing.cache_events(ENGINE, LIFE, &[event(2, &blocks, &[]), event(3, &[], &blocks)]);
+    sharing.cache_events(ENGINE, INCARNATION, &[event(2, &blocks, &[]), event(3, &[], &blocks)]);
     let messages = sharing.flush(NOW).unwrap();
     assert_eq!(messages.len(), 2);
     for delta in messages.iter().flat_map(|(_, message)| &message.deltas) {
@@ -123,87 +128,91 @@
 }
 
 #[test]
-fn lost_message_is_repaired_whether_or_not_the_sender_noticed() {
+fn lost_message_is_repaired_with_and_without_notice() {
     for noticed in [true, false] {
-        let mut zone = Zone::new(&three());
+        let mut zone = Zone::new(&three_routers());
         let follower = router(1, 10);
         let (first, second, third) = (prompt(1, 160), prompt(2, 160), prompt(3, 160));
-        zone.at(follower).cache_events(ENGINE, LIFE, &[event(1, &first, &[])]);
-        zone.settle();
-        zone.at(follower).cache_events(ENGINE, LIFE, &[event(2, &second, &first)]);
+        zone.router_mut(follower).cache_events(ENGINE, INCARNATION, &[event(1, &first, &[])]);
+        zone.run_rounds();
+        zone.router_mut(follower).cache_events(ENGINE, INCARNATION, &[event(2, &second, &first)]);
         zone.round(|_, _| true, noticed);
-        zone.at(follower).cache_events(ENGINE, LIFE, &[event(3, &third, &[])]);
-        zone.settle();
-        assert!(zone.found(router(2, 20), &first).is_empty());
-        assert_eq!(zone.found(router(3, 30), &second), [(ENGINE, LIFE)]);
-        assert_eq!(zone.found(router(3, 30), &third), [(ENGINE, LIFE)]);
+        zone.router_mut(follower).cache_events(ENGINE, INCARNATION, &[event(3, &third, &[])]);
+        zone.run_rounds();
+        assert!(zone.find_holders(router(2, 20), &first).is_empty());
+        assert_eq!(zone.find_holders(router(3, 30), &second), [(ENGINE, INCARNATION)]);
+        assert_eq!(zone.find_holders(router(3, 30), &third), [(ENGINE, INCARNATION)]);
     }
 }
 
 #[test]
-fn restarted_router_gets_its_shard_back_and_a_departed_one_hands_it_over() {
-    let mut zone = Zone::new(&three());
+fn shard_is_restored_after_a_restart_and_reassigned_after_a_departure() {
+    let mut zone = Zone::new(&three_routers());
     let follower = router(1, 10);
     let blocks = prompt(4, 480);
-    zone.at(follower).cache_events(ENGINE, LIFE, &[event(1, &blocks, &[])]);
-    zone.settle();
+    zone.router_mut(follower).cache_events(ENGINE, INCARNATION, &[event(1, &blocks, &[])]);
+    zone.run_rounds();
     let before = zone.routers.iter().map(|(_, sharing)| sharing.size().owned_keys).sum::<usize>();
     // The third router restarts with an empty shard.
     zone.routers[2] = (router(3, 31), Sharing::new(router(3, 31)));
-    zone.agree();
-    zone.settle();
+    zone.update_groups();
+    zone.run_rounds();
     let after = zone.routers.iter().map(|(_, sharing)| sharing.size().owned_keys).sum::<usize>();
     assert_eq!(before, after);
-    // Then it goes for good.
+    // The third router leaves permanently.
     zone.routers.pop();
-    zone.agree();
-    zone.settle();
+    zone.update_groups();
+    zone.run_rounds();
     let left = zone.routers.iter().map(|(_, sharing)| sharing.size().owned_keys).sum::<usize>();
     assert_eq!(before, left);
-    assert_eq!(zone.found(router(2, 20), &blocks), [(ENGINE, LIFE)]);
+    assert_eq!(zone.find_holders(router(2, 20), &blocks), [(ENGINE, INCARNATION)]);
 }
 
 #[test]
-fn another_follower_takes_over_though_its_numbers_start_again() {
-    let mut zone = Zone::new(&three());
+fn new_follower_takes_over_with_restarted_sequence_numbers() {
+    let mut zone = Zone::new(&three_routers());
     let (old, new) = (prompt(5, 320), prompt(6, 320));
     for sequence in 1..20 {
         let blocks = prompt(100 + sequence, 64);
-        zone.at(router(1, 10)).cache_events(ENGINE, LIFE, &[event(sequence, &blocks, &[])]);
-        zone.settle();
+        zone.router_mut(router(1, 10)).cache_events(
+            ENGINE,
+            INCARNATION,
+            &[event(sequence, &blocks, &[])],
+        );
+        zone.run_rounds();
     }
-    zone.at(router(1, 10)).cache_events(ENGINE, LIFE, &[event(20, &old, &[])]);
-    zone.settle();
-    zone.at(router(1, 10)).unfollow(ENGINE);
-    let snapshot = Snapshot { incarnation: LIFE, sequence: 21, blocks: new.clone() };
-    zone.at(router(2, 20)).cache_snapshot(ENGINE, &snapshot);
-    zone.settle();
-    assert!(zone.found(router(3, 30), &old).is_empty());
-    assert_eq!(zone.found(router(3, 30), &new), [(ENGINE, LIFE)]);
+    zone.router_mut(router(1, 10)).cache_events(ENGINE, INCARNATION, &[event(20, &old, &[])]);
+    zone.run_rounds();
+    zone.router_mut(router(1, 10)).unfollow(ENGINE);
+    let snapshot = Snapshot { incarnation: INCARNATION, sequence: 21, blocks: new.clone() };
+    zone.router_mut(router(2, 20)).cache_snapshot(ENGINE, &snapshot);
+    zone.run_rounds();
+    assert!(zone.find_holders(router(3, 30), &old).is_empty());
+    assert_eq!(zone.find_holders(router(3, 30), &new), [(ENGINE, INCARNATION)]);
 }
 
 #[test]
-fn nothing_counts_of_an_earlier_life_or_of_an_engine_that_is_down() {
-    let mut zone = Zone::new(&three());
+fn entries_of_an_earlier_incarnation_or_unreachable_engine_are_removed() {
+    let mut zone = Zone::new(&three_routers());
     let blocks = prompt(7, 320);
-    zone.at(router(1, 10)).cache_events(ENGINE, LIFE, &[event(1, &blocks, &[])]);
-    zone.settle();
-    zone.at(router(1, 10)).cache_events(ENGINE, Incarnation(8), &[]);
-    zone.settle();
-    assert!(zone.found(router(2, 20), &blocks).is_empty());
+    zone.router_mut(router(1, 10)).cache_events(ENGINE, INCARNATION, &[event(1, &blocks, &[])]);
+    zone.run_rounds();
+    zone.router_mut(router(1, 10)).cache_events(ENGINE, Incarnation(8), &[]);
+    zone.run_rounds();
+    assert!(zone.find_holders(router(2, 20), &blocks).is_empty());
     let again = [event(1, &blocks, &[])];
-    zone.at(router(1, 10)).cache_events(ENGINE, Incarnation(8), &again);
-    zone.settle();
-    assert_eq!(zone.found(router(2, 20), &blocks), [(ENGINE, Incarnation(8))]);
-    zone.at(router(1, 10)).mark_down(ENGINE);
-    zone.settle();
-    assert!(zone.found(router(2, 20), &blocks).is_empty());
+    zone.router_mut(router(1, 10)).cache_events(ENGINE, Incarnation(8), &again);
+    zone.run_rounds();
+    assert_eq!(zone.find_holders(router(2, 20), &blocks), [(ENGINE, Incarnation(8))]);
+    zone.router_mut(router(1, 10)).mark_down(ENGINE);
+    zone.run_rounds();
+    assert!(zone.find_holders(router(2, 20), &blocks).is_empty());
 }
 
 fn digests(leaving: bool) -> (ServingDigest, LoadDigest) {
     let serving = ServingDigest {
         engine: ENGINE,
-        incarnation: LIFE,
+        incarnation: INCARNATION,
         model: None,
         weights: WeightsVersion(1),
         adapters: Vec::new(),
@@ -216,8 +225,8 @@
 }
 
 #[test]
-fn serving_state_is_sent_on_change_only_and_again_after_a_failure() {
-    let [first, second, _] = three();
+fn serving_state_is_sent_on_change_and_after_a_failed_delivery() {
+    let [first, second, _] = three_routers();
     let mut sharing = Sharing::new(first);
     sharing.set_group(Group::new([first, second]));
     let sent = |sharing: &mut Sharing, leaving| {
@@ -236,15 +245,16 @@
 }
 
 #[test]
-fn small_fleets_follow_everything_and_large_ones_share() {
+fn routers_follow_every_engine_only_in_small_fleets() {
     let own = router(1, 10);
-    let group = Group::new(three());
+    let group = Group::new(three_routers());
     let engines = |from: u32, count: u32| (from..from + count).map(EngineId).collect::<Vec<_>>();
     let small =
         FollowPlan::new(own, &group, &engines(0, 6), &[engines(6, 6), engines(12, 6)], 64, true);
     assert_eq!((small.followed.len(), small.shared), (18, false));
     let zones = [engines(100, 107), engines(300, 107)];
-    let plans = three().map(|own| FollowPlan::new(own, &group, &engines(0, 107), &zones, 64, true));
+    let plans =
+        three_routers().map(|own| FollowPlan::new(own, &group, &engines(0, 107), &zones, 64, true));
     let mut followed: Vec<EngineId> =
         plans.iter().flat_map(|plan| plan.followed.iter().copied()).collect();
     followed.sort_unstable();
@@ -253,7 +263,7 @@
 }
 
 #[test]
-fn a_router_that_does_not_know_its_group_yet_follows_no_engine_of_a_large_fleet() {
+fn unsettled_router_follows_no_engine_of_a_large_fleet() {
     let own = router(1, 10);
     let alone = Group::new([own]);
     let engines: Vec<EngineId> = (0..107).map(EngineId).collect();
@@ -264,7 +274,7 @@
 }
 
 quickcheck! {
-    fn hostile_bytes_are_refused_without_a_panic(bytes: Vec<u8>) -> bool {
+    fn invalid_bytes_do_not_panic_the_decoder(bytes: Vec<u8>) -> bool {
         let _ = minicbor::decode::<ShareMessage>(&bytes);
         true
     }
