--- a/crates/prefix-index/examples/index_size.rs
+++ b/crates/prefix-index/examples/index_size.rs
@@ -1,4 +1,4 @@
-//! Memory for a million block entries and the time of a lookup.
+//! Measures the memory of a million block entries and the duration of lookups.
 //!
 //! `cargo run --release -p juniper-prefix-index --example index_size`
 
@@ -8,7 +8,7 @@
 use juniper_prefix_index::{CacheEvent, PrefixIndex, Snapshot};
 use juniper_types::{BlockHash, EngineId, Incarnation, Timestamp};
 
-const LIFE: Incarnation = Incarnation(1);
+const INCARNATION: Incarnation = Incarnation(1);
 const LOOKUPS: usize = 20_000;
 const PROMPT_BLOCKS: usize = 96;
 
@@ -23,7 +23,7 @@
     blocks
 }
 
-/// Resident bytes of this process.
+/// Resident memory of this process, in bytes.
 fn resident_bytes() -> usize {
     let status = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = status.split_whitespace().nth(1).and_then(|field| field.parse().ok());
@@ -37,7 +37,7 @@
         for (sequence, number) in (1..).zip(0..prompts) {
             let seed = u64::from(engine) * 1_000_000 + number as u64;
             let event = CacheEvent { sequence, stored: prompt(seed, 32), removed: Vec::new() };
-            let outcome = index.apply_events(EngineId(engine), LIFE, &[event]);
+            let outcome = index.apply_events(EngineId(engine), INCARNATION, &[event]);
             assert!(outcome.is_ok());
         }
     }
@@ -81,7 +81,7 @@
 fn measure_resync(blocks: usize) {
     let mut index = fill(18, blocks);
     let held = (0..blocks as u64 / 96).flat_map(|n| prompt(n, 32)).collect();
-    let snapshot = Snapshot { incarnation: LIFE, sequence: 1_000_000, blocks: held };
+    let snapshot = Snapshot { incarnation: INCARNATION, sequence: 1_000_000, blocks: held };
     let start = Instant::now();
     let outcome = index.apply_snapshot(EngineId(0), &snapshot);
     assert!(outcome.is_ok());
@@ -93,12 +93,15 @@
 
 fn measure_messages() {
     for keys in [1, 4, 8, 50] {
-        let marks = checkpoints(&(0..keys * 40).flat_map(|n| prompt(n, 0)).collect::<Vec<_>>());
+        let prompt_checkpoints =
+            checkpoints(&(0..keys * 40).flat_map(|n| prompt(n, 0)).collect::<Vec<_>>());
         let update = CoarseUpdate {
             engine: EngineId(1_499),
             incarnation: Incarnation(u64::MAX),
             sequence: 100_000,
-            stored: KeyList::new(marks.iter().take(keys as usize).map(|mark| mark.key)),
+            stored: KeyList::new(
+                prompt_checkpoints.iter().take(keys as usize).map(|checkpoint| checkpoint.key),
+            ),
             removed: KeyList::default(),
         };
         let bytes = minicbor::to_vec(&update).map_or(0, |bytes| bytes.len());
--- a/crates/prefix-index/src/coarse.rs
+++ b/crates/prefix-index/src/coarse.rs
@@ -1,13 +1,13 @@
-//! The sampled index that routers of a zone share when the exact one is too large.
+//! Sampled prefix index, shared by the routers of a zone if the exact index would
+//! be too large.
 //!
-//! One block in [`CHECKPOINT_INTERVAL`] is a checkpoint, chosen by its own hash:
-//! an engine's event names a block without its depth, so a choice by depth
-//! could not be made by who reads the events. Every checkpoint has one owner
-//! among the routers of the zone, by rendezvous hashing; who reads an engine's
-//! events sends each owner its part in batches, and who routes a request asks
-//! the owners of the prompt's checkpoints. Keys are cut to six bytes: a false
-//! match misleads one routing decision and no cache, since engines compare
-//! whole hashes.
+//! One block in [`CHECKPOINT_INTERVAL`] is a checkpoint, selected by its hash,
+//! because cache events don't state the depth of a block. Rendezvous hashing
+//! assigns each checkpoint to one owner among the routers of the zone. The router
+//! that reads an engine's events sends batched updates to the owners. A router
+//! that routes a request queries the owners of the prompt's checkpoints. Keys are
+//! truncated to six bytes. A collision can only affect a routing decision, because
+//! engines compare whole hashes.
 
 use std::collections::BTreeMap;
 
@@ -18,24 +18,24 @@
 use crate::index::{IndexSize, PrefixIndex};
 use crate::rendezvous;
 
-/// One block in so many is a checkpoint: sixteen keep the updates of the design
-/// size within 3 KB/s a node (docs/design/prefix-index.md has the arithmetic).
+/// Mean number of blocks per checkpoint. Bounds the updates to 3 KB/s per node at
+/// the design size (see docs/design/prefix-index.md).
 pub const CHECKPOINT_INTERVAL: u8 = 16;
 
-/// Bytes of a block hash that a checkpoint key keeps.
+/// Length of a checkpoint key in bytes.
 pub const KEY_BYTES: usize = 6;
 
-/// Byte of the hash that chooses checkpoints; it is not part of the key.
-const CHOOSING_BYTE: usize = 14;
+/// Byte of the hash that selects checkpoints, outside the key.
+const SELECTOR_BYTE: usize = 14;
 
-/// A checkpoint block, cut short.
+/// Truncated hash of a checkpoint block.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CheckpointKey([u8; KEY_BYTES]);
 
 impl CheckpointKey {
-    /// The key of `block` if it is a checkpoint.
+    /// Key of `block`; `None` if the block isn't a checkpoint.
     pub fn of(block: &BlockHash) -> Option<Self> {
-        if !block.0[CHOOSING_BYTE].is_multiple_of(CHECKPOINT_INTERVAL) {
+        if !block.0[SELECTOR_BYTE].is_multiple_of(CHECKPOINT_INTERVAL) {
             return None;
         }
         let mut key = [0; KEY_BYTES];
@@ -43,7 +43,7 @@
         Some(CheckpointKey(key))
     }
 
-    /// The router that owns the key.
+    /// Router that owns the key.
     pub fn owner(&self, routers: impl IntoIterator<Item = u64>) -> Option<u64> {
         rendezvous::owner(self.as_word(), routers)
     }
@@ -52,8 +52,8 @@
         self.0.iter().fold(0, |word, byte| word << 8 | u64::from(*byte))
     }
 
-    /// The key in the place of a block hash, spread over the bytes that the
-    /// index takes for its hash and its shard.
+    /// Converts the key to a block hash, filling the bytes from which the index
+    /// derives the hash and the shard.
     fn as_block(&self) -> BlockHash {
         let mut block = [0; 16];
         block[..KEY_BYTES].copy_from_slice(&self.0);
@@ -64,16 +64,16 @@
     }
 }
 
-/// A checkpoint of one prompt.
+/// Checkpoint of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Checkpoint {
-    /// Leading blocks of the prompt that end with the checkpoint.
+    /// Number of leading blocks of the prompt up to and including the checkpoint.
     pub blocks: u32,
-    /// Its key.
+    /// Key of the checkpoint.
     pub key: CheckpointKey,
 }
 
-/// The checkpoints of a prompt, in order.
+/// Returns the checkpoints of a prompt, in order.
 pub fn checkpoints(blocks: &[BlockHash]) -> Vec<Checkpoint> {
     let numbered = (1..).zip(blocks);
     numbered
@@ -81,65 +81,66 @@
         .collect()
 }
 
-/// A list of keys as one byte string.
+/// List of keys, encoded as one byte string.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 #[cbor(transparent)]
 pub struct KeyList(#[cbor(n(0), with = "minicbor::bytes")] Vec<u8>);
 
 impl KeyList {
-    /// Packs `keys`.
+    /// Creates a list of `keys`.
     pub fn new(keys: impl IntoIterator<Item = CheckpointKey>) -> Self {
         KeyList(keys.into_iter().flat_map(|key| key.0).collect())
     }
 
-    /// The keys; bytes left over at the end are ignored.
+    /// Iterates over the keys. Ignores an incomplete key at the end.
     pub fn iter(&self) -> impl Iterator<Item = CheckpointKey> {
         let (keys, _) = self.0.as_chunks::<KEY_BYTES>();
         keys.iter().copied().map(CheckpointKey)
     }
 }
 
-/// What one engine's cache gained and lost within one owner's keys.
+/// Update of one engine's cached checkpoints, limited to the keys of one owner.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct CoarseUpdate {
-    /// The engine.
+    /// Engine number.
     #[n(0)]
     pub engine: EngineId,
-    /// The life that the keys belong to.
+    /// Incarnation of the engine.
     #[n(1)]
     pub incarnation: Incarnation,
-    /// Counts the updates about this life to this owner, from 1.
+    /// Sequence number of the update in the owner's stream for this engine,
+    /// starting at 1.
     #[n(2)]
     pub sequence: u64,
-    /// Checkpoints stored.
+    /// Checkpoints added to the cache.
     #[n(3)]
     pub stored: KeyList,
-    /// Checkpoints evicted.
+    /// Checkpoints evicted from the cache.
     #[n(4)]
     pub removed: KeyList,
 }
 
-/// A change of what a [`CoarseUpdate`] told before on the same stream. It leaves
-/// the incarnation out: a new life always begins with a whole update.
+/// Change after a [`CoarseUpdate`] on the same stream. Has no incarnation, because
+/// a new incarnation always begins with a full update.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct CoarseDelta {
-    /// The engine.
+    /// Engine number.
     #[n(0)]
     pub engine: EngineId,
-    /// One more than that of the update or delta before it.
+    /// Sequence number, one more than that of the previous update or delta.
     #[n(1)]
     pub sequence: u64,
-    /// Checkpoints stored.
+    /// Checkpoints added to the cache.
     #[n(2)]
     pub stored: KeyList,
-    /// Checkpoints evicted.
+    /// Checkpoints evicted from the cache.
     #[n(3)]
     pub removed: KeyList,
 }
 
-/// One router's part of the sampled index.
+/// Part of the sampled index that one router owns.
 ///
-/// Gaps, incarnations and deaths work as in [`PrefixIndex`].
+/// Handles gaps, incarnations and removed engines like [`PrefixIndex`].
 #[derive(Debug, Default)]
 pub struct CoarseShard {
     index: PrefixIndex,
@@ -150,28 +151,28 @@
     CacheEvent { sequence, stored: blocks(stored), removed: blocks(removed) }
 }
 
-/// The engines that hold one checkpoint.
+/// Engines that hold one checkpoint.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct CheckpointHolders {
-    /// Engine lives, in order.
+    /// Engines with their incarnations, sorted.
     #[n(0)]
     pub engines: Vec<(EngineId, Incarnation)>,
 }
 
 impl CoarseShard {
-    /// Applies an update from the router that reads the engine's events.
+    /// Applies an update from the router that follows the engine.
     ///
     /// # Errors
-    /// [`IndexFull`] when there is no room for another engine.
+    /// Returns [`IndexFull`] if there is no room for another engine.
     pub fn apply(&mut self, update: &CoarseUpdate) -> Result<EventOutcome, IndexFull> {
         let event = event(update.sequence, &update.stored, &update.removed);
         self.index.apply_events(update.engine, update.incarnation, &[event])
     }
 
-    /// Applies a change to what the shard holds of the engine's current life.
+    /// Applies a delta to the entries of the engine's current incarnation.
     ///
     /// # Errors
-    /// [`IndexFull`] when there is no room for another engine.
+    /// Returns [`IndexFull`] if there is no room for another engine.
     pub fn apply_delta(&mut self, delta: &CoarseDelta) -> Result<EventOutcome, IndexFull> {
         let Some((incarnation, _)) = self.index.position(delta.engine) else {
             return Ok(EventOutcome::AwaitingSnapshot);
@@ -180,12 +181,11 @@
         self.index.apply_events(delta.engine, incarnation, &[event])
     }
 
-    /// Replaces what is known of an engine; `update` names everything it stores
-    /// of this shard as of its sequence number. A sender that takes the engine
-    /// over numbers its updates anew, so a lower number is no reason to refuse.
+    /// Replaces the entries of an engine by those of a full `update`. Accepts lower
+    /// sequence numbers, because a new sender starts its own numbering.
     ///
     /// # Errors
-    /// [`IndexFull`] when there is no room for another engine.
+    /// Returns [`IndexFull`] if there is no room for another engine.
     pub fn resync(&mut self, update: &CoarseUpdate) -> Result<SnapshotOutcome, IndexFull> {
         let snapshot = Snapshot {
             incarnation: update.incarnation,
@@ -199,12 +199,12 @@
         self.index.apply_snapshot(update.engine, &snapshot)
     }
 
-    /// Voids everything known of an engine.
+    /// Removes all entries of an engine.
     pub fn remove_engine(&mut self, engine: EngineId) {
         self.index.remove_engine(engine);
     }
 
-    /// The engines that hold each of `keys`, in the order of the keys.
+    /// Looks up the engines that hold each of `keys`, in the order of the keys.
     pub fn lookup(&self, keys: &KeyList, now: Timestamp) -> Vec<CheckpointHolders> {
         keys.iter().map(|key| self.holders(key, now)).collect()
     }
@@ -216,46 +216,47 @@
         CheckpointHolders { engines }
     }
 
-    /// How much the shard holds.
+    /// Size of the shard.
     pub fn size(&self) -> IndexSize {
         self.index.size()
     }
 }
 
-/// An engine with the leading blocks that the checkpoints vouch for.
+/// Engine with cached leading blocks according to the checkpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CoarseHolder {
-    /// The engine.
+    /// Engine number.
     pub engine: EngineId,
-    /// The life it holds them in.
+    /// Incarnation that holds the blocks.
     pub incarnation: Incarnation,
-    /// Blocks up to the last checkpoint held; up to an interval more is likely.
+    /// Number of leading blocks up to the last checkpoint held. The engine may hold
+    /// further blocks up to the next checkpoint.
     pub blocks: u32,
 }
 
-/// Puts the owners' answers about one prompt together. `answers` has the
-/// holders of each checkpoint, `None` where the owner did not answer: such a
-/// checkpoint is passed over rather than taken for a miss.
+/// Combines the owners' answers about one prompt. `answers` contains the holders
+/// of each checkpoint, or `None` if its owner didn't answer. Such checkpoints are
+/// skipped and don't count as cache misses.
 pub fn combine(
     checkpoints: &[Checkpoint],
     answers: &[Option<CheckpointHolders>],
 ) -> Vec<CoarseHolder> {
-    let mut reached: BTreeMap<(EngineId, Incarnation), u32> = BTreeMap::new();
+    let mut leading_blocks: BTreeMap<(EngineId, Incarnation), u32> = BTreeMap::new();
     let mut active: Option<Vec<(EngineId, Incarnation)>> = None;
     for (checkpoint, answer) in checkpoints.iter().zip(answers) {
         let Some(answer) = answer else {
             continue;
         };
-        let holds_all = |life: &(EngineId, Incarnation)| {
-            active.as_ref().is_none_or(|lives| lives.contains(life))
+        let holds_all = |holder: &(EngineId, Incarnation)| {
+            active.as_ref().is_none_or(|holders_so_far| holders_so_far.contains(holder))
         };
-        let lives: Vec<_> = answer.engines.iter().copied().filter(holds_all).collect();
-        for life in &lives {
-            reached.insert(*life, checkpoint.blocks);
+        let holders_so_far: Vec<_> = answer.engines.iter().copied().filter(holds_all).collect();
+        for holder in &holders_so_far {
+            leading_blocks.insert(*holder, checkpoint.blocks);
         }
-        active = Some(lives);
+        active = Some(holders_so_far);
     }
-    let holders = reached.into_iter();
+    let holders = leading_blocks.into_iter();
     holders
         .map(|((engine, incarnation), blocks)| CoarseHolder { engine, incarnation, blocks })
         .collect()
--- a/crates/prefix-index/src/event.rs
+++ b/crates/prefix-index/src/event.rs
@@ -1,58 +1,58 @@
-//! What engines report about their caches, and what the index made of it.
+//! Cache events and snapshots of engines, and the results of applying them.
 
 use juniper_types::{BlockHash, Incarnation};
 
-/// One numbered change of an engine's cache.
+/// Numbered change of an engine's cache.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CacheEvent {
-    /// Number of the event; an incarnation counts up by one from 1.
+    /// Sequence number of the event within its incarnation, starting at 1.
     pub sequence: u64,
-    /// Blocks that entered the cache, each parent before its child.
+    /// Blocks added to the cache, each parent before its child.
     pub stored: Vec<BlockHash>,
-    /// Blocks that left the cache.
+    /// Blocks evicted from the cache.
     pub removed: Vec<BlockHash>,
 }
 
-/// The whole cache of an engine.
+/// Full contents of an engine's cache.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Snapshot {
-    /// The life of the engine that it describes.
+    /// Incarnation of the engine.
     pub incarnation: Incarnation,
-    /// The last event that the snapshot includes.
+    /// Sequence number of the last event that the snapshot includes.
     pub sequence: u64,
-    /// Every block held.
+    /// All blocks in the cache.
     pub blocks: Vec<BlockHash>,
 }
 
-/// What a batch of events did to the index.
+/// Result of applying a batch of events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventOutcome {
-    /// Every event was applied, or had been before.
+    /// Every event was applied now or before.
     Applied,
-    /// An event is missing: the entries of the engine no longer count, and a
-    /// snapshot has to be taken.
+    /// An event is missing. The entries of the engine no longer count until a
+    /// snapshot is applied.
     Gap {
-        /// The first number that is missing.
+        /// First missing sequence number.
         missing: u64,
     },
-    /// The engine waits for a snapshot; the events were not used.
+    /// The engine needs a snapshot first; the events were ignored.
     AwaitingSnapshot,
-    /// The events belong to an incarnation that has ended; they were not used.
+    /// The events belong to an ended incarnation and were ignored.
     StaleIncarnation,
 }
 
-/// What a snapshot did to the index.
+/// Result of applying a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SnapshotOutcome {
-    /// The entries of the engine are those of the snapshot.
+    /// The snapshot replaced the entries of the engine.
     Applied,
-    /// The index has applied later events already; the snapshot was not used.
+    /// The index has already applied later events; the snapshot was ignored.
     Outdated,
-    /// The snapshot belongs to an incarnation that has ended; it was not used.
+    /// The snapshot belongs to an ended incarnation and was ignored.
     StaleIncarnation,
 }
 
-/// The index has no room for another engine.
+/// Error for an index without room for another engine or view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the prefix index has no room for another engine")]
 pub struct IndexFull;
--- a/crates/prefix-index/src/holders.rs
+++ b/crates/prefix-index/src/holders.rs
@@ -1,8 +1,8 @@
-//! The set of slots that hold one block, in eight bytes for most blocks.
+//! Compact sets of the slots that hold a block.
 //!
-//! Most blocks are held by one to three engines; those are packed into the
-//! word itself. A block that more engines hold, such as the system prompt of a
-//! large tenant, has a bit set in an arena.
+//! Up to three slots are packed into a word of eight bytes, which suffices for
+//! most blocks. Blocks with more holders, such as those of a common system prompt,
+//! use a bit set in an arena.
 
 use crate::slots::{Slot, SlotSet};
 
@@ -10,11 +10,12 @@
 const SLOT_BITS: usize = 16;
 const SPILLED_TAG: u64 = 0xFFFF << (INLINE_SLOTS * SLOT_BITS);
 
-/// Packed set: three times 16 bits of slot plus one, or a tag and an arena index.
+/// Packed set: either up to three values of slot plus one with 16 bits each, or a
+/// tag and an arena index.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct HolderSet(u64);
 
-/// Bit sets of the blocks with many holders.
+/// Arena of the bit sets of blocks with many holders.
 #[derive(Debug, Default)]
 pub(crate) struct Arena {
     sets: Vec<SlotSet>,
@@ -69,7 +70,7 @@
         HolderSet(packed.fold(0, |word, part| word | part))
     }
 
-    /// Adds `slot`; returns whether it was absent.
+    /// Inserts `slot`. Returns whether it was absent.
     pub(crate) fn insert(&mut self, slot: Slot, arena: &mut Arena) -> bool {
         if let Some(index) = self.arena_index() {
             let set = &mut arena.sets[index as usize];
@@ -91,23 +92,23 @@
         true
     }
 
-    /// Removes `slot`; returns whether it was there.
+    /// Removes `slot`. Returns whether it was present.
     pub(crate) fn remove(&mut self, slot: Slot, arena: &mut Arena) -> bool {
-        let mut gone = SlotSet::default();
-        gone.insert(slot);
-        self.remove_all(&gone, arena) > 0
+        let mut removed = SlotSet::default();
+        removed.insert(slot);
+        self.remove_all(&removed, arena) > 0
     }
 
-    /// Removes every slot of `gone`; returns how many were there.
-    pub(crate) fn remove_all(&mut self, gone: &SlotSet, arena: &mut Arena) -> usize {
+    /// Removes the slots of `removed`. Returns the number of slots that were present.
+    pub(crate) fn remove_all(&mut self, removed: &SlotSet, arena: &mut Arena) -> usize {
         let Some(index) = self.arena_index() else {
             let before = self.inline_slots().count();
-            *self = Self::pack(self.inline_slots().filter(|slot| !gone.contains(*slot)));
+            *self = Self::pack(self.inline_slots().filter(|slot| !removed.contains(*slot)));
             return before - self.inline_slots().count();
         };
         let set = &mut arena.sets[index as usize];
         let before = set.len();
-        set.remove_all(gone);
+        set.remove_all(removed);
         let after = set.len();
         if after < INLINE_SLOTS {
             let mut kept = Vec::with_capacity(INLINE_SLOTS);
@@ -129,7 +130,7 @@
         }
     }
 
-    /// Adds the whole set to `found`.
+    /// Inserts all slots of this set into `found`.
     pub(crate) fn collect_into(self, arena: &Arena, found: &mut SlotSet) {
         match self.arena_index() {
             Some(index) => found.insert_all(&arena.sets[index as usize]),
--- a/crates/prefix-index/src/index.rs
+++ b/crates/prefix-index/src/index.rs
@@ -1,4 +1,4 @@
-//! The exact index: engine lives, their events, and the lookup.
+//! Exact prefix index: engine incarnations and their cache events.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -10,64 +10,63 @@
 use crate::slots::{Slot, SlotAllocator};
 use crate::table::{BlockTable, SHARDS};
 
-/// How long a prediction counts unless an event confirms it: longer than the
-/// prefill of a long prompt plus the delay of events, shorter than the seconds
-/// within which engines evict.
+/// Lifetime of a prediction that no event confirms: longer than the prefill of a
+/// long prompt plus the delay of events, shorter than the time until eviction.
 pub const PREDICTION_LIFETIME: Duration = Duration::from_secs(3);
 
-/// Ended incarnations remembered for each engine, so that late reports of an
-/// old life are not taken for a new one.
-const REMEMBERED_INCARNATIONS: usize = 8;
+/// Number of ended incarnations kept per engine, so that their late reports
+/// aren't mistaken for a new incarnation.
+const MAX_ENDED_INCARNATIONS: usize = 8;
 
-/// An engine that holds the start of a prompt.
+/// Engine that holds leading blocks of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Holder {
-    /// The engine.
+    /// Engine number.
     pub engine: EngineId,
-    /// The life it holds the blocks in.
+    /// Incarnation that holds the blocks.
     pub incarnation: Incarnation,
-    /// Leading blocks held, without a hole.
+    /// Number of contiguous leading blocks held.
     pub blocks: u32,
-    /// How many of them are only predicted.
+    /// Number of these blocks that are only predicted.
     pub predicted: u32,
-    /// The request that computes the last predicted one.
+    /// Request that computes the last predicted block.
     pub computed_by: Option<PredictionSource>,
 }
 
-/// How much the index holds.
+/// Size of an index.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct IndexSize {
-    /// Distinct blocks.
+    /// Number of distinct blocks.
     pub blocks: usize,
-    /// Blocks counted once for each engine that holds them.
+    /// Number of pairs of a block and an engine that holds it.
     pub entries: usize,
-    /// Predictions outstanding.
+    /// Number of outstanding predictions.
     pub predictions: usize,
-    /// Bytes on the heap.
+    /// Size on the heap, in bytes.
     pub heap_bytes: usize,
 }
 
-/// The current life of one engine.
+/// View of an engine's cache in its current incarnation.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Life {
+pub(crate) struct IncarnationView {
     pub(crate) incarnation: Incarnation,
     pub(crate) slot: Slot,
     next_sequence: u64,
-    /// An event was lost: nothing is known until a snapshot comes.
-    in_doubt: bool,
+    /// Whether an event was lost, so the view is empty until the next snapshot.
+    awaits_snapshot: bool,
 }
 
 #[derive(Debug)]
 pub(crate) struct Engine {
     pub(crate) id: EngineId,
-    pub(crate) life: Option<Life>,
+    pub(crate) view: Option<IncarnationView>,
     ended: VecDeque<Incarnation>,
 }
 
-/// Which engine incarnation holds which prompt blocks.
+/// Exact index of the prompt blocks held by engine incarnations.
 ///
-/// Invariant: an entry counts only while the life that reported it is the
-/// engine's current one and no event of that life is known to be lost.
+/// Invariant: an entry counts only while the incarnation that reported it is the
+/// engine's current one and none of its events is known to be lost.
 #[derive(Debug)]
 pub struct PrefixIndex {
     positions: HashMap<EngineId, u16>,
@@ -84,7 +83,7 @@
 }
 
 impl PrefixIndex {
-    /// An index that knows nothing.
+    /// Creates an empty index.
     pub fn new() -> Self {
         PrefixIndex {
             positions: HashMap::new(),
@@ -95,12 +94,12 @@
         }
     }
 
-    /// Applies events of one engine, in the order given.
+    /// Applies events of one engine in the given order.
     ///
-    /// Events of an incarnation not seen before end the life known so far.
+    /// Events of a new incarnation end the current one.
     ///
     /// # Errors
-    /// [`IndexFull`] when there is no room for another engine.
+    /// Returns [`IndexFull`] if there is no room for another engine.
     pub fn apply_events(
         &mut self,
         engine: EngineId,
@@ -111,21 +110,21 @@
             return Ok(EventOutcome::StaleIncarnation);
         };
         for event in events {
-            let Some(life) = self.life(position) else {
+            let Some(view) = self.view(position) else {
                 return Ok(EventOutcome::StaleIncarnation);
             };
-            if life.in_doubt {
+            if view.awaits_snapshot {
                 return Ok(EventOutcome::AwaitingSnapshot);
             }
-            if event.sequence > life.next_sequence {
-                self.renew_life(position, life.next_sequence, true)?;
-                return Ok(EventOutcome::Gap { missing: life.next_sequence });
+            if event.sequence > view.next_sequence {
+                self.reset_view(position, view.next_sequence, true)?;
+                return Ok(EventOutcome::Gap { missing: view.next_sequence });
             }
-            if event.sequence == life.next_sequence {
-                self.apply_event(position, life.slot, event);
+            if event.sequence == view.next_sequence {
+                self.apply_event(position, view.slot, event);
             }
         }
-        self.sweep_step();
+        self.sweep_shard();
         Ok(EventOutcome::Applied)
     }
 
@@ -137,15 +136,15 @@
         for block in &event.removed {
             self.table.remove(block, slot);
         }
-        if let Some(life) = &mut self.engines[usize::from(position)].life {
-            life.next_sequence += 1;
+        if let Some(view) = &mut self.engines[usize::from(position)].view {
+            view.next_sequence += 1;
         }
     }
 
-    /// Replaces what is known of an engine by a snapshot.
+    /// Replaces the entries of an engine by a snapshot.
     ///
     /// # Errors
-    /// [`IndexFull`] when there is no room for another engine.
+    /// Returns [`IndexFull`] if there is no room for another engine.
     pub fn apply_snapshot(
         &mut self,
         engine: EngineId,
@@ -154,11 +153,11 @@
         let Some(position) = self.observe(engine, snapshot.incarnation)? else {
             return Ok(SnapshotOutcome::StaleIncarnation);
         };
-        let known = self.life(position).map_or(1, |life| life.next_sequence);
+        let known = self.view(position).map_or(1, |view| view.next_sequence);
         if snapshot.sequence + 1 < known {
             return Ok(SnapshotOutcome::Outdated);
         }
-        let slot = self.renew_life(position, snapshot.sequence + 1, false)?;
+        let slot = self.reset_view(position, snapshot.sequence + 1, false)?;
         for block in &snapshot.blocks {
             self.table.insert(*block, slot);
             self.predictions.remove(block, position);
@@ -166,8 +165,8 @@
         Ok(SnapshotOutcome::Applied)
     }
 
-    /// Notes that request `source` with these prompt blocks was sent to an engine
-    /// life. Blocks that it is known to hold already are not predicted.
+    /// Predicts that an engine incarnation will hold `blocks` after it computes
+    /// request `source`. Blocks that it already holds aren't predicted.
     pub fn predict(
         &mut self,
         engine: EngineId,
@@ -179,49 +178,51 @@
         let Some(position) = self.positions.get(&engine).copied() else {
             return;
         };
-        let Some(life) = self.life(position).filter(|life| life.incarnation == incarnation) else {
+        let Some(view) = self.view(position).filter(|view| view.incarnation == incarnation) else {
             return;
         };
         self.predictions.expire(now);
         let expires = now.after(PREDICTION_LIFETIME);
         for block in blocks {
-            if !self.table.contains(block, life.slot) {
+            if !self.table.contains(block, view.slot) {
                 let prediction = Prediction { engine: position, incarnation, expires, source };
                 self.predictions.insert(*block, prediction);
             }
         }
     }
 
-    /// Voids everything known of an engine that is dead, gone or suspected.
+    /// Removes all entries of an engine that crashed, was removed or is suspected to
+    /// have crashed.
     ///
-    /// Should the same incarnation report again, it was suspected wrongly: its
-    /// events then have a gap before them and a snapshot is needed.
+    /// If the same incarnation reports again, the suspicion was wrong. Its events
+    /// then have a gap, and a snapshot is needed.
     pub fn remove_engine(&mut self, engine: EngineId) {
         if let Some(position) = self.positions.get(&engine).copied() {
-            let life = self.engines[usize::from(position)].life.take();
-            life.iter().for_each(|life| self.slots.retire(life.slot));
+            let view = self.engines[usize::from(position)].view.take();
+            view.iter().for_each(|view| self.slots.retire(view.slot));
         }
     }
 
-    /// Voids everything known of an engine whose cache was emptied while it
-    /// lives on, such as by a change of weights. A snapshot is needed next.
+    /// Removes all entries of an engine whose cache was cleared without a restart,
+    /// such as by a change of weights. A snapshot is needed next.
     ///
     /// # Errors
-    /// [`IndexFull`] when there is no room for another view.
+    /// Returns [`IndexFull`] if there is no free slot.
     pub fn invalidate(&mut self, engine: EngineId) -> Result<(), IndexFull> {
         let Some(position) = self.positions.get(&engine).copied() else {
             return Ok(());
         };
-        if let Some(life) = self.life(position) {
-            self.renew_life(position, life.next_sequence, true)?;
+        if let Some(view) = self.view(position) {
+            self.reset_view(position, view.next_sequence, true)?;
         }
         Ok(())
     }
 
-    /// Makes `incarnation` the current life of `engine` unless it has ended before.
+    /// Makes `incarnation` the current one of `engine`. Returns false if it has ended
+    /// before.
     ///
     /// # Errors
-    /// [`IndexFull`] when there is no room for another engine.
+    /// Returns [`IndexFull`] if there is no room for another engine.
     pub fn start_incarnation(
         &mut self,
         engine: EngineId,
@@ -230,7 +231,8 @@
         Ok(self.observe(engine, incarnation)?.is_some())
     }
 
-    /// The position of the engine if `incarnation` is, or now became, its life.
+    /// Makes `incarnation` the engine's current one and returns the engine's
+    /// position; `None` if the incarnation has ended before.
     fn observe(
         &mut self,
         engine: EngineId,
@@ -238,16 +240,16 @@
     ) -> Result<Option<u16>, IndexFull> {
         let position = self.position_of(engine)?;
         let known = &self.engines[usize::from(position)];
-        if known.life.is_some_and(|life| life.incarnation == incarnation) {
+        if known.view.is_some_and(|view| view.incarnation == incarnation) {
             return Ok(Some(position));
         }
         if known.ended.contains(&incarnation) {
             return Ok(None);
         }
-        self.end_life(position);
+        self.end_incarnation(position);
         let slot = self.allocate_slot(position)?;
-        let life = Life { incarnation, slot, next_sequence: 1, in_doubt: false };
-        self.engines[usize::from(position)].life = Some(life);
+        let view = IncarnationView { incarnation, slot, next_sequence: 1, awaits_snapshot: false };
+        self.engines[usize::from(position)].view = Some(view);
         Ok(Some(position))
     }
 
@@ -256,81 +258,82 @@
             return Ok(*position);
         }
         let position = u16::try_from(self.engines.len()).map_err(|_| IndexFull)?;
-        self.engines.push(Engine { id: engine, life: None, ended: VecDeque::new() });
+        self.engines.push(Engine { id: engine, view: None, ended: VecDeque::new() });
         self.positions.insert(engine, position);
         Ok(position)
     }
 
-    pub(crate) fn life(&self, position: u16) -> Option<Life> {
-        self.engines[usize::from(position)].life
+    pub(crate) fn view(&self, position: u16) -> Option<IncarnationView> {
+        self.engines[usize::from(position)].view
     }
 
-    fn end_life(&mut self, position: u16) {
+    fn end_incarnation(&mut self, position: u16) {
         let engine = &mut self.engines[usize::from(position)];
-        if let Some(life) = engine.life.take() {
-            self.slots.retire(life.slot);
-            if engine.ended.len() == REMEMBERED_INCARNATIONS {
+        if let Some(view) = engine.view.take() {
+            self.slots.retire(view.slot);
+            if engine.ended.len() == MAX_ENDED_INCARNATIONS {
                 engine.ended.pop_front();
             }
-            engine.ended.push_back(life.incarnation);
+            engine.ended.push_back(view.incarnation);
         }
     }
 
-    /// Gives the same life an empty view; entries of the old view stop counting.
-    fn renew_life(
+    /// Starts an empty view of the same incarnation. Entries of the previous view stop
+    /// counting.
+    fn reset_view(
         &mut self,
         position: u16,
         next_sequence: u64,
-        in_doubt: bool,
+        awaits_snapshot: bool,
     ) -> Result<Slot, IndexFull> {
         let slot = self.allocate_slot(position)?;
-        if let Some(life) = &mut self.engines[usize::from(position)].life {
-            self.slots.retire(life.slot);
-            *life = Life { slot, next_sequence, in_doubt, ..*life };
+        if let Some(view) = &mut self.engines[usize::from(position)].view {
+            self.slots.retire(view.slot);
+            *view = IncarnationView { slot, next_sequence, awaits_snapshot, ..*view };
         }
         Ok(slot)
     }
 
-    /// Takes a slot; when none is free, the whole table is swept first.
+    /// Allocates a slot. Sweeps the whole table first if no slot is free.
     fn allocate_slot(&mut self, position: u16) -> Result<Slot, IndexFull> {
         if let Ok(slot) = self.slots.allocate(position) {
             return Ok(slot);
         }
         for _ in 0..SHARDS {
-            self.sweep_step();
+            self.sweep_shard();
         }
         self.slots.allocate(position)
     }
 
-    /// Drops expired predictions and removes some entries that no longer count.
-    /// To be called every few milliseconds, or before each lookup.
+    /// Removes expired predictions and sweeps one shard of the table. Call this every
+    /// few milliseconds or before each lookup.
     pub fn maintain(&mut self, now: Timestamp) {
         self.predictions.expire(now);
-        self.sweep_step();
+        self.sweep_shard();
     }
 
-    fn sweep_step(&mut self) {
+    fn sweep_shard(&mut self) {
         if !self.slots.retired().is_empty() {
             self.table.sweep_next_shard(self.slots.retired());
-            self.slots.shard_swept();
+            self.slots.record_swept_shard();
         }
     }
 
-    /// The engines whose events have a gap, which need a snapshot.
+    /// Iterates over the engines whose events have a gap and that need a snapshot.
     pub fn awaiting_snapshot(&self) -> impl Iterator<Item = (EngineId, Incarnation)> {
         self.engines.iter().filter_map(|engine| {
-            let life = engine.life.filter(|life| life.in_doubt)?;
-            Some((engine.id, life.incarnation))
+            let view = engine.view.filter(|view| view.awaits_snapshot)?;
+            Some((engine.id, view.incarnation))
         })
     }
 
-    /// The current life of `engine` and the last event applied.
+    /// Current incarnation of `engine` and the number of its last applied event.
     pub fn position(&self, engine: EngineId) -> Option<(Incarnation, u64)> {
         let position = self.positions.get(&engine)?;
-        self.life(*position).map(|life| (life.incarnation, life.next_sequence - 1))
+        self.view(*position).map(|view| (view.incarnation, view.next_sequence - 1))
     }
 
-    /// How much the index holds now.
+    /// Current size of the index.
     pub fn size(&self) -> IndexSize {
         IndexSize {
             blocks: self.table.blocks(),
--- a/crates/prefix-index/src/lib.rs
+++ b/crates/prefix-index/src/lib.rs
@@ -1,9 +1,9 @@
-//! Which engine incarnation holds which prompt blocks.
+//! Index of the prompt blocks in the caches of engine incarnations.
 //!
-//! [`PrefixIndex`] is the exact form: fed by cache events, snapshots and
-//! predictions, asked by prompt. [`coarse`] is the sampled form that routers
-//! share where the exact one is too large, and [`rendezvous`] says which router
-//! keeps which part of it. Nothing here performs I/O or reads a clock.
+//! [`PrefixIndex`] is the exact index, built from cache events, snapshots and
+//! predictions. [`coarse`] is a sampled index that routers share if the exact
+//! index would be too large, and [`rendezvous`] assigns its keys to routers.
+//! Nothing here performs I/O or reads a clock.
 
 pub mod coarse;
 pub mod event;
--- a/crates/prefix-index/src/lookup.rs
+++ b/crates/prefix-index/src/lookup.rs
@@ -1,4 +1,4 @@
-//! The lookup: which engines hold the start of a prompt, and how much of it.
+//! Lookup of the engines that hold leading blocks of a prompt.
 
 use juniper_types::{BlockHash, Timestamp};
 
@@ -7,11 +7,12 @@
 use crate::slots::{Slot, SlotSet};
 
 impl PrefixIndex {
-    /// Every engine that holds the start of a prompt, in no particular order.
+    /// Returns every engine that holds leading blocks of a prompt, in no particular
+    /// order.
     ///
-    /// The walk visits each block until nobody holds the whole start, so holes
-    /// left by evictions end the count where they are. A binary search over
-    /// the depth would be faster, but it would count blocks beyond a hole.
+    /// Visits the blocks in order until no engine holds all of them, so the count
+    /// of an engine ends at the first evicted block. A binary search over the depth
+    /// would be faster but could count blocks beyond an evicted one.
     pub fn lookup(&self, blocks: &[BlockHash], now: Timestamp) -> Vec<Holder> {
         let mut walk = Walk::new(self.slots.len());
         for (depth, block) in blocks.iter().enumerate() {
@@ -24,59 +25,59 @@
             if depth == 0 {
                 walk.start(self.slots.live());
             } else {
-                walk.step(depth as u32);
+                walk.advance(depth as u32);
             }
             if walk.active.is_empty() {
                 break;
             }
-            walk.reached = depth as u32 + 1;
+            walk.depth_reached = depth as u32 + 1;
         }
         self.holders(walk)
     }
 
     fn collect_predicted(&self, block: &BlockHash, now: Timestamp, walk: &mut Walk) {
         for prediction in self.predictions.get(block) {
-            let life = self.life(prediction.engine);
-            let current = life.filter(|life| life.incarnation == prediction.incarnation);
-            if let Some(life) = current.filter(|_| prediction.expires > now)
-                && !walk.found.contains(life.slot)
+            let view = self.view(prediction.engine);
+            let current = view.filter(|view| view.incarnation == prediction.incarnation);
+            if let Some(view) = current.filter(|_| prediction.expires > now)
+                && !walk.found.contains(view.slot)
             {
-                walk.found.insert(life.slot);
-                walk.found_predicted.push((life.slot, prediction.source));
+                walk.found.insert(view.slot);
+                walk.found_predicted.push((view.slot, prediction.source));
             }
         }
     }
 
     fn holders(&self, mut walk: Walk) -> Vec<Holder> {
-        let reached = walk.reached;
-        let ended = &mut walk.ended;
-        walk.active.for_each(|slot| ended.push((slot, reached)));
+        let depth_reached = walk.depth_reached;
+        let completed = &mut walk.completed;
+        walk.active.for_each(|slot| completed.push((slot, depth_reached)));
         let holder = |(slot, blocks): (Slot, u32)| {
             let position = self.slots.engine(slot)?;
             let engine = &self.engines[usize::from(position)];
             let (predicted, source) = walk.predicted[usize::from(slot)];
-            let incarnation = engine.life?.incarnation;
+            let incarnation = engine.view?.incarnation;
             let computed_by = (predicted > 0).then_some(source);
             Some(Holder { engine: engine.id, incarnation, blocks, predicted, computed_by })
         };
-        walk.ended.iter().copied().filter_map(holder).collect()
+        walk.completed.iter().copied().filter_map(holder).collect()
     }
 }
 
-/// Progress of one lookup down a prompt.
+/// State of one lookup along a prompt.
 struct Walk {
-    /// Holders of the block at hand.
+    /// Slots that hold the current block.
     found: SlotSet,
-    /// Which of them hold it only by prediction.
+    /// Slots for which the current block is only predicted, with the sources.
     found_predicted: Vec<(Slot, PredictionSource)>,
-    /// Slots that hold every block so far.
+    /// Slots that hold every visited block.
     active: SlotSet,
-    /// Blocks that counted only as predicted, by slot, with the source of the last.
+    /// By slot: number of predicted blocks, and the source of the last one.
     predicted: Vec<(u32, PredictionSource)>,
-    /// Slots that lacked a block, with the blocks they held before it.
-    ended: Vec<(Slot, u32)>,
-    /// Blocks that the active slots hold.
-    reached: u32,
+    /// Slots that miss a block, with the number of leading blocks they hold.
+    completed: Vec<(Slot, u32)>,
+    /// Number of leading blocks that the active slots hold.
+    depth_reached: u32,
 }
 
 impl Walk {
@@ -86,8 +87,8 @@
             found_predicted: Vec::new(),
             active: SlotSet::default(),
             predicted: vec![(0, PredictionSource::default()); slots],
-            ended: Vec::new(),
-            reached: 0,
+            completed: Vec::new(),
+            depth_reached: 0,
         }
     }
 
@@ -97,9 +98,9 @@
         self.count_predicted();
     }
 
-    fn step(&mut self, depth: u32) {
-        let ended = &mut self.ended;
-        self.active.retain_common(&self.found, |slot| ended.push((slot, depth)));
+    fn advance(&mut self, depth: u32) {
+        let completed = &mut self.completed;
+        self.active.retain_common(&self.found, |slot| completed.push((slot, depth)));
         self.count_predicted();
     }
 
--- a/crates/prefix-index/src/predictions.rs
+++ b/crates/prefix-index/src/predictions.rs
@@ -1,8 +1,8 @@
-//! What requests that were just sent are expected to leave in a cache.
+//! Predicted cache contents after recently dispatched requests.
 //!
-//! An engine's events come late; until they do, the blocks of a prompt sent to
-//! it count as predicted. A stored event turns a prediction into an entry, the
-//! end of its lifetime removes it.
+//! Cache events arrive with a delay. Until then the blocks of a dispatched prompt
+//! count as predicted. A stored event replaces the prediction by an entry;
+//! otherwise the prediction expires.
 
 use std::collections::VecDeque;
 
@@ -10,27 +10,28 @@
 
 use crate::table::{BlockMap, map_bytes};
 
-/// Most predictions kept; beyond it the oldest go first.
+/// Maximum number of predictions; beyond it the oldest are removed.
 const MAX_PREDICTIONS: usize = 1 << 20;
 
-/// Names the request whose computing a prediction relies on; the caller chooses.
+/// Identifier, chosen by the caller, of the request that computes a predicted
+/// block.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PredictionSource(pub u64);
 
-/// One block expected in the cache of one engine life.
+/// Block expected in the cache of one engine incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Prediction {
     /// Position of the engine in the index.
     pub(crate) engine: u16,
-    /// The life it was made for.
+    /// Incarnation of the engine.
     pub(crate) incarnation: Incarnation,
-    /// When it stops counting.
+    /// Time from which the prediction no longer counts.
     pub(crate) expires: Timestamp,
-    /// The request that computes it.
+    /// Request that computes the block.
     pub(crate) source: PredictionSource,
 }
 
-/// All predictions, by block.
+/// Predictions by block.
 #[derive(Debug, Default)]
 pub(crate) struct Predictions {
     by_block: BlockMap<Vec<Prediction>>,
@@ -38,8 +39,8 @@
 }
 
 impl Predictions {
-    /// Adds a prediction or moves its expiry; the request that was the first to
-    /// compute the block stays its source. Expiries must not go backwards.
+    /// Adds a prediction or extends an existing one, which keeps its source. Must be
+    /// called in the order of expiry times.
     pub(crate) fn insert(&mut self, block: BlockHash, prediction: Prediction) {
         let known = self.by_block.entry(block).or_default();
         match known.iter_mut().find(|other| other.engine == prediction.engine) {
@@ -51,7 +52,7 @@
         }
         self.by_expiry.push_back((prediction.expires, block));
         if self.by_expiry.len() > MAX_PREDICTIONS {
-            self.drop_oldest();
+            self.remove_oldest();
         }
     }
 
@@ -60,19 +61,19 @@
         self.retain(block, |prediction| prediction.engine != engine);
     }
 
-    /// Predictions of `block`, the expired included.
+    /// Predictions of `block`, including expired ones.
     pub(crate) fn get(&self, block: &BlockHash) -> &[Prediction] {
         self.by_block.get(block).map_or(&[], Vec::as_slice)
     }
 
-    /// Drops what expired by `now`.
+    /// Removes the predictions that have expired by `now`.
     pub(crate) fn expire(&mut self, now: Timestamp) {
         while self.by_expiry.front().is_some_and(|(expires, _)| *expires <= now) {
-            self.drop_oldest();
+            self.remove_oldest();
         }
     }
 
-    fn drop_oldest(&mut self) {
+    fn remove_oldest(&mut self) {
         if let Some((expires, block)) = self.by_expiry.pop_front() {
             self.retain(&block, |prediction| prediction.expires > expires);
         }
--- a/crates/prefix-index/src/rendezvous.rs
+++ b/crates/prefix-index/src/rendezvous.rs
@@ -1,8 +1,8 @@
-//! Rendezvous hashing, plain and with bounded load.
+//! Rendezvous hashing, optionally with bounded load.
 //!
-//! Every node scores every key; the highest score owns the key. When a node
-//! goes, only its own keys move, and every process that knows the same nodes
-//! names the same owner without talking to anybody.
+//! Each key is owned by the node with the highest score for it. Processes with the
+//! same set of nodes agree on the owner without communication, and only the keys
+//! of a removed node are reassigned.
 
 /// Constants of the SplitMix64 finalizer (Steele, Lea, Flood 2014).
 const MIX_FIRST: u64 = 0xBF58_476D_1CE4_E5B9;
@@ -15,36 +15,37 @@
     word ^ (word >> 31)
 }
 
-/// Score of `node` for `key`; the same in every process and version.
+/// Score of `node` for `key`. Must stay the same across versions.
 pub fn score(key: u64, node: u64) -> u64 {
     mix(mix(key.wrapping_add(GOLDEN_GAMMA)) ^ node.wrapping_mul(GOLDEN_GAMMA))
 }
 
-/// The node that owns `key`, or `None` when there are no nodes.
+/// Node that owns `key`; `None` if there are no nodes.
 pub fn owner(key: u64, nodes: impl IntoIterator<Item = u64>) -> Option<u64> {
     nodes.into_iter().max_by_key(|node| (score(key, *node), *node))
 }
 
-/// The nodes from the owner of `key` downwards.
+/// Nodes by descending score for `key`, beginning with its owner.
 pub fn ranked(key: u64, nodes: impl IntoIterator<Item = u64>) -> Vec<u64> {
     let mut nodes: Vec<u64> = nodes.into_iter().collect();
     nodes.sort_unstable_by_key(|node| std::cmp::Reverse((score(key, *node), *node)));
     nodes
 }
 
-/// A node and the work it has.
+/// Node and its current load.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadedNode {
-    /// The node.
+    /// Node number.
     pub node: u64,
-    /// Its load, in any unit that adds up.
+    /// Load of the node, in any additive unit.
     pub load: f64,
 }
 
-/// The best-scored node whose load, with `added` work on top, stays within
-/// `factor` times the mean (bounded load, Mirrokni, Thorup, Zadimoghaddam 2016).
+/// Node with the highest score among those whose load plus `added` stays within
+/// `factor` times the mean load (bounded load; Mirrokni, Thorup, Zadimoghaddam
+/// 2016).
 ///
-/// With a factor above 1 there always is one, unless there are no nodes.
+/// Returns `None` only if there are no nodes.
 pub fn owner_with_bounded_load(
     key: u64,
     nodes: &[LoadedNode],
@@ -53,10 +54,10 @@
 ) -> Option<u64> {
     let total: f64 = nodes.iter().map(|node| node.load).sum();
     let bound = factor * (total + added) / nodes.len().max(1) as f64;
-    let within = nodes.iter().filter(|node| node.load + added <= bound.max(added));
-    let bounded = owner(key, within.map(|node| node.node));
+    let candidates = nodes.iter().filter(|node| node.load + added <= bound.max(added));
+    let bounded = owner(key, candidates.map(|node| node.node));
     bounded.or_else(|| {
-        let lightest = nodes.iter().min_by(|a, b| a.load.total_cmp(&b.load));
-        lightest.map(|node| node.node)
+        let least_loaded = nodes.iter().min_by(|a, b| a.load.total_cmp(&b.load));
+        least_loaded.map(|node| node.node)
     })
 }
--- a/crates/prefix-index/src/slots.rs
+++ b/crates/prefix-index/src/slots.rs
@@ -1,23 +1,24 @@
-//! Small numbers for engine lives, and sets of them.
+//! Slots, the compact identifiers of cache views, and sets of slots.
 //!
-//! Each trusted view of one engine's cache has a slot. Dropping the view at
-//! once, when the engine dies or an event is lost, is a matter of retiring the
-//! slot: entries that name it stop counting immediately and are removed from
-//! the table later. A slot is used again only after the whole table has been
-//! swept, so an old entry can never be read as one of a new life.
+//! Each view of one engine's cache has a slot. To discard a view, such as after a
+//! crash or a lost event, its slot is retired: its entries stop counting
+//! immediately and are removed from the table later. A slot is reused only after
+//! the whole table has been swept, so that an old entry is never attributed to a
+//! new view.
 
 use crate::event::IndexFull;
 use crate::table::SHARDS;
 
-/// Number of one engine's current view.
+/// Identifier of one engine's current view.
 pub(crate) type Slot = u16;
 
-/// Highest slot; holder sets store a slot plus one in 16 bits.
+/// Highest slot. Holder sets store a slot plus one in 16 bits and reserve the
+/// highest value.
 const MAX_SLOT: usize = u16::MAX as usize - 2;
 
 const WORD_BITS: usize = u64::BITS as usize;
 
-/// A set of slots, one bit each.
+/// Bit set of slots.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct SlotSet {
     words: Vec<u64>,
@@ -72,7 +73,8 @@
         }
     }
 
-    /// Keeps what `other` has too and calls `dropped` with every slot that goes.
+    /// Retains the slots that are also in `other` and calls `dropped` with each
+    /// removed slot.
     pub(crate) fn retain_common(&mut self, other: &SlotSet, mut dropped: impl FnMut(Slot)) {
         for (index, word) in self.words.iter_mut().enumerate() {
             let kept = other.words.get(index).copied().unwrap_or(0);
@@ -109,7 +111,7 @@
     Retired { shards_left: usize },
 }
 
-/// Hands out slots and takes them back.
+/// Allocator of slots.
 #[derive(Debug, Default)]
 pub(crate) struct SlotAllocator {
     states: Vec<SlotState>,
@@ -119,7 +121,7 @@
 }
 
 impl SlotAllocator {
-    /// A slot for the engine at position `engine`.
+    /// Allocates a slot for the engine at position `engine`.
     pub(crate) fn allocate(&mut self, engine: u16) -> Result<Slot, IndexFull> {
         let slot = match self.free.pop() {
             Some(slot) => slot,
@@ -134,15 +136,15 @@
         Ok(slot)
     }
 
-    /// Stops entries of `slot` from counting.
+    /// Retires a slot, whose entries then stop counting.
     pub(crate) fn retire(&mut self, slot: Slot) {
         self.states[usize::from(slot)] = SlotState::Retired { shards_left: SHARDS };
         self.live.remove(slot);
         self.retired.insert(slot);
     }
 
-    /// Notes that one more shard of the table holds no retired slot.
-    pub(crate) fn shard_swept(&mut self) {
+    /// Records that one more shard of the table was swept of the retired slots.
+    pub(crate) fn record_swept_shard(&mut self) {
         let mut freed = Vec::new();
         let states = &mut self.states;
         self.retired.for_each(|slot| {
@@ -175,7 +177,7 @@
         &self.retired
     }
 
-    /// Number of slots ever handed out.
+    /// Number of slots allocated so far, including free and retired ones.
     pub(crate) fn len(&self) -> usize {
         self.states.len()
     }
--- a/crates/prefix-index/src/table.rs
+++ b/crates/prefix-index/src/table.rs
@@ -1,4 +1,4 @@
-//! Hash table from block to holders, in shards so that sweeps are short.
+//! Hash table from blocks to holders, sharded to keep sweeps short.
 
 use std::collections::HashMap;
 use std::hash::{BuildHasherDefault, Hasher};
@@ -8,11 +8,11 @@
 use crate::holders::{Arena, HolderSet};
 use crate::slots::{Slot, SlotSet};
 
-/// Number of shards. A sweep of one shard of a million-entry table touches
-/// about 16,000 entries, well under a millisecond.
+/// Number of shards. Sweeping one shard of a table with a million entries visits
+/// about 16,000 entries and takes less than a millisecond.
 pub(crate) const SHARDS: usize = 64;
 
-/// Uses eight bytes of a block hash as they are: BLAKE3 output is uniform.
+/// Hasher that uses eight bytes of a block hash, which is uniform BLAKE3 output.
 #[derive(Default)]
 pub(crate) struct BlockHasher(u64);
 
@@ -24,7 +24,7 @@
         self.0 = u64::from_le_bytes(word);
     }
 
-    /// The length prefix of the byte array says nothing.
+    /// Ignores the length prefix of the byte array.
     fn write_usize(&mut self, _length: usize) {}
 
     fn finish(&self) -> u64 {
@@ -41,7 +41,7 @@
     entries: usize,
 }
 
-/// The table. One entry is one block held by one slot.
+/// Sharded hash table. An entry is a pair of a block and a slot that holds it.
 #[derive(Debug)]
 pub(crate) struct BlockTable {
     shards: Vec<Shard>,
@@ -49,9 +49,9 @@
     next_sweep: usize,
 }
 
-/// Spreads the 256 values of a byte over the shards so that the largest shard is
-/// twice the smallest. A hash map doubles when it is full; equal shards would
-/// all double at once, these do so one after another.
+/// Assigns the 256 values of a byte to shards so that the largest shard is twice
+/// the size of the smallest. A hash map doubles its capacity when it is full, so
+/// shards of equal size would all grow at the same time.
 fn uneven_shards() -> [u8; 256] {
     std::array::from_fn(|byte| {
         let position = (1.0 + byte as f64 / 256.0).log2();
@@ -104,7 +104,7 @@
         shard.blocks.get(block).is_some_and(|holders| holders.contains(slot, &shard.arena))
     }
 
-    /// Adds every slot that holds `block` to `found`, retired ones included.
+    /// Inserts every slot that holds `block` into `found`, including retired slots.
     pub(crate) fn collect_holders(&self, block: &BlockHash, found: &mut SlotSet) {
         let shard = self.shard(block);
         if let Some(holders) = shard.blocks.get(block) {
@@ -112,13 +112,13 @@
         }
     }
 
-    /// Removes the slots of `gone` from the next shard.
-    pub(crate) fn sweep_next_shard(&mut self, gone: &SlotSet) {
+    /// Removes the slots of `retired` from the next shard.
+    pub(crate) fn sweep_next_shard(&mut self, retired: &SlotSet) {
         let shard = &mut self.shards[self.next_sweep];
         self.next_sweep = (self.next_sweep + 1) % SHARDS;
         let Shard { blocks, arena, entries } = shard;
         blocks.retain(|_, holders| {
-            *entries -= holders.remove_all(gone, arena);
+            *entries -= holders.remove_all(retired, arena);
             !holders.is_empty()
         });
         if blocks.capacity() > 4 * blocks.len() {
@@ -134,7 +134,7 @@
         self.shards.iter().map(|shard| shard.entries).sum()
     }
 
-    /// Bytes on the heap, from the capacity of each shard.
+    /// Estimated size on the heap, in bytes, from the capacity of each shard.
     pub(crate) fn heap_bytes(&self) -> usize {
         let bytes = self.shards.iter().map(|shard| {
             map_bytes(shard.blocks.capacity(), size_of::<(BlockHash, HolderSet)>())
@@ -144,8 +144,8 @@
     }
 }
 
-/// Bytes of a standard hash map: a power of two of buckets, filled to 7/8, with
-/// one control byte each.
+/// Size of a standard hash map in bytes: a power of two of buckets with a load
+/// factor of 7/8 and one control byte each.
 pub(crate) fn map_bytes(capacity: usize, entry_bytes: usize) -> usize {
     if capacity == 0 {
         return 0;
--- a/crates/prefix-index/tests/coarse.rs
+++ b/crates/prefix-index/tests/coarse.rs
@@ -1,4 +1,4 @@
-//! The sampled, sharded index against the exact one, and its message sizes.
+//! Sampled index: sharded lookups, lost updates and message sizes.
 
 use juniper_prefix_index::coarse::{
     CHECKPOINT_INTERVAL, CheckpointHolders, CoarseShard, CoarseUpdate, KeyList, checkpoints,
@@ -9,7 +9,7 @@
 
 const NOW: Timestamp = Timestamp(0);
 const ROUTERS: [u64; 3] = [11, 22, 33];
-const LIFE: Incarnation = Incarnation(1);
+const INCARNATION: Incarnation = Incarnation(1);
 
 fn prompt(seed: u64, length: usize) -> Vec<BlockHash> {
     let mut previous = BlockHash([0; 16]).next(&seed.to_be_bytes());
@@ -21,18 +21,20 @@
     blocks
 }
 
-/// Shards that were sent every key that they own.
-fn shards_after(caches: &[(EngineId, &[BlockHash])]) -> Vec<CoarseShard> {
+/// Creates the routers' shards with the owned keys of all caches.
+fn shards_with(caches: &[(EngineId, &[BlockHash])]) -> Vec<CoarseShard> {
     let mut shards: Vec<CoarseShard> = ROUTERS.iter().map(|_| CoarseShard::default()).collect();
     for (engine, blocks) in caches {
         for (shard, router) in shards.iter_mut().zip(ROUTERS) {
-            let marks = checkpoints(blocks);
-            let owned = marks.iter().filter(|mark| mark.key.owner(ROUTERS) == Some(router));
+            let prompt_checkpoints = checkpoints(blocks);
+            let owned = prompt_checkpoints
+                .iter()
+                .filter(|checkpoint| checkpoint.key.owner(ROUTERS) == Some(router));
             let update = CoarseUpdate {
                 engine: *engine,
-                incarnation: LIFE,
+                incarnation: INCARNATION,
                 sequence: 1,
-                stored: KeyList::new(owned.map(|mark| mark.key)),
+                stored: KeyList::new(owned.map(|checkpoint| checkpoint.key)),
                 removed: KeyList::default(),
             };
             assert_eq!(shard.apply(&update), Ok(EventOutcome::Applied));
@@ -41,18 +43,25 @@
     shards
 }
 
-fn ask(shards: &[CoarseShard], blocks: &[BlockHash], silent: Option<u64>) -> Vec<(u32, u32)> {
-    let marks = checkpoints(blocks);
-    let answers: Vec<Option<CheckpointHolders>> = marks
+fn lookup_all(
+    shards: &[CoarseShard],
+    blocks: &[BlockHash],
+    unreachable: Option<u64>,
+) -> Vec<(u32, u32)> {
+    let prompt_checkpoints = checkpoints(blocks);
+    let answers: Vec<Option<CheckpointHolders>> = prompt_checkpoints
         .iter()
-        .map(|mark| {
-            let owner = mark.key.owner(ROUTERS).unwrap();
+        .map(|checkpoint| {
+            let owner = checkpoint.key.owner(ROUTERS).unwrap();
             let shard = ROUTERS.iter().position(|router| *router == owner).unwrap();
-            let found = shards[shard].lookup(&KeyList::new([mark.key]), NOW).pop();
-            found.filter(|_| silent != Some(owner))
+            let found = shards[shard].lookup(&KeyList::new([checkpoint.key]), NOW).pop();
+            found.filter(|_| unreachable != Some(owner))
         })
         .collect();
-    combine(&marks, &answers).iter().map(|holder| (holder.engine.0, holder.blocks)).collect()
+    combine(&prompt_checkpoints, &answers)
+        .iter()
+        .map(|holder| (holder.engine.0, holder.blocks))
+        .collect()
 }
 
 #[test]
@@ -63,33 +72,38 @@
 }
 
 #[test]
-fn shards_together_find_each_engine_up_to_its_last_checkpoint() {
+fn lookup_finds_each_engine_up_to_its_last_checkpoint() {
     let blocks = prompt(2, 400);
-    let shards = shards_after(&[(EngineId(1), &blocks), (EngineId(2), &blocks[..200])]);
+    let shards = shards_with(&[(EngineId(1), &blocks), (EngineId(2), &blocks[..200])]);
     let last = |length: u32| {
-        let marks = checkpoints(&blocks);
-        marks.iter().map(|mark| mark.blocks).filter(|blocks| *blocks <= length).max().unwrap()
+        let prompt_checkpoints = checkpoints(&blocks);
+        prompt_checkpoints
+            .iter()
+            .map(|checkpoint| checkpoint.blocks)
+            .filter(|blocks| *blocks <= length)
+            .max()
+            .unwrap()
     };
-    assert_eq!(ask(&shards, &blocks, None), [(1, last(400)), (2, last(200))]);
+    assert_eq!(lookup_all(&shards, &blocks, None), [(1, last(400)), (2, last(200))]);
 }
 
 #[test]
-fn silent_shard_is_passed_over() {
+fn checkpoints_of_an_unreachable_owner_are_skipped() {
     let blocks = prompt(3, 400);
-    let shards = shards_after(&[(EngineId(1), &blocks)]);
-    for silent in ROUTERS {
-        let found = ask(&shards, &blocks, Some(silent));
-        assert!(found[0].1 > 300, "{found:?} without {silent}");
+    let shards = shards_with(&[(EngineId(1), &blocks)]);
+    for unreachable in ROUTERS {
+        let found = lookup_all(&shards, &blocks, Some(unreachable));
+        assert!(found[0].1 > 300, "{found:?} without {unreachable}");
     }
 }
 
 #[test]
 fn lost_update_needs_a_resync() {
     let blocks = prompt(5, 64);
-    let keys = KeyList::new(checkpoints(&blocks).iter().map(|mark| mark.key));
+    let keys = KeyList::new(checkpoints(&blocks).iter().map(|checkpoint| checkpoint.key));
     let update = |sequence| CoarseUpdate {
         engine: EngineId(1),
-        incarnation: LIFE,
+        incarnation: INCARNATION,
         sequence,
         stored: keys.clone(),
         removed: KeyList::default(),
@@ -102,11 +116,12 @@
 }
 
 #[test]
-fn resync_of_another_sender_replaces_what_was_known() {
-    let keys = |seed| KeyList::new(checkpoints(&prompt(seed, 64)).iter().map(|mark| mark.key));
+fn resync_of_another_sender_replaces_the_entries() {
+    let keys =
+        |seed| KeyList::new(checkpoints(&prompt(seed, 64)).iter().map(|checkpoint| checkpoint.key));
     let resync = |sequence, stored: &KeyList| CoarseUpdate {
         engine: EngineId(1),
-        incarnation: LIFE,
+        incarnation: INCARNATION,
         sequence,
         stored: stored.clone(),
         removed: KeyList::default(),
@@ -120,13 +135,13 @@
 }
 
 #[test]
-fn update_takes_six_bytes_a_key_and_a_short_header() {
+fn update_takes_six_bytes_per_key_and_a_short_header() {
     let keys = checkpoints(&prompt(6, 1_600));
     let update = CoarseUpdate {
         engine: EngineId(1_499),
         incarnation: Incarnation(u64::MAX),
         sequence: 1_000_000,
-        stored: KeyList::new(keys.iter().map(|mark| mark.key)),
+        stored: KeyList::new(keys.iter().map(|checkpoint| checkpoint.key)),
         removed: KeyList::default(),
     };
     let bytes = minicbor::to_vec(&update).unwrap();
--- a/crates/prefix-index/tests/index.rs
+++ b/crates/prefix-index/tests/index.rs
@@ -1,4 +1,4 @@
-//! The exact index against a plain model, and the failures it is meant for.
+//! Exact index: failure cases and comparison with a simple model.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -11,7 +11,7 @@
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 const ENGINE: EngineId = EngineId(7);
-const LIFE: Incarnation = Incarnation(70);
+const INCARNATION: Incarnation = Incarnation(70);
 const NOW: Timestamp = Timestamp(0);
 const SOURCE: PredictionSource = PredictionSource(5);
 
@@ -33,77 +33,77 @@
 
 fn holder(blocks: u32, predicted: u32) -> Holder {
     let computed_by = (predicted > 0).then_some(SOURCE);
-    Holder { engine: ENGINE, incarnation: LIFE, blocks, predicted, computed_by }
+    Holder { engine: ENGINE, incarnation: INCARNATION, blocks, predicted, computed_by }
 }
 
-fn with_ten_blocks() -> PrefixIndex {
+fn index_with_ten_blocks() -> PrefixIndex {
     let mut index = PrefixIndex::new();
-    let outcome = index.apply_events(ENGINE, LIFE, &[stored(1, 0..10)]);
+    let outcome = index.apply_events(ENGINE, INCARNATION, &[stored(1, 0..10)]);
     assert_eq!(outcome, Ok(EventOutcome::Applied));
     index
 }
 
 #[test]
-fn counts_leading_blocks_up_to_a_hole() {
-    let mut index = with_ten_blocks();
+fn lookup_counts_leading_blocks_up_to_an_evicted_one() {
+    let mut index = index_with_ten_blocks();
     assert_eq!(index.lookup(&blocks(0..20), NOW), [holder(10, 0)]);
-    index.apply_events(ENGINE, LIFE, &[removed(2, [4])]).unwrap();
+    index.apply_events(ENGINE, INCARNATION, &[removed(2, [4])]).unwrap();
     assert_eq!(index.lookup(&blocks(0..20), NOW), [holder(4, 0)]);
 }
 
 #[test]
-fn gap_stops_every_entry_until_a_snapshot() {
-    let mut index = with_ten_blocks();
-    let outcome = index.apply_events(ENGINE, LIFE, &[stored(3, [10])]);
+fn gap_invalidates_all_entries_until_a_snapshot() {
+    let mut index = index_with_ten_blocks();
+    let outcome = index.apply_events(ENGINE, INCARNATION, &[stored(3, [10])]);
     assert_eq!(outcome, Ok(EventOutcome::Gap { missing: 2 }));
     assert!(index.lookup(&blocks(0..20), NOW).is_empty());
-    assert_eq!(index.awaiting_snapshot().collect::<Vec<_>>(), [(ENGINE, LIFE)]);
-    let outcome = index.apply_events(ENGINE, LIFE, &[stored(2, [10])]);
+    assert_eq!(index.awaiting_snapshot().collect::<Vec<_>>(), [(ENGINE, INCARNATION)]);
+    let outcome = index.apply_events(ENGINE, INCARNATION, &[stored(2, [10])]);
     assert_eq!(outcome, Ok(EventOutcome::AwaitingSnapshot));
-    let snapshot = Snapshot { incarnation: LIFE, sequence: 5, blocks: blocks(0..3) };
+    let snapshot = Snapshot { incarnation: INCARNATION, sequence: 5, blocks: blocks(0..3) };
     assert_eq!(index.apply_snapshot(ENGINE, &snapshot), Ok(SnapshotOutcome::Applied));
     assert_eq!(index.lookup(&blocks(0..20), NOW), [holder(3, 0)]);
-    index.apply_events(ENGINE, LIFE, &[stored(6, 3..5)]).unwrap();
+    index.apply_events(ENGINE, INCARNATION, &[stored(6, 3..5)]).unwrap();
     assert_eq!(index.lookup(&blocks(0..20), NOW), [holder(5, 0)]);
 }
 
 #[test]
-fn snapshot_older_than_the_events_is_not_used() {
-    let mut index = with_ten_blocks();
-    index.apply_events(ENGINE, LIFE, &[removed(2, 5..10), stored(3, [5])]).unwrap();
-    let snapshot = Snapshot { incarnation: LIFE, sequence: 1, blocks: blocks(0..10) };
+fn outdated_snapshot_is_ignored() {
+    let mut index = index_with_ten_blocks();
+    index.apply_events(ENGINE, INCARNATION, &[removed(2, 5..10), stored(3, [5])]).unwrap();
+    let snapshot = Snapshot { incarnation: INCARNATION, sequence: 1, blocks: blocks(0..10) };
     assert_eq!(index.apply_snapshot(ENGINE, &snapshot), Ok(SnapshotOutcome::Outdated));
     assert_eq!(index.lookup(&blocks(0..20), NOW), [holder(6, 0)]);
 }
 
 #[test]
-fn new_incarnation_voids_the_old_and_late_reports_do_not_bring_it_back() {
-    let mut index = with_ten_blocks();
+fn new_incarnation_invalidates_the_old_one_despite_late_reports() {
+    let mut index = index_with_ten_blocks();
     let next = Incarnation(71);
     assert_eq!(index.start_incarnation(ENGINE, next), Ok(true));
     assert!(index.lookup(&blocks(0..20), NOW).is_empty());
-    let late = index.apply_events(ENGINE, LIFE, &[stored(2, [10])]);
+    let late = index.apply_events(ENGINE, INCARNATION, &[stored(2, [10])]);
     assert_eq!(late, Ok(EventOutcome::StaleIncarnation));
-    let snapshot = Snapshot { incarnation: LIFE, sequence: 9, blocks: blocks(0..10) };
+    let snapshot = Snapshot { incarnation: INCARNATION, sequence: 9, blocks: blocks(0..10) };
     assert_eq!(index.apply_snapshot(ENGINE, &snapshot), Ok(SnapshotOutcome::StaleIncarnation));
-    index.predict(ENGINE, LIFE, &blocks(0..10), SOURCE, NOW);
+    index.predict(ENGINE, INCARNATION, &blocks(0..10), SOURCE, NOW);
     assert!(index.lookup(&blocks(0..20), NOW).is_empty());
     assert_eq!(index.position(ENGINE), Some((next, 0)));
 }
 
 #[test]
-fn engine_suspected_wrongly_needs_a_snapshot() {
-    let mut index = with_ten_blocks();
+fn wrongly_removed_engine_needs_a_snapshot() {
+    let mut index = index_with_ten_blocks();
     index.remove_engine(ENGINE);
     assert!(index.lookup(&blocks(0..20), NOW).is_empty());
-    let outcome = index.apply_events(ENGINE, LIFE, &[stored(2, [10])]);
+    let outcome = index.apply_events(ENGINE, INCARNATION, &[stored(2, [10])]);
     assert_eq!(outcome, Ok(EventOutcome::Gap { missing: 1 }));
     assert!(index.lookup(&blocks(0..20), NOW).is_empty());
 }
 
 #[test]
-fn change_of_weights_voids_every_entry() {
-    let mut index = with_ten_blocks();
+fn invalidation_removes_every_entry() {
+    let mut index = index_with_ten_blocks();
     index.invalidate(ENGINE).unwrap();
     assert!(index.lookup(&blocks(0..20), NOW).is_empty());
     assert_eq!(index.awaiting_snapshot().count(), 1);
@@ -111,10 +111,10 @@
 
 #[test]
 fn predictions_count_until_confirmed_or_expired() {
-    let mut index = with_ten_blocks();
-    index.predict(ENGINE, LIFE, &blocks(0..15), SOURCE, NOW);
+    let mut index = index_with_ten_blocks();
+    index.predict(ENGINE, INCARNATION, &blocks(0..15), SOURCE, NOW);
     assert_eq!(index.lookup(&blocks(0..20), NOW), [holder(15, 5)]);
-    index.apply_events(ENGINE, LIFE, &[stored(2, 10..12)]).unwrap();
+    index.apply_events(ENGINE, INCARNATION, &[stored(2, 10..12)]).unwrap();
     assert_eq!(index.lookup(&blocks(0..20), NOW), [holder(15, 3)]);
     let later = NOW.after(PREDICTION_LIFETIME);
     assert_eq!(index.lookup(&blocks(0..20), later), [holder(12, 0)]);
@@ -123,50 +123,50 @@
 }
 
 #[test]
-fn a_shared_block_names_the_request_that_was_first_to_compute_it() {
-    let mut index = with_ten_blocks();
+fn prediction_keeps_the_first_request_as_its_source() {
+    let mut index = index_with_ten_blocks();
     let second = PredictionSource(6);
-    index.predict(ENGINE, LIFE, &blocks(0..15), SOURCE, NOW);
-    index.predict(ENGINE, LIFE, &blocks(0..18), second, NOW);
+    index.predict(ENGINE, INCARNATION, &blocks(0..15), SOURCE, NOW);
+    index.predict(ENGINE, INCARNATION, &blocks(0..18), second, NOW);
     assert_eq!(index.lookup(&blocks(0..15), NOW), [holder(15, 5)]);
     let deeper = Holder { computed_by: Some(second), ..holder(18, 8) };
     assert_eq!(index.lookup(&blocks(0..20), NOW), [deeper]);
 }
 
 #[test]
-fn renewed_prediction_outlives_the_first_one() {
-    let mut index = with_ten_blocks();
-    index.predict(ENGINE, LIFE, &blocks(0..11), SOURCE, NOW);
+fn extended_prediction_outlives_its_first_expiry() {
+    let mut index = index_with_ten_blocks();
+    index.predict(ENGINE, INCARNATION, &blocks(0..11), SOURCE, NOW);
     let second = NOW.after(PREDICTION_LIFETIME / 2);
-    index.predict(ENGINE, LIFE, &blocks(0..11), SOURCE, second);
+    index.predict(ENGINE, INCARNATION, &blocks(0..11), SOURCE, second);
     let after_first = NOW.after(PREDICTION_LIFETIME + Duration::from_millis(1));
     index.maintain(after_first);
     assert_eq!(index.lookup(&blocks(0..20), after_first), [holder(11, 1)]);
 }
 
 #[test]
-fn eviction_of_an_older_copy_leaves_the_prediction() {
+fn eviction_event_keeps_the_prediction() {
     let mut index = PrefixIndex::new();
-    index.start_incarnation(ENGINE, LIFE).unwrap();
-    index.predict(ENGINE, LIFE, &blocks(0..2), SOURCE, NOW);
-    index.apply_events(ENGINE, LIFE, &[removed(1, 0..2)]).unwrap();
+    index.start_incarnation(ENGINE, INCARNATION).unwrap();
+    index.predict(ENGINE, INCARNATION, &blocks(0..2), SOURCE, NOW);
+    index.apply_events(ENGINE, INCARNATION, &[removed(1, 0..2)]).unwrap();
     assert_eq!(index.lookup(&blocks(0..2), NOW), [holder(2, 2)]);
 }
 
 #[test]
-fn predicted_blocks_beyond_a_hole_are_not_counted() {
+fn predicted_blocks_beyond_a_missing_one_are_not_counted() {
     let mut index = PrefixIndex::new();
-    index.start_incarnation(ENGINE, LIFE).unwrap();
-    index.apply_events(ENGINE, LIFE, &[stored(1, [0])]).unwrap();
-    index.predict(ENGINE, LIFE, &blocks([2, 3]), SOURCE, NOW);
+    index.start_incarnation(ENGINE, INCARNATION).unwrap();
+    index.apply_events(ENGINE, INCARNATION, &[stored(1, [0])]).unwrap();
+    index.predict(ENGINE, INCARNATION, &blocks([2, 3]), SOURCE, NOW);
     assert_eq!(index.lookup(&blocks(0..4), NOW), [holder(1, 0)]);
 }
 
 #[test]
-fn slots_of_ended_lives_are_swept_and_used_again() {
+fn slots_of_ended_incarnations_are_reused() {
     let mut index = PrefixIndex::new();
-    for life in 0..70_000 {
-        index.apply_events(ENGINE, Incarnation(life), &[stored(1, 0..2)]).unwrap();
+    for incarnation in 0..70_000 {
+        index.apply_events(ENGINE, Incarnation(incarnation), &[stored(1, 0..2)]).unwrap();
     }
     let found = index.lookup(&blocks(0..2), NOW);
     assert_eq!(found.len(), 1);
@@ -177,7 +177,7 @@
     assert_eq!(index.size().entries, 2);
 }
 
-/// One step of a random history.
+/// Step of a random history.
 #[derive(Clone, Debug)]
 enum Step {
     Stored(u8, Vec<u8>),
@@ -205,15 +205,15 @@
     }
 }
 
-/// An engine as it really is, and what a reader may believe of it.
+/// Actual state of an engine and the expected state of a reader.
 #[derive(Default)]
 struct ModelEngine {
-    life: u64,
+    incarnation: u64,
     sequence: u64,
     cache: BTreeSet<u8>,
     trusted: bool,
-    /// The next event would reveal a loss.
-    behind: bool,
+    /// Whether the reader lost an event that the next one reveals.
+    lost_event: bool,
 }
 
 #[derive(Default)]
@@ -225,7 +225,7 @@
 impl Model {
     fn engine(&mut self, number: u8) -> &mut ModelEngine {
         self.engines.entry(number).or_insert_with(|| ModelEngine {
-            life: u64::from(number) * 1_000_000,
+            incarnation: u64::from(number) * 1_000_000,
             trusted: true,
             ..ModelEngine::default()
         })
@@ -235,9 +235,11 @@
         let engine = self.engine(number);
         engine.sequence += 1;
         let event = CacheEvent { sequence: engine.sequence, ..change(engine) };
-        engine.trusted &= !engine.behind;
+        engine.trusted &= !engine.lost_event;
         let id = EngineId(u32::from(number));
-        self.index.apply_events(id, Incarnation(self.engines[&number].life), &[event]).unwrap();
+        self.index
+            .apply_events(id, Incarnation(self.engines[&number].incarnation), &[event])
+            .unwrap();
     }
 
     fn step(&mut self, step: &Step) {
@@ -253,7 +255,7 @@
             Step::Lost(number) => {
                 let engine = self.engine(*number);
                 engine.sequence += 1;
-                engine.behind = true;
+                engine.lost_event = true;
                 engine.cache.clear();
             }
             Step::Snapshot(number) => self.snapshot(*number),
@@ -261,7 +263,7 @@
             Step::Remove(number) => {
                 let engine = self.engine(*number);
                 engine.trusted = false;
-                engine.behind = true;
+                engine.lost_event = true;
                 engine.sequence += 1;
                 self.index.remove_engine(EngineId(u32::from(*number)));
             }
@@ -272,9 +274,9 @@
     fn snapshot(&mut self, number: u8) {
         let engine = self.engine(number);
         engine.trusted = true;
-        engine.behind = false;
+        engine.lost_event = false;
         let snapshot = Snapshot {
-            incarnation: Incarnation(engine.life),
+            incarnation: Incarnation(engine.incarnation),
             sequence: engine.sequence,
             blocks: blocks(engine.cache.iter().map(|n| u64::from(*n))),
         };
@@ -283,20 +285,26 @@
 
     fn restart(&mut self, number: u8) {
         let engine = self.engine(number);
-        *engine = ModelEngine { life: engine.life + 1, trusted: true, ..ModelEngine::default() };
-        let life = Incarnation(engine.life);
-        self.index.start_incarnation(EngineId(u32::from(number)), life).unwrap();
+        *engine = ModelEngine {
+            incarnation: engine.incarnation + 1,
+            trusted: true,
+            ..ModelEngine::default()
+        };
+        let incarnation = Incarnation(engine.incarnation);
+        self.index.start_incarnation(EngineId(u32::from(number)), incarnation).unwrap();
     }
 
-    /// Whether the reader can't know yet that it lost an event of `engine`.
-    fn has_unseen_loss(&self, engine: EngineId) -> bool {
-        self.engines.get(&(engine.0 as u8)).is_some_and(|engine| engine.trusted && engine.behind)
+    /// Whether the reader lost an event of `engine` without noticing yet.
+    fn has_unnoticed_loss(&self, engine: EngineId) -> bool {
+        self.engines
+            .get(&(engine.0 as u8))
+            .is_some_and(|engine| engine.trusted && engine.lost_event)
     }
 
-    /// Leading blocks of each trusted engine that was not lost track of.
+    /// Expected leading blocks of each trusted engine without lost events.
     fn expected(&self) -> BTreeMap<EngineId, u32> {
         let held = |engine: &ModelEngine| (0..12).take_while(|n| engine.cache.contains(n)).count();
-        let known = self.engines.iter().filter(|(_, engine)| engine.trusted && !engine.behind);
+        let known = self.engines.iter().filter(|(_, engine)| engine.trusted && !engine.lost_event);
         known
             .map(|(number, engine)| (EngineId(u32::from(*number)), held(engine) as u32))
             .filter(|(_, blocks)| *blocks > 0)
@@ -304,20 +312,20 @@
     }
 }
 
-fn agrees_with_a_plain_model(steps: Vec<Step>) -> bool {
+fn index_matches_simple_model(steps: Vec<Step>) -> bool {
     let mut model = Model::default();
     steps.iter().all(|step| {
         model.step(step);
         let found = model.index.lookup(&blocks(0..12), NOW);
-        let known = found.iter().filter(|holder| !model.has_unseen_loss(holder.engine));
+        let known = found.iter().filter(|holder| !model.has_unnoticed_loss(holder.engine));
         let known: BTreeMap<_, _> = known.map(|holder| (holder.engine, holder.blocks)).collect();
         known == model.expected()
     })
 }
 
 #[test]
-fn random_histories_agree_with_a_plain_model() {
+fn random_histories_match_a_simple_model() {
     let generator = Gen::from_size_and_seed(100, 5);
-    let property = agrees_with_a_plain_model as fn(Vec<Step>) -> bool;
+    let property = index_matches_simple_model as fn(Vec<Step>) -> bool;
     QuickCheck::new().rng(generator).tests(400).quickcheck(property);
 }
--- a/crates/prefix-index/tests/rendezvous.rs
+++ b/crates/prefix-index/tests/rendezvous.rs
@@ -19,15 +19,15 @@
     QuickCheck::new().rng(Gen::from_size_and_seed(50, 7)).quickcheck(property);
 }
 
-fn only_its_keys_move(key: u64, nodes: Vec<u64>, lost: u64) -> bool {
+fn only_keys_of_removed_node_move(key: u64, nodes: Vec<u64>, removed: u64) -> bool {
     let before = owner(key, nodes.iter().copied());
-    let after = owner(key, nodes.iter().copied().filter(|node| *node != lost));
-    before == Some(lost) || before == after
+    let after = owner(key, nodes.iter().copied().filter(|node| *node != removed));
+    before == Some(removed) || before == after
 }
 
 #[test]
-fn only_keys_of_a_lost_node_move() {
-    check(only_its_keys_move as fn(u64, Vec<u64>, u64) -> bool);
+fn only_keys_of_a_removed_node_are_reassigned() {
+    check(only_keys_of_removed_node_move as fn(u64, Vec<u64>, u64) -> bool);
 }
 
 fn first_is_owner(key: u64, nodes: Vec<u64>) -> bool {
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn owner_ranks_first() {
+fn owner_is_ranked_first() {
     check(first_is_owner as fn(u64, Vec<u64>) -> bool);
 }
 
@@ -51,6 +51,6 @@
 }
 
 #[test]
-fn bounded_load_holds() {
+fn owner_with_bounded_load_stays_within_the_bound() {
     check(is_within_bound as fn(u64, Vec<u16>) -> bool);
 }
