--- a/crates/router/src/control_plane.rs
+++ b/crates/router/src/control_plane.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 use juniper_protocol::Traffic;
-use juniper_sharing::RouterLife;
+use juniper_sharing::RouterIncarnation;
 use juniper_types::Incarnation;
 use kameo::actor::{ActorRef, Spawn};
 use tokio::net::{TcpListener, UdpSocket};
@@ -65,7 +65,7 @@
         let control = Arc::new(ControlClient::new(config, &traffic, reachability));
         let engines = Arc::new(Engines::new());
         let life = Incarnation(rand::random());
-        let own = RouterLife { node: config.node, life };
+        let own = RouterIncarnation { node: config.node, incarnation: life };
         let hub =
             Arc::new(SharingHub::new(own, config, Arc::clone(&engines), &traffic, reachability));
         let (peer_sender, peers) = watch::channel(PeerView::default());
--- a/crates/router/src/sharing/mod.rs
+++ b/crates/router/src/sharing/mod.rs
@@ -19,8 +19,8 @@
 use juniper_protocol::{ClusterKey, PeerIdentity, Reply, Request, Traffic};
 use juniper_routing::EngineLoad;
 use juniper_sharing::{
-    FollowPlan, Group, LoadDigest, Question, RouterLife, ServingDigest, ShareMessage, Sharing,
-    SharingSize,
+    FollowPlan, Group, LoadDigest, Question, RouterIncarnation, ServingDigest, ShareMessage,
+    Sharing, SharingSize,
 };
 use juniper_types::{BlockHash, EngineId, Incarnation};
 
@@ -46,7 +46,7 @@
 
 /// Shares engine knowledge with the routers of the zone.
 pub struct SharingHub {
-    own: RouterLife,
+    own: RouterIncarnation,
     identity: PeerIdentity,
     key: ClusterKey,
     full_follow_engines: usize,
@@ -59,7 +59,7 @@
 
 struct State {
     sharing: Sharing,
-    links: HashMap<RouterLife, Link>,
+    links: HashMap<RouterIncarnation, Link>,
     /// Serving states told by the followers of other engines.
     told: HashMap<EngineId, ServingDigest>,
     /// Whether engines have one follower each at present.
@@ -69,7 +69,7 @@
 impl SharingHub {
     /// A hub that knows no other router yet.
     pub fn new(
-        own: RouterLife,
+        own: RouterIncarnation,
         config: &RouterConfig,
         engines: Arc<Engines>,
         traffic: &Arc<Traffic>,
@@ -102,8 +102,10 @@
     pub fn set_peers(&self, peers: &PeerView) {
         let zone = &self.identity.zone;
         let near = peers.routers.iter().filter(|peer| peer.zone == *zone);
-        let members: Vec<(RouterLife, SocketAddr)> = near
-            .map(|peer| (RouterLife { node: peer.node, life: peer.life }, peer.address))
+        let members: Vec<(RouterIncarnation, SocketAddr)> = near
+            .map(|peer| {
+                (RouterIncarnation { node: peer.node, incarnation: peer.life }, peer.address)
+            })
             .collect();
         let mut state = self.lock();
         state.links.retain(|life, _| members.iter().any(|(member, _)| member == life));
@@ -228,7 +230,7 @@
 
     /// Takes news from another router of the zone; returns the engines whose
     /// updates have a gap.
-    pub fn receive(&self, from: RouterLife, news: &ShareMessage) -> Vec<EngineId> {
+    pub fn receive(&self, from: RouterIncarnation, news: &ShareMessage) -> Vec<EngineId> {
         let mut reports = Vec::new();
         let mut down = Vec::new();
         let in_doubt = {
--- a/crates/router/src/sharing/rounds.rs
+++ b/crates/router/src/sharing/rounds.rs
@@ -5,7 +5,7 @@
 
 use futures_util::future::join_all;
 use juniper_protocol::{Reply, Request};
-use juniper_sharing::{RouterLife, ShareMessage};
+use juniper_sharing::{RouterIncarnation, ShareMessage};
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep_until};
 
@@ -39,7 +39,7 @@
 
 impl SharingHub {
     async fn send_round(&self) {
-        let messages: Vec<(RouterLife, Option<Link>, ShareMessage)> = {
+        let messages: Vec<(RouterIncarnation, Option<Link>, ShareMessage)> = {
             let mut state = self.lock();
             if !state.shared {
                 return;
@@ -51,7 +51,7 @@
                     return;
                 }
             };
-            let with_link = |(to, message): (RouterLife, ShareMessage)| {
+            let with_link = |(to, message): (RouterIncarnation, ShareMessage)| {
                 let link = state.links.get(&to).cloned();
                 (to, link, message)
             };
@@ -60,8 +60,8 @@
         join_all(messages.into_iter().map(|(to, link, news)| self.deliver(to, link, news))).await;
     }
 
-    async fn deliver(&self, to: RouterLife, link: Option<Link>, news: ShareMessage) {
-        let request = Request::Share { life: self.own.life, news };
+    async fn deliver(&self, to: RouterIncarnation, link: Option<Link>, news: ShareMessage) {
+        let request = Request::Share { life: self.own.incarnation, news };
         let reply = match link {
             Some(link) => link.call(request, DELIVERY_TIMEOUT).await.ok(),
             None => None,
--- a/crates/router/src/sharing/service.rs
+++ b/crates/router/src/sharing/service.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use juniper_protocol::{Connection, Message, PeerRole, Refusal, Reply, Request, accept};
-use juniper_sharing::RouterLife;
+use juniper_sharing::RouterIncarnation;
 use juniper_types::NodeId;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
@@ -75,9 +75,9 @@
             let now = hub.engines.now();
             Reply::Holders { checkpoints: hub.lock().sharing.lookup(&keys, now) }
         }
-        Request::Share { life, news } => {
-            Reply::Shared { in_doubt: hub.receive(RouterLife { node, life }, &news) }
-        }
+        Request::Share { life, news } => Reply::Shared {
+            in_doubt: hub.receive(RouterIncarnation { node, incarnation: life }, &news),
+        },
         _ => Reply::Refused(Refusal::NotAllowed),
     }
 }
--- a/crates/sharing/src/group.rs
+++ b/crates/sharing/src/group.rs
@@ -12,23 +12,23 @@
 /// Incarnation of a router process. A restarted router has lost its shard and
 /// therefore counts as a different owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct RouterLife {
+pub struct RouterIncarnation {
     /// Node of the router.
     pub node: NodeId,
     /// Random number drawn at each start.
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
 }
 
 /// Live routers of one zone, including this one.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Group {
-    members: Vec<RouterLife>,
+    members: Vec<RouterIncarnation>,
 }
 
 impl Group {
     /// Creates a group of `members`, given in any order.
-    pub fn new(members: impl IntoIterator<Item = RouterLife>) -> Self {
-        let mut members: Vec<RouterLife> = members.into_iter().collect();
+    pub fn new(members: impl IntoIterator<Item = RouterIncarnation>) -> Self {
+        let mut members: Vec<RouterIncarnation> = members.into_iter().collect();
         members.sort_unstable();
         // Each node is in the group only once.
         members.dedup_by_key(|member| member.node);
@@ -36,17 +36,17 @@
     }
 
     /// Members in the order of their node numbers.
-    pub fn members(&self) -> &[RouterLife] {
+    pub fn members(&self) -> &[RouterIncarnation] {
         &self.members
     }
 
     /// Router that owns `key`.
-    pub fn owner(&self, key: &CheckpointKey) -> Option<RouterLife> {
+    pub fn owner(&self, key: &CheckpointKey) -> Option<RouterIncarnation> {
         self.find(key.owner(self.nodes())?)
     }
 
     /// Router that follows `engine`.
-    pub fn follower(&self, engine: EngineId) -> Option<RouterLife> {
+    pub fn follower(&self, engine: EngineId) -> Option<RouterIncarnation> {
         self.find(rendezvous::owner(u64::from(engine.0), self.nodes())?)
     }
 
@@ -54,7 +54,7 @@
         self.members.iter().map(|member| member.node.0)
     }
 
-    fn find(&self, node: u64) -> Option<RouterLife> {
+    fn find(&self, node: u64) -> Option<RouterIncarnation> {
         self.members.iter().copied().find(|member| member.node.0 == node)
     }
 }
@@ -86,7 +86,7 @@
     /// `settled`, it follows no engine of a large fleet. Otherwise many routers that
     /// restart together would each read the caches of all engines of the zone.
     pub fn new(
-        own: RouterLife,
+        own: RouterIncarnation,
         group: &Group,
         own_zone: &[EngineId],
         other_zones: &[Vec<EngineId>],
@@ -112,7 +112,7 @@
 }
 
 /// Chooses `count` engines of a zone, different ones for different routers.
-fn sample(own: RouterLife, zone: &[EngineId], count: usize) -> Vec<EngineId> {
+fn sample(own: RouterIncarnation, zone: &[EngineId], count: usize) -> Vec<EngineId> {
     let engines = zone.iter().map(|engine| u64::from(engine.0));
     let ranked = rendezvous::ranked(own.node.0, engines);
     let chosen = ranked.into_iter().take(count);
--- a/crates/sharing/src/lib.rs
+++ b/crates/sharing/src/lib.rs
@@ -12,6 +12,6 @@
 mod publisher;
 mod sharing;
 
-pub use group::{FollowPlan, Group, RouterLife};
+pub use group::{FollowPlan, Group, RouterIncarnation};
 pub use message::{LoadDigest, ServingDigest, ShareMessage};
 pub use sharing::{Question, Questions, Sharing, SharingSize};
--- a/crates/sharing/src/loads.rs
+++ b/crates/sharing/src/loads.rs
@@ -5,7 +5,7 @@
 
 use juniper_types::{EngineId, Timestamp};
 
-use crate::group::{Group, RouterLife};
+use crate::group::{Group, RouterIncarnation};
 use crate::message::{LoadDigest, ServingDigest};
 
 /// Interval at which unchanged serving states are rebroadcast, to make up for
@@ -18,7 +18,7 @@
     received_at: Timestamp,
     serving: ServingDigest,
     /// Routers to which the current serving state was sent.
-    sent_to: BTreeSet<RouterLife>,
+    sent_to: BTreeSet<RouterIncarnation>,
     /// Whether the load was reported since the last round.
     updated: bool,
 }
@@ -56,7 +56,7 @@
     }
 
     /// Schedules all serving states again for a router that may have missed them.
-    pub(crate) fn delivery_failed(&mut self, to: RouterLife) {
+    pub(crate) fn delivery_failed(&mut self, to: RouterIncarnation) {
         for known in self.engines.values_mut() {
             known.sent_to.remove(&to);
         }
@@ -65,7 +65,7 @@
     /// Returns the serving states and loads to send to `to` in this round.
     pub(crate) fn digests_for(
         &mut self,
-        to: RouterLife,
+        to: RouterIncarnation,
         now: Timestamp,
     ) -> (Vec<ServingDigest>, Vec<LoadDigest>) {
         let mut serving = Vec::new();
--- a/crates/sharing/src/publisher.rs
+++ b/crates/sharing/src/publisher.rs
@@ -10,7 +10,7 @@
 use juniper_prefix_index::{CacheEvent, Snapshot};
 use juniper_types::{BlockHash, EngineId, Incarnation};
 
-use crate::group::{Group, RouterLife};
+use crate::group::{Group, RouterIncarnation};
 
 #[derive(Debug, Default)]
 struct EngineKeys {
@@ -47,7 +47,7 @@
 pub(crate) struct Publisher {
     group: Group,
     engines: BTreeMap<EngineId, EngineKeys>,
-    streams: BTreeMap<(RouterLife, EngineId), Stream>,
+    streams: BTreeMap<(RouterIncarnation, EngineId), Stream>,
 }
 
 impl Publisher {
@@ -115,21 +115,21 @@
     }
 
     /// Schedules resyncs of every engine for an owner that may have missed messages.
-    pub(crate) fn delivery_failed(&mut self, owner: RouterLife) {
+    pub(crate) fn delivery_failed(&mut self, owner: RouterIncarnation) {
         let streams = self.streams.iter_mut().filter(|((to, _), _)| *to == owner);
         streams.for_each(|(_, stream)| stream.needs_resync = true);
     }
 
     /// Schedules a resync of `engine` for an owner that has missed messages.
-    pub(crate) fn request_resync(&mut self, owner: RouterLife, engine: EngineId) {
+    pub(crate) fn request_resync(&mut self, owner: RouterIncarnation, engine: EngineId) {
         if let Some(stream) = self.streams.get_mut(&(owner, engine)) {
             stream.needs_resync = true;
         }
     }
 
     /// Takes the updates since the last call, by owner.
-    pub(crate) fn flush(&mut self) -> BTreeMap<RouterLife, Outgoing> {
-        let mut outgoing: BTreeMap<RouterLife, Outgoing> = BTreeMap::new();
+    pub(crate) fn flush(&mut self) -> BTreeMap<RouterIncarnation, Outgoing> {
+        let mut outgoing: BTreeMap<RouterIncarnation, Outgoing> = BTreeMap::new();
         for ((owner, engine), stream) in &mut self.streams {
             let Some(known) = self.engines.get(engine) else {
                 continue;
@@ -197,7 +197,7 @@
     fn streams_of(
         &mut self,
         engine: EngineId,
-    ) -> impl Iterator<Item = (&(RouterLife, EngineId), &mut Stream)> {
+    ) -> impl Iterator<Item = (&(RouterIncarnation, EngineId), &mut Stream)> {
         self.streams.iter_mut().filter(move |((_, streamed), _)| *streamed == engine)
     }
 }
--- a/crates/sharing/src/sharing.rs
+++ b/crates/sharing/src/sharing.rs
@@ -10,7 +10,7 @@
 use juniper_prefix_index::{CacheEvent, EventOutcome, IndexFull, Snapshot};
 use juniper_types::{BlockHash, EngineId, Incarnation, Timestamp};
 
-use crate::group::{Group, RouterLife};
+use crate::group::{Group, RouterIncarnation};
 use crate::loads::LoadPublisher;
 use crate::message::{LoadDigest, ServingDigest, ShareMessage};
 use crate::publisher::Publisher;
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Question {
     /// Router to query.
-    pub owner: RouterLife,
+    pub owner: RouterIncarnation,
     /// Keys to look up.
     pub keys: KeyList,
     positions: Vec<usize>,
@@ -72,19 +72,19 @@
 /// State machine of one router that shares engine state within its zone.
 #[derive(Debug)]
 pub struct Sharing {
-    own: RouterLife,
+    own: RouterIncarnation,
     group: Group,
     publisher: Publisher,
     loads: LoadPublisher,
     shard: CoarseShard,
     /// Sender of the last resync of each engine. Sequence numbers are comparable
     /// only within one sender's stream.
-    senders: BTreeMap<EngineId, RouterLife>,
+    senders: BTreeMap<EngineId, RouterIncarnation>,
 }
 
 impl Sharing {
     /// Creates the state of a router that is alone in its group.
-    pub fn new(own: RouterLife) -> Self {
+    pub fn new(own: RouterIncarnation) -> Self {
         let mut sharing = Sharing {
             own,
             group: Group::default(),
@@ -167,7 +167,10 @@
     ///
     /// # Errors
     /// Returns [`IndexFull`] if this router's shard has no room for another engine.
-    pub fn flush(&mut self, now: Timestamp) -> Result<Vec<(RouterLife, ShareMessage)>, IndexFull> {
+    pub fn flush(
+        &mut self,
+        now: Timestamp,
+    ) -> Result<Vec<(RouterIncarnation, ShareMessage)>, IndexFull> {
         let mut outgoing = self.publisher.flush();
         if let Some(own) = outgoing.remove(&self.own) {
             self.apply(self.own, &own.deltas, &own.resyncs)?;
@@ -193,7 +196,7 @@
     /// Returns [`IndexFull`] if the shard has no room for another engine.
     pub fn receive(
         &mut self,
-        from: RouterLife,
+        from: RouterIncarnation,
         message: &ShareMessage,
     ) -> Result<Vec<EngineId>, IndexFull> {
         self.apply(from, &message.deltas, &message.resyncs)
@@ -201,7 +204,7 @@
 
     fn apply(
         &mut self,
-        from: RouterLife,
+        from: RouterIncarnation,
         deltas: &[CoarseDelta],
         resyncs: &[CoarseUpdate],
     ) -> Result<Vec<EngineId>, IndexFull> {
@@ -224,14 +227,14 @@
     }
 
     /// Schedules resyncs of the engines whose stream has a gap at `owner`.
-    pub fn in_doubt(&mut self, owner: RouterLife, engines: &[EngineId]) {
+    pub fn in_doubt(&mut self, owner: RouterIncarnation, engines: &[EngineId]) {
         for engine in engines {
             self.publisher.request_resync(owner, *engine);
         }
     }
 
     /// Schedules resyncs for a router that didn't acknowledge a message.
-    pub fn delivery_failed(&mut self, to: RouterLife) {
+    pub fn delivery_failed(&mut self, to: RouterIncarnation) {
         self.publisher.delivery_failed(to);
         self.loads.delivery_failed(to);
     }
@@ -246,7 +249,7 @@
     /// others by owner.
     pub fn questions(&self, blocks: &[BlockHash], now: Timestamp) -> Questions {
         let checkpoints = checkpoints(blocks);
-        let mut by_owner: BTreeMap<RouterLife, Vec<usize>> = BTreeMap::new();
+        let mut by_owner: BTreeMap<RouterIncarnation, Vec<usize>> = BTreeMap::new();
         for (position, checkpoint) in checkpoints.iter().enumerate() {
             if let Some(owner) = self.group.owner(&checkpoint.key) {
                 by_owner.entry(owner).or_default().push(position);
--- a/crates/sharing/tests/sharing.rs
+++ b/crates/sharing/tests/sharing.rs
@@ -2,7 +2,7 @@
 
 use juniper_prefix_index::{CacheEvent, Snapshot};
 use juniper_sharing::{
-    FollowPlan, Group, LoadDigest, RouterLife, ServingDigest, ShareMessage, Sharing,
+    FollowPlan, Group, LoadDigest, RouterIncarnation, ServingDigest, ShareMessage, Sharing,
 };
 use juniper_types::{BlockHash, EngineId, Incarnation, NodeId, Timestamp, WeightsVersion};
 use quickcheck::quickcheck;
@@ -11,8 +11,8 @@
 const ENGINE: EngineId = EngineId(1);
 const INCARNATION: Incarnation = Incarnation(7);
 
-fn router(node: u64, incarnation: u64) -> RouterLife {
-    RouterLife { node: NodeId(node), life: Incarnation(incarnation) }
+fn router(node: u64, incarnation: u64) -> RouterIncarnation {
+    RouterIncarnation { node: NodeId(node), incarnation: Incarnation(incarnation) }
 }
 
 fn prompt(seed: u64, length: usize) -> Vec<BlockHash> {
@@ -31,11 +31,11 @@
 
 /// Routers of one zone. Tests choose which messages are lost.
 struct Zone {
-    routers: Vec<(RouterLife, Sharing)>,
+    routers: Vec<(RouterIncarnation, Sharing)>,
 }
 
 impl Zone {
-    fn new(members: &[RouterLife]) -> Self {
+    fn new(members: &[RouterIncarnation]) -> Self {
         let mut zone = Zone { routers: Vec::new() };
         for member in members {
             zone.routers.push((*member, Sharing::new(*member)));
@@ -49,14 +49,18 @@
         self.routers.iter_mut().for_each(|(_, sharing)| sharing.set_group(group.clone()));
     }
 
-    fn router_mut(&mut self, incarnation: RouterLife) -> &mut Sharing {
+    fn router_mut(&mut self, incarnation: RouterIncarnation) -> &mut Sharing {
         &mut self.routers.iter_mut().find(|(known, _)| *known == incarnation).unwrap().1
     }
 
     /// Runs one round without the messages selected by `lost`. Senders are informed
     /// of the loss if `noticed`.
-    fn round(&mut self, lost: impl Fn(RouterLife, RouterLife) -> bool, noticed: bool) {
-        let senders: Vec<RouterLife> =
+    fn round(
+        &mut self,
+        lost: impl Fn(RouterIncarnation, RouterIncarnation) -> bool,
+        noticed: bool,
+    ) {
+        let senders: Vec<RouterIncarnation> =
             self.routers.iter().map(|(incarnation, _)| *incarnation).collect();
         for sender in senders {
             for (to, message) in self.router_mut(sender).flush(NOW).unwrap() {
@@ -79,7 +83,7 @@
     /// Holders of `blocks` that `asker` finds with the answers of all routers.
     fn find_holders(
         &mut self,
-        asker: RouterLife,
+        asker: RouterIncarnation,
         blocks: &[BlockHash],
     ) -> Vec<(EngineId, Incarnation)> {
         let mut query = self.router_mut(asker).questions(blocks, NOW);
@@ -91,7 +95,7 @@
     }
 }
 
-fn three_routers() -> [RouterLife; 3] {
+fn three_routers() -> [RouterIncarnation; 3] {
     [router(1, 10), router(2, 20), router(3, 30)]
 }
 
