--- a/crates/router/src/sharing/mod.rs
+++ b/crates/router/src/sharing/mod.rs
@@ -209,7 +209,7 @@
             if !state.shared {
                 return Vec::new();
             }
-            let questions = state.sharing.questions(blocks, self.engines.now());
+            let questions = state.sharing.prefix_query(blocks, self.engines.now());
             let links: Vec<Option<Link>> = questions
                 .remote
                 .iter()
--- a/crates/sharing/src/sharing.rs
+++ b/crates/sharing/src/sharing.rs
@@ -44,14 +44,14 @@
 
 /// Lookup of one prompt's checkpoints, split into queries to their owners.
 #[derive(Clone, Debug)]
-pub struct Questions {
+pub struct PrefixQuery {
     checkpoints: Vec<Checkpoint>,
     answers: Vec<Option<CheckpointHolders>>,
     /// Queries to other routers. Keys of this router are answered already.
     pub remote: Vec<Question>,
 }
 
-impl Questions {
+impl PrefixQuery {
     /// Records an owner's answer. An answer of the wrong length is ignored.
     pub fn answer(&mut self, owner_query: &Question, holders: Vec<CheckpointHolders>) {
         if holders.len() != owner_query.positions.len() {
@@ -247,7 +247,7 @@
 
     /// Starts the lookup of a prompt: answers this router's keys and splits the
     /// others by owner.
-    pub fn questions(&self, blocks: &[BlockHash], now: Timestamp) -> Questions {
+    pub fn prefix_query(&self, blocks: &[BlockHash], now: Timestamp) -> PrefixQuery {
         let checkpoints = checkpoints(blocks);
         let mut by_owner: BTreeMap<RouterIncarnation, Vec<usize>> = BTreeMap::new();
         for (position, checkpoint) in checkpoints.iter().enumerate() {
@@ -256,7 +256,7 @@
             }
         }
         let answers = vec![None; checkpoints.len()];
-        let mut query = Questions { checkpoints, answers, remote: Vec::new() };
+        let mut query = PrefixQuery { checkpoints, answers, remote: Vec::new() };
         for (owner, positions) in by_owner {
             let keys = positions.iter().map(|position| query.checkpoints[*position].key);
             let owner_query = Question { owner, keys: KeyList::new(keys), positions };
--- a/crates/sharing/tests/sharing.rs
+++ b/crates/sharing/tests/sharing.rs
@@ -86,7 +86,7 @@
         asker: RouterIncarnation,
         blocks: &[BlockHash],
     ) -> Vec<(EngineId, Incarnation)> {
-        let mut query = self.router_mut(asker).questions(blocks, NOW);
+        let mut query = self.router_mut(asker).prefix_query(blocks, NOW);
         for owner_query in query.remote.clone() {
             let holders = self.router_mut(owner_query.owner).lookup(&owner_query.keys, NOW);
             query.answer(&owner_query, holders);
