--- a/crates/router/src/sharing/mod.rs
+++ b/crates/router/src/sharing/mod.rs
@@ -19,7 +19,7 @@
 use juniper_protocol::{ClusterKey, PeerIdentity, Reply, Request, Traffic};
 use juniper_routing::EngineLoad;
 use juniper_sharing::{
-    FollowPlan, Group, LoadDigest, Question, RouterIncarnation, ServingDigest, ShareMessage,
+    FollowPlan, Group, LoadDigest, OwnerQuery, RouterIncarnation, ServingDigest, ShareMessage,
     Sharing, SharingSize,
 };
 use juniper_types::{BlockHash, EngineId, Incarnation};
@@ -259,7 +259,7 @@
 
 async fn ask(
     link: Option<Link>,
-    question: &Question,
+    question: &OwnerQuery,
 ) -> Option<Vec<juniper_prefix_index::coarse::CheckpointHolders>> {
     let request = Request::Lookup { keys: question.keys.clone() };
     match link?.call(request, LOOKUP_TIMEOUT).await {
--- a/crates/sharing/src/lib.rs
+++ b/crates/sharing/src/lib.rs
@@ -14,4 +14,4 @@
 
 pub use group::{FollowPlan, Group, RouterIncarnation};
 pub use message::{LoadDigest, ServingDigest, ShareMessage};
-pub use sharing::{PrefixQuery, Question, Sharing, SharingSize};
+pub use sharing::{OwnerQuery, PrefixQuery, Sharing, SharingSize};
--- a/crates/sharing/src/sharing.rs
+++ b/crates/sharing/src/sharing.rs
@@ -34,7 +34,7 @@
 
 /// Query for the keys of one prompt that one router owns.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Question {
+pub struct OwnerQuery {
     /// Router to query.
     pub owner: RouterIncarnation,
     /// Keys to look up.
@@ -48,12 +48,12 @@
     checkpoints: Vec<Checkpoint>,
     answers: Vec<Option<CheckpointHolders>>,
     /// Queries to other routers. Keys of this router are answered already.
-    pub remote: Vec<Question>,
+    pub remote: Vec<OwnerQuery>,
 }
 
 impl PrefixQuery {
     /// Records an owner's answer. An answer of the wrong length is ignored.
-    pub fn answer(&mut self, owner_query: &Question, holders: Vec<CheckpointHolders>) {
+    pub fn answer(&mut self, owner_query: &OwnerQuery, holders: Vec<CheckpointHolders>) {
         if holders.len() != owner_query.positions.len() {
             return;
         }
@@ -259,7 +259,7 @@
         let mut query = PrefixQuery { checkpoints, answers, remote: Vec::new() };
         for (owner, positions) in by_owner {
             let keys = positions.iter().map(|position| query.checkpoints[*position].key);
-            let owner_query = Question { owner, keys: KeyList::new(keys), positions };
+            let owner_query = OwnerQuery { owner, keys: KeyList::new(keys), positions };
             if owner == self.own {
                 let holders = self.lookup(&owner_query.keys, now);
                 query.answer(&owner_query, holders);
