--- a/crates/router/src/limits.rs
+++ b/crates/router/src/limits.rs
@@ -5,7 +5,7 @@
 
 use std::sync::{Arc, Mutex, MutexGuard};
 
-use juniper_routing::admission::{Admission, AdmissionQuestion, FleetShare, Ticket};
+use juniper_routing::admission::{Admission, AdmissionRequest, FleetShare, Ticket};
 use juniper_types::Timestamp;
 use tokio::time::Instant;
 
@@ -46,7 +46,7 @@
     /// [`RequestError::Limited`] with the limit and when to come back.
     pub fn admit(
         self: &Arc<Self>,
-        question: &AdmissionQuestion<'_>,
+        question: &AdmissionRequest<'_>,
         routers: u32,
     ) -> Result<Admitted, RequestError> {
         let now = self.now();
--- a/crates/router/src/shared.rs
+++ b/crates/router/src/shared.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 
 use juniper_clock::BootInstant;
-use juniper_routing::admission::AdmissionQuestion;
+use juniper_routing::admission::AdmissionRequest;
 use juniper_settings::{CutOffPolicy, EffectiveSettings};
 use tokio::sync::Semaphore;
 use tokio::time::Duration;
@@ -97,7 +97,7 @@
 
     /// Holds a request to the rate and concurrency of its service.
     pub fn admit(&self, in_flight: &mut InFlight, caller: &Caller) -> Result<(), RequestError> {
-        let question = AdmissionQuestion {
+        let question = AdmissionRequest {
             tenant: &caller.home.tenant,
             service: &caller.service,
             settings: &caller.settings,
--- a/crates/routing/src/admission/mod.rs
+++ b/crates/routing/src/admission/mod.rs
@@ -44,7 +44,7 @@
 
 /// Request for admission.
 #[derive(Clone, Copy, Debug)]
-pub struct AdmissionQuestion<'a> {
+pub struct AdmissionRequest<'a> {
     /// Tenant of the request.
     pub tenant: &'a TenantName,
     /// Requested service.
@@ -121,11 +121,11 @@
     /// unchanged.
     pub fn admit(
         &mut self,
-        question: &AdmissionQuestion<'_>,
+        request: &AdmissionRequest<'_>,
         share: FleetShare,
         now: Timestamp,
     ) -> Result<Ticket, AdmissionRefusal> {
-        let AdmissionQuestion { tenant, service, settings, tokens } = *question;
+        let AdmissionRequest { tenant, service, settings, tokens } = *request;
         let key = (tenant.clone(), service.clone());
         let rate = rate_limit(settings, share);
         let state =
--- a/crates/routing/tests/admission.rs
+++ b/crates/routing/tests/admission.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use juniper_routing::admission::{
-    Admission, AdmissionQuestion, AdmissionRefusal, FleetShare, LimitKind, Ticket,
+    Admission, AdmissionRefusal, AdmissionRequest, FleetShare, LimitKind, Ticket,
 };
 use juniper_settings::{EffectiveSettings, Overrides};
 use juniper_types::{ServiceName, TenantName, Timestamp};
@@ -29,9 +29,9 @@
     now: Timestamp,
 ) -> Result<Ticket, AdmissionRefusal> {
     let service = ServiceName::new("screening").expect("valid");
-    let question =
-        AdmissionQuestion { tenant: &tenant(name), service: &service, settings, tokens: TOKENS };
-    admission.admit(&question, share, now)
+    let request =
+        AdmissionRequest { tenant: &tenant(name), service: &service, settings, tokens: TOKENS };
+    admission.admit(&request, share, now)
 }
 
 #[test]
