--- a/crates/router/src/engines.rs
+++ b/crates/router/src/engines.rs
@@ -11,7 +11,7 @@
 
 use juniper_prefix_index::{CacheEvent, EventOutcome, Holder, PrefixIndex, Snapshot};
 use juniper_routing::drain::LeavingSource;
-use juniper_routing::retry::{RetryBudget, RetryDenied, RetryQuestion};
+use juniper_routing::retry::{RetryBudget, RetryContext, RetryDenied};
 use juniper_routing::{
     CostModel, Decision, DispatchId, DispatchedWork, EngineDescriptor, EngineLoad, EngineTable,
     PrefixWait, Refusal, RouteRequest, ServingKey, decide,
@@ -241,7 +241,7 @@
     ///
     /// # Errors
     /// The reason against it.
-    pub fn may_retry(&self, question: &RetryQuestion) -> Result<(), RetryDenied> {
+    pub fn may_retry(&self, question: &RetryContext) -> Result<(), RetryDenied> {
         let now = self.now();
         self.lock().retries.decide(question, now)
     }
--- a/crates/router/src/relay/opening.rs
+++ b/crates/router/src/relay/opening.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use juniper_routing::retry::{AttemptOutcome, RetryQuestion};
+use juniper_routing::retry::{AttemptOutcome, RetryContext};
 use juniper_settings::TrafficKind;
 use juniper_types::EngineId;
 use tokio::time::Instant;
@@ -101,7 +101,7 @@
         progress.next_index
     );
     let partly = progress.next_index > job.resume_from;
-    let question = RetryQuestion {
+    let question = RetryContext {
         kind: TrafficKind::Chat,
         outcome: if partly { AttemptOutcome::PartlyAnswered } else { outcome },
         // Generation is deterministic, so an answer goes on at any token.
--- a/crates/routing/src/retry.rs
+++ b/crates/routing/src/retry.rs
@@ -32,7 +32,7 @@
 
 /// Properties of a request that decide whether it may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RetryQuestion {
+pub struct RetryContext {
     /// Kind of traffic.
     pub kind: TrafficKind,
     /// Outcome of the last attempt.
@@ -105,12 +105,12 @@
     ///
     /// # Errors
     /// Returns the first reason against a retry; the budget is then unchanged.
-    pub fn decide(&mut self, question: &RetryQuestion, now: Timestamp) -> Result<(), RetryDenied> {
-        check_retry_safety(question)?;
-        if question.attempts >= MAX_ATTEMPTS {
+    pub fn decide(&mut self, context: &RetryContext, now: Timestamp) -> Result<(), RetryDenied> {
+        check_retry_safety(context)?;
+        if context.attempts >= MAX_ATTEMPTS {
             return Err(RetryDenied::Attempts);
         }
-        if question.time_left < question.time_needed {
+        if context.time_left < context.time_needed {
             return Err(RetryDenied::Deadline);
         }
         self.refill(now);
@@ -136,11 +136,11 @@
 
 /// Checks that an at-most-once request never runs twice and that an answer never
 /// restarts after the caller received part of it.
-fn check_retry_safety(question: &RetryQuestion) -> Result<(), RetryDenied> {
-    if question.kind == TrafficKind::AtMostOnce && question.outcome != AttemptOutcome::NotRun {
+fn check_retry_safety(context: &RetryContext) -> Result<(), RetryDenied> {
+    if context.kind == TrafficKind::AtMostOnce && context.outcome != AttemptOutcome::NotRun {
         return Err(RetryDenied::NotRepeatable);
     }
-    if question.outcome == AttemptOutcome::PartlyAnswered && !question.resumable {
+    if context.outcome == AttemptOutcome::PartlyAnswered && !context.resumable {
         return Err(RetryDenied::NotResumable);
     }
     Ok(())
--- a/crates/routing/tests/retry.rs
+++ b/crates/routing/tests/retry.rs
@@ -3,13 +3,13 @@
 use std::time::Duration;
 
 use juniper_routing::retry::{
-    AttemptOutcome, MAX_ATTEMPTS, RetryBudget, RetryDenied, RetryQuestion,
+    AttemptOutcome, MAX_ATTEMPTS, RetryBudget, RetryContext, RetryDenied,
 };
 use juniper_settings::TrafficKind;
 use juniper_types::Timestamp;
 use quickcheck::QuickCheck;
 
-const CHAT: RetryQuestion = RetryQuestion {
+const CHAT: RetryContext = RetryContext {
     kind: TrafficKind::Chat,
     outcome: AttemptOutcome::Unknown,
     resumable: true,
@@ -21,31 +21,31 @@
 #[test]
 fn at_most_once_request_is_retried_only_if_it_did_not_run() {
     let mut budget = RetryBudget::new(10);
-    let retry_question = |outcome| RetryQuestion { kind: TrafficKind::AtMostOnce, outcome, ..CHAT };
+    let retry_context = |outcome| RetryContext { kind: TrafficKind::AtMostOnce, outcome, ..CHAT };
     let denied = Err(RetryDenied::NotRepeatable);
-    assert_eq!(budget.decide(&retry_question(AttemptOutcome::Unknown), Timestamp::ZERO), denied);
+    assert_eq!(budget.decide(&retry_context(AttemptOutcome::Unknown), Timestamp::ZERO), denied);
     assert_eq!(
-        budget.decide(&retry_question(AttemptOutcome::PartlyAnswered), Timestamp::ZERO),
+        budget.decide(&retry_context(AttemptOutcome::PartlyAnswered), Timestamp::ZERO),
         denied
     );
-    assert_eq!(budget.decide(&retry_question(AttemptOutcome::NotRun), Timestamp::ZERO), Ok(()));
+    assert_eq!(budget.decide(&retry_context(AttemptOutcome::NotRun), Timestamp::ZERO), Ok(()));
 }
 
 #[test]
 fn partial_answer_is_retried_only_if_resumable() {
     let mut budget = RetryBudget::new(10);
-    let partial = RetryQuestion { outcome: AttemptOutcome::PartlyAnswered, ..CHAT };
+    let partial = RetryContext { outcome: AttemptOutcome::PartlyAnswered, ..CHAT };
     assert_eq!(budget.decide(&partial, Timestamp::ZERO), Ok(()));
-    let unresumable = RetryQuestion { resumable: false, ..partial };
+    let unresumable = RetryContext { resumable: false, ..partial };
     assert_eq!(budget.decide(&unresumable, Timestamp::ZERO), Err(RetryDenied::NotResumable));
 }
 
 #[test]
 fn attempts_and_time_are_bounded() {
     let mut budget = RetryBudget::new(10);
-    let tried = RetryQuestion { attempts: MAX_ATTEMPTS, ..CHAT };
+    let tried = RetryContext { attempts: MAX_ATTEMPTS, ..CHAT };
     assert_eq!(budget.decide(&tried, Timestamp::ZERO), Err(RetryDenied::Attempts));
-    let late = RetryQuestion { time_left: Duration::from_millis(10), ..CHAT };
+    let late = RetryContext { time_left: Duration::from_millis(10), ..CHAT };
     assert_eq!(budget.decide(&late, Timestamp::ZERO), Err(RetryDenied::Deadline));
 }
 
