--- a/crates/lab/src/prove/decisions/router.rs
+++ b/crates/lab/src/prove/decisions/router.rs
@@ -4,7 +4,7 @@
 
 use juniper_emulators::engine::{Engine, EngineRequest};
 use juniper_prefix_index::{CacheEvent, EventOutcome, PrefixIndex, Snapshot};
-use juniper_routing::drain::LeavingSource;
+use juniper_routing::drain::DepartureSource;
 use juniper_routing::{
     CostModel, CostWeights, Decision, DispatchId, DispatchedWork, EngineDescriptor, EngineTable,
     RouteRequest, ServingKey, decide,
@@ -77,7 +77,7 @@
 
     pub(super) fn platform_says(&mut self, engine: usize, leaving: bool) {
         if self.planted != Some(PlantedFault::DrainIgnored) {
-            self.table.set_leaving(engine_id(engine), LeavingSource::Platform, leaving);
+            self.table.set_leaving(engine_id(engine), DepartureSource::Platform, leaving);
         }
     }
 
--- a/crates/router/src/engines.rs
+++ b/crates/router/src/engines.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use juniper_prefix_index::{CacheEvent, EventOutcome, Holder, PrefixIndex, Snapshot};
-use juniper_routing::drain::LeavingSource;
+use juniper_routing::drain::DepartureSource;
 use juniper_routing::retry::{RetryBudget, RetryContext, RetryDenied};
 use juniper_routing::{
     CostModel, Decision, DispatchId, DispatchedWork, EngineDescriptor, EngineLoad, EngineTable,
@@ -171,7 +171,7 @@
             }
             let descriptor = EngineDescriptor { engine: back_end.id, zone: zone.clone() };
             state.table.insert(&descriptor);
-            state.table.set_leaving(back_end.id, LeavingSource::Settings, back_end.leaving);
+            state.table.set_leaving(back_end.id, DepartureSource::Settings, back_end.leaving);
             named.push(back_end.id);
         }
         let gone: Vec<EngineId> =
@@ -265,7 +265,7 @@
     }
 
     /// Notes what `source` says about an engine leaving.
-    pub fn set_leaving(&self, engine: EngineId, source: LeavingSource, leaving: bool) {
+    pub fn set_leaving(&self, engine: EngineId, source: DepartureSource, leaving: bool) {
         self.lock().table.set_leaving(engine, source, leaving);
     }
 
--- a/crates/router/src/relay/attempt.rs
+++ b/crates/router/src/relay/attempt.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use juniper_routing::drain::LeavingSource;
+use juniper_routing::drain::DepartureSource;
 use juniper_types::RequestId;
 use serde::Deserialize;
 use tokio::time::{Instant, timeout_at};
@@ -125,7 +125,7 @@
     let body: EngineErrorBody = response.json().await.unwrap_or_default();
     cancel.armed = !body.error.not_run;
     if body.error.code == LEAVING_CODE {
-        shared.plane.engines.set_leaving(engine, LeavingSource::Engine, true);
+        shared.plane.engines.set_leaving(engine, DepartureSource::Engine, true);
     }
     if body.error.not_run {
         return Err(AttemptError::NotRun(body.error.code));
--- a/crates/routing/src/drain.rs
+++ b/crates/routing/src/drain.rs
@@ -11,7 +11,7 @@
 
 /// Source of a report that a back end is departing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum LeavingSource {
+pub enum DepartureSource {
     /// The platform's list of live and departing machines.
     Platform,
     /// The settings tree.
@@ -20,22 +20,22 @@
     Engine,
 }
 
-impl LeavingSource {
+impl DepartureSource {
     fn bit(self) -> u8 {
         match self {
-            LeavingSource::Platform => 1,
-            LeavingSource::Settings => 2,
-            LeavingSource::Engine => 4,
+            DepartureSource::Platform => 1,
+            DepartureSource::Settings => 2,
+            DepartureSource::Engine => 4,
         }
     }
 }
 
 /// Set of the sources that report a back end as departing.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct LeavingSources(u8);
+pub(crate) struct DepartureSources(u8);
 
-impl LeavingSources {
-    pub(crate) fn set(&mut self, source: LeavingSource, leaving: bool) {
+impl DepartureSources {
+    pub(crate) fn set(&mut self, source: DepartureSource, leaving: bool) {
         if leaving {
             self.0 |= source.bit();
         } else {
@@ -43,7 +43,7 @@
         }
     }
 
-    pub(crate) fn contains(self, source: LeavingSource) -> bool {
+    pub(crate) fn contains(self, source: DepartureSource) -> bool {
         self.0 & source.bit() != 0
     }
 
@@ -55,7 +55,7 @@
 /// Departing back ends other than engines. [`crate::EngineTable`] tracks engines.
 #[derive(Clone, Debug)]
 pub struct DrainTracker<K = EngineId> {
-    leaving: HashMap<K, LeavingSources>,
+    leaving: HashMap<K, DepartureSources>,
 }
 
 impl<K> Default for DrainTracker<K> {
@@ -71,7 +71,7 @@
     }
 
     /// Records whether `source` reports `back_end` as departing.
-    pub fn set_leaving(&mut self, back_end: K, source: LeavingSource, leaving: bool) {
+    pub fn set_leaving(&mut self, back_end: K, source: DepartureSource, leaving: bool) {
         let sources = self.leaving.entry(back_end).or_default();
         sources.set(source, leaving);
         if !sources.any() {
--- a/crates/routing/src/engine.rs
+++ b/crates/routing/src/engine.rs
@@ -8,7 +8,7 @@
 };
 
 use crate::cost::CostModel;
-use crate::drain::{LeavingSource, LeavingSources};
+use crate::drain::{DepartureSource, DepartureSources};
 use crate::estimate::WorkRate;
 use crate::request::{DispatchId, DispatchedWork, ServingKey};
 
@@ -137,7 +137,7 @@
     pub(crate) zone: ZoneName,
     pub(crate) incarnation: Option<Incarnation>,
     pub(crate) down: bool,
-    pub(crate) leaving: LeavingSources,
+    pub(crate) leaving: DepartureSources,
     model: Option<(ModelName, WeightsVersion)>,
     adapters: Vec<AdapterName>,
     reported: Option<ReportedRequests>,
@@ -153,7 +153,7 @@
             zone: descriptor.zone.clone(),
             incarnation: None,
             down: false,
-            leaving: LeavingSources::default(),
+            leaving: DepartureSources::default(),
             model: None,
             adapters: Vec::new(),
             reported: None,
@@ -188,7 +188,7 @@
             || self.down
             || known != now_serves
             || self.adapters != load.adapters
-            || self.leaving.contains(LeavingSource::Engine) != load.leaving
+            || self.leaving.contains(DepartureSource::Engine) != load.leaving
     }
 
     pub(crate) fn apply_report(&mut self, load: &EngineLoad, now: Timestamp) {
@@ -205,7 +205,7 @@
             // Requests dispatched to an earlier incarnation ended with it.
             self.dispatches.clear();
         }
-        self.leaving.set(LeavingSource::Engine, load.leaving);
+        self.leaving.set(DepartureSource::Engine, load.leaving);
         self.model = load.model.clone().map(|model| (model, load.weights));
         self.adapters.clone_from(&load.adapters);
     }
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -6,7 +6,7 @@
 use juniper_types::{EngineId, Incarnation, Timestamp, ZoneName};
 
 use crate::cost::CostModel;
-use crate::drain::LeavingSource;
+use crate::drain::DepartureSource;
 use crate::engine::{Dispatch, Engine, EngineDescriptor, EngineLoad, EngineView, OwnWorkMeans};
 use crate::estimate::Estimate;
 use crate::groups::{Group, Groups, Position};
@@ -105,7 +105,7 @@
     }
 
     /// Records whether `source` reports an engine as departing.
-    pub fn set_leaving(&mut self, engine: EngineId, source: LeavingSource, leaving: bool) {
+    pub fn set_leaving(&mut self, engine: EngineId, source: DepartureSource, leaving: bool) {
         if let Some(position) = self.index(engine)
             && self.engines[position].leaving.contains(source) != leaving
         {
--- a/crates/routing/tests/decide.rs
+++ b/crates/routing/tests/decide.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use juniper_prefix_index::Holder;
-use juniper_routing::drain::LeavingSource;
+use juniper_routing::drain::DepartureSource;
 use juniper_routing::{
     CostModel, CostWeights, Decision, DispatchId, DispatchedWork, EngineTable, Reason, Refusal,
     RefusalCode, RouteRequest, decide,
@@ -122,7 +122,7 @@
 fn unreported_engine_is_not_used_when_the_others_depart() {
     let mut table = table(1, NOW);
     support::insert(&mut table, EngineId(9));
-    table.set_leaving(EngineId(0), LeavingSource::Engine, true);
+    table.set_leaving(EngineId(0), DepartureSource::Engine, true);
     let refusal = route(&table, &[], 1).expect_err("engine 9 may be leaving as well");
     assert_eq!(refusal.code, RefusalCode::NoEngine);
 }
@@ -130,12 +130,12 @@
 #[test]
 fn departing_engine_is_excluded_until_every_source_withdraws() {
     let mut table = table(1, NOW);
-    table.set_leaving(EngineId(0), LeavingSource::Platform, true);
-    table.set_leaving(EngineId(0), LeavingSource::Settings, true);
+    table.set_leaving(EngineId(0), DepartureSource::Platform, true);
+    table.set_leaving(EngineId(0), DepartureSource::Settings, true);
     assert_eq!(route(&table, &[holder(0, 38)], 1).map_err(|r| r.code), Err(RefusalCode::NoEngine));
-    table.set_leaving(EngineId(0), LeavingSource::Settings, false);
+    table.set_leaving(EngineId(0), DepartureSource::Settings, false);
     assert!(route(&table, &[holder(0, 38)], 1).is_err());
-    table.set_leaving(EngineId(0), LeavingSource::Platform, false);
+    table.set_leaving(EngineId(0), DepartureSource::Platform, false);
     assert!(route(&table, &[holder(0, 38)], 1).is_ok());
     let leaving = juniper_routing::EngineLoad { leaving: true, ..idle_load(EngineId(0)) };
     table.report(EngineId(0), &leaving, NOW);
