--- a/crates/lab/src/experiment/juniper.rs
+++ b/crates/lab/src/experiment/juniper.rs
@@ -101,7 +101,7 @@
             .map_err(|refusal| Refused { retry_after: refusal.retry_after })?;
         let work = DispatchedWork {
             prompt_tokens: job.prompt_tokens,
-            missed_tokens: request.missed_tokens(decision.expected_blocks),
+            prefill_tokens: request.prefill_tokens(decision.expected_blocks),
         };
         let id = DispatchId(question.attempt.0);
         table.dispatched(decision.engine, id, work, now);
--- a/crates/lab/src/prove/decisions/router.rs
+++ b/crates/lab/src/prove/decisions/router.rs
@@ -55,8 +55,8 @@
             weights: CostWeights { latency: 1.0, waste: 1.0 },
         };
         let decision = decide(&self.table, &holders, &question, now, random).ok()?;
-        let missed_tokens = question.missed_tokens(decision.expected_blocks);
-        let work = DispatchedWork { prompt_tokens: request.prompt_tokens, missed_tokens };
+        let prefill_tokens = question.prefill_tokens(decision.expected_blocks);
+        let work = DispatchedWork { prompt_tokens: request.prompt_tokens, prefill_tokens };
         let id = dispatch_id(request.id);
         self.table.dispatched(decision.engine, id, work, now);
         if let Some(incarnation) = decision.incarnation {
--- a/crates/router/src/engines.rs
+++ b/crates/router/src/engines.rs
@@ -218,7 +218,7 @@
         let decision = decide(table, &holders, &request, now, random)?;
         let work = DispatchedWork {
             prompt_tokens: plan.blocks.tokens,
-            missed_tokens: request.missed_tokens(decision.expected_blocks),
+            prefill_tokens: request.prefill_tokens(decision.expected_blocks),
         };
         let id = DispatchId(self.next_dispatch.fetch_add(1, Ordering::Relaxed));
         table.dispatched(decision.engine, id, work, now);
--- a/crates/routing/examples/decision_time.rs
+++ b/crates/routing/examples/decision_time.rs
@@ -123,8 +123,8 @@
         let decision = decide(&table, &holders, &request, now, random);
         nanos.push(started.elapsed().as_nanos() as u64);
         if let Ok(decision) = decision {
-            let missed_tokens = request.missed_tokens(decision.expected_blocks);
-            let work = DispatchedWork { prompt_tokens: PROMPT_TOKENS, missed_tokens };
+            let prefill_tokens = request.prefill_tokens(decision.expected_blocks);
+            let work = DispatchedWork { prompt_tokens: PROMPT_TOKENS, prefill_tokens };
             let id = DispatchId(number as u64);
             table.dispatched(decision.engine, id, work, now);
             table.finished(decision.engine, DispatchId(number.saturating_sub(500) as u64), now);
--- a/crates/routing/src/engine.rs
+++ b/crates/routing/src/engine.rs
@@ -66,7 +66,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OwnWorkMeans {
     /// Prefill tokens of a request.
-    pub(crate) missed_tokens: f64,
+    pub(crate) prefill_tokens: f64,
     /// Share of a prompt's tokens that miss the cache.
     pub(crate) prefill_share_of_prompt: f64,
     /// Share of an attempt's time before its first token.
@@ -81,7 +81,7 @@
 impl Default for OwnWorkMeans {
     fn default() -> Self {
         OwnWorkMeans {
-            missed_tokens: 500.0,
+            prefill_tokens: 500.0,
             prefill_share_of_prompt: 0.5,
             prefill_share: 0.2,
             residence_us: 2_000_000.0,
@@ -96,8 +96,8 @@
 impl OwnWorkMeans {
     pub(crate) fn record_dispatch(&mut self, work: DispatchedWork) {
         let prompt = f64::from(work.prompt_tokens.max(1));
-        update_mean(&mut self.missed_tokens, f64::from(work.missed_tokens));
-        update_mean(&mut self.prefill_share_of_prompt, f64::from(work.missed_tokens) / prompt);
+        update_mean(&mut self.prefill_tokens, f64::from(work.prefill_tokens));
+        update_mean(&mut self.prefill_share_of_prompt, f64::from(work.prefill_tokens) / prompt);
     }
 
     pub(crate) fn record_end(&mut self, dispatch: &Dispatch, now: Timestamp) {
@@ -117,7 +117,7 @@
 pub(crate) struct Dispatch {
     pub(crate) id: DispatchId,
     pub(crate) at: Timestamp,
-    pub(crate) missed_tokens: u32,
+    pub(crate) prefill_tokens: u32,
     pub(crate) first_token_at: Option<Timestamp>,
 }
 
@@ -253,7 +253,7 @@
     /// Prefill tokens of this router's attempts without a first token.
     pub(crate) fn own_pending_tokens(&self) -> u64 {
         let pending = self.dispatches.iter().filter(|dispatch| dispatch.first_token_at.is_none());
-        pending.map(|dispatch| u64::from(dispatch.missed_tokens)).sum()
+        pending.map(|dispatch| u64::from(dispatch.prefill_tokens)).sum()
     }
 
     /// Pending work of other routers at the last report, in microseconds. Requests
@@ -268,7 +268,7 @@
         let in_engine = f64::from(reported.running) + f64::from(reported.waiting);
         let others_share = ((in_engine - own_reported) / in_engine.max(1.0)).clamp(0.0, 1.0);
         let prefilling = f64::from(reported.running) * own.prefill_share;
-        let running_tokens = prefilling * own.missed_tokens / 2.0;
+        let running_tokens = prefilling * own.prefill_tokens / 2.0;
         let waiting_tokens = reported.waiting_prompt_tokens as f64 * own.prefill_share_of_prompt;
         others_share * (running_tokens + waiting_tokens) * model.token_us
     }
--- a/crates/routing/src/request.rs
+++ b/crates/routing/src/request.rs
@@ -31,7 +31,7 @@
     /// Number of tokens of the prompt.
     pub prompt_tokens: u32,
     /// Tokens of the prompt that the engine is expected to compute.
-    pub missed_tokens: u32,
+    pub prefill_tokens: u32,
 }
 
 impl From<DispatchId> for PredictionSource {
@@ -85,7 +85,7 @@
 
     /// Prefill tokens with `cached_blocks` leading blocks cached; at least one,
     /// because the last token is always computed.
-    pub fn missed_tokens(&self, cached_blocks: u32) -> u32 {
+    pub fn prefill_tokens(&self, cached_blocks: u32) -> u32 {
         let max_cached_blocks = self.tokens.saturating_sub(1) / BLOCK_TOKENS;
         let cached = PromptBlocks::tokens_in(cached_blocks.min(max_cached_blocks) as usize);
         self.tokens.saturating_sub(cached)
--- a/crates/routing/src/search.rs
+++ b/crates/routing/src/search.rs
@@ -275,13 +275,13 @@
 
 impl Work {
     fn lowest_cost(model: &CostModel, request: &RouteRequest<'_>, blocks: u32) -> Work {
-        let compute_us = f64::from(request.missed_tokens(blocks)) * model.token_us;
+        let compute_us = f64::from(request.prefill_tokens(blocks)) * model.token_us;
         let computed = Work { compute_us, import_us: 0.0, import_blocks: 0 };
         let imported = request.importable_blocks.saturating_sub(blocks);
         if imported == 0 {
             return computed;
         }
-        let remaining_us = f64::from(request.missed_tokens(blocks + imported)) * model.token_us;
+        let remaining_us = f64::from(request.prefill_tokens(blocks + imported)) * model.token_us;
         let import_us = f64::from(imported) * model.import_block_us;
         if remaining_us + import_us >= compute_us {
             return computed;
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -149,10 +149,10 @@
         let Some(position) = self.index(engine) else {
             return;
         };
-        let missed_tokens = work.missed_tokens;
-        let work_us = f64::from(missed_tokens) * self.model.token_us;
+        let prefill_tokens = work.prefill_tokens;
+        let work_us = f64::from(prefill_tokens) * self.model.token_us;
         let known = &mut self.engines[position];
-        known.add_dispatch(Dispatch { id, at: now, missed_tokens, first_token_at: None });
+        known.add_dispatch(Dispatch { id, at: now, prefill_tokens, first_token_at: None });
         known.rate.add(work_us, now);
         let estimate = &mut self.estimates[position];
         estimate.add_work(work_us, now);
--- a/crates/routing/tests/decide.rs
+++ b/crates/routing/tests/decide.rs
@@ -38,10 +38,15 @@
     }
 }
 
-fn dispatch_attempts(table: &mut EngineTable, engine: EngineId, attempts: u64, missed_tokens: u32) {
+fn dispatch_attempts(
+    table: &mut EngineTable,
+    engine: EngineId,
+    attempts: u64,
+    prefill_tokens: u32,
+) {
     for attempt in 0..attempts {
         let id = DispatchId(u64::from(engine.0) << 32 | attempt);
-        let work = DispatchedWork { prompt_tokens: TOKENS, missed_tokens };
+        let work = DispatchedWork { prompt_tokens: TOKENS, prefill_tokens };
         table.dispatched(engine, id, work, NOW);
     }
 }
@@ -240,7 +245,7 @@
 fn request_waits_for_the_attempt_that_computes_its_prefix() {
     let mut table = table(2, NOW);
     let computing = DispatchId(8);
-    let work = DispatchedWork { prompt_tokens: TOKENS, missed_tokens: TOKENS };
+    let work = DispatchedWork { prompt_tokens: TOKENS, prefill_tokens: TOKENS };
     table.dispatched(EngineId(1), computing, work, NOW);
     let predicted = Holder { predicted: 38, computed_by: Some(computing.into()), ..holder(1, 38) };
     let decision = route(&table, &[predicted], 1).expect("routed");
