--- a/crates/router/src/sharing/rounds.rs
+++ b/crates/router/src/sharing/rounds.rs
@@ -68,7 +68,7 @@
         };
         let mut state = self.lock();
         match reply {
-            Some(Reply::Shared { in_doubt }) => state.sharing.in_doubt(to, &in_doubt),
+            Some(Reply::Shared { in_doubt }) => state.sharing.request_resyncs(to, &in_doubt),
             _ => {
                 log::debug!("event=news_not_delivered peer={}", to.node);
                 state.sharing.delivery_failed(to);
--- a/crates/sharing/src/sharing.rs
+++ b/crates/sharing/src/sharing.rs
@@ -227,7 +227,7 @@
     }
 
     /// Schedules resyncs of the engines whose stream has a gap at `owner`.
-    pub fn in_doubt(&mut self, owner: RouterIncarnation, engines: &[EngineId]) {
+    pub fn request_resyncs(&mut self, owner: RouterIncarnation, engines: &[EngineId]) {
         for engine in engines {
             self.publisher.request_resync(owner, *engine);
         }
--- a/crates/sharing/tests/sharing.rs
+++ b/crates/sharing/tests/sharing.rs
@@ -71,7 +71,7 @@
                     continue;
                 }
                 let in_doubt = self.router_mut(to).receive(sender, &message).unwrap();
-                self.router_mut(sender).in_doubt(to, &in_doubt);
+                self.router_mut(sender).request_resyncs(to, &in_doubt);
             }
         }
     }
