--- a/crates/lab/src/experiment/tuning.rs
+++ b/crates/lab/src/experiment/tuning.rs
@@ -26,7 +26,7 @@
         "max_queue_us" => |model| &mut model.max_queue_us,
         "max_queue_share" => |model| &mut model.max_queue_share,
         "room_factor" => |model| &mut model.room_factor,
-        "calm_queue_us" => |model| &mut model.calm_queue_us,
+        "calm_queue_us" => |model| &mut model.short_queue_us,
         "waste_factor" => |model| &mut model.waste_factor,
         "congestion_factor" => |model| &mut model.congestion_factor,
         "pressure_factor" => |model| &mut model.pressure_factor,
--- a/crates/routing/src/cost.rs
+++ b/crates/routing/src/cost.rs
@@ -28,7 +28,7 @@
     pub room_factor: f64,
     /// Maximum queue of an engine that may take a request whose cheapest engine is
     /// too late or full.
-    pub calm_queue_us: f64,
+    pub short_queue_us: f64,
     /// Cost of one microsecond of prefill relative to one microsecond of latency,
     /// at neutral weights: prefill keeps the engine from other work.
     pub waste_factor: f64,
@@ -50,7 +50,7 @@
             max_queue_us: 2_500_000.0,
             max_queue_share: 0.75,
             room_factor: 2.0,
-            calm_queue_us: 100_000.0,
+            short_queue_us: 100_000.0,
             waste_factor: 1.0,
             congestion_factor: 1.0,
             pressure_factor: 1.0,
@@ -66,7 +66,7 @@
     /// Part of a queue, in microseconds, that has to drain before a request with
     /// a maximum queue of `max_queue_us` fits; zero or negative if it fits now.
     pub(crate) fn excess_queue_us(&self, terms: &CostTerms, max_queue_us: f64) -> f64 {
-        let over_short_queue = terms.queue_us - self.calm_queue_us;
+        let over_short_queue = terms.queue_us - self.short_queue_us;
         let over_room = terms.queue_us + self.room_factor * terms.compute_us - max_queue_us;
         over_short_queue.min(over_room)
     }
@@ -182,7 +182,7 @@
     by_queue: f32,
     max_queue_us: f32,
     timely_us: f32,
-    calm_queue_us: f32,
+    short_queue_us: f32,
 }
 
 impl CostFunction {
@@ -203,9 +203,9 @@
             fixed_cost: (weights.latency * own_us + waste) as f32,
             latency: weights.latency as f32,
             by_queue: (weights.latency * (1.0 + congestion)) as f32,
-            max_queue_us: max_queue_us.max(model.calm_queue_us) as f32,
+            max_queue_us: max_queue_us.max(model.short_queue_us) as f32,
             timely_us: (bounds.within_us - own_us) as f32,
-            calm_queue_us: model.calm_queue_us as f32,
+            short_queue_us: model.short_queue_us as f32,
         }
     }
 
@@ -215,7 +215,7 @@
         // Branchless, because the results are hard to predict for the processor.
         let has_room = queue_us <= self.max_queue_us;
         let is_timely = has_room & (queue_us + transfer_us <= self.timely_us);
-        let has_short_queue = is_timely & (queue_us <= self.calm_queue_us);
+        let has_short_queue = is_timely & (queue_us <= self.short_queue_us);
         Score { cost, fit: Fit(u8::from(is_timely) + u8::from(has_short_queue)) }
     }
 }
