--- a/crates/lab/src/experiment/juniper.rs
+++ b/crates/lab/src/experiment/juniper.rs
@@ -112,9 +112,9 @@
             engine: decision.engine.0 as usize,
             incarnation: decision.incarnation,
             expected_blocks: decision.expected_blocks,
-            wait: decision.wait.map(|PrefixWait { dispatch, at_most }| Wait {
+            wait: decision.wait.map(|PrefixWait { dispatch, max_wait }| Wait {
                 attempt: AttemptId(dispatch.0),
-                at_most,
+                at_most: max_wait,
             }),
         })
     }
--- a/crates/router/src/engines.rs
+++ b/crates/router/src/engines.rs
@@ -99,7 +99,7 @@
     /// False when the engine has gone out of use meanwhile: a leaving engine gets
     /// no work that was chosen for it earlier.
     pub async fn wait_for_prefix(&self) -> bool {
-        let Some(PrefixWait { dispatch, at_most }) = self.decision.wait else {
+        let Some(PrefixWait { dispatch, max_wait }) = self.decision.wait else {
             return true;
         };
         let computed = async {
@@ -114,7 +114,7 @@
             }
         };
         // Sent after the time limit, the request computes the prefix itself.
-        let _ = timeout(at_most, computed).await;
+        let _ = timeout(max_wait, computed).await;
         self.engines.lock().table.is_usable(self.decision.engine)
     }
 }
--- a/crates/routing/src/decide.rs
+++ b/crates/routing/src/decide.rs
@@ -66,7 +66,7 @@
     /// attempt's first token or with its end.
     pub dispatch: DispatchId,
     /// Maximum time to wait.
-    pub at_most: Duration,
+    pub max_wait: Duration,
 }
 
 /// Routing decision for one request.
--- a/crates/routing/src/search.rs
+++ b/crates/routing/src/search.rs
@@ -246,8 +246,8 @@
             return None;
         }
         let queue = Duration::from_micros(chosen.terms.queue_us as u64);
-        let at_most = (queue * 2 + WAIT_SLACK).min(self.request.first_token_within / 2);
-        Some(PrefixWait { dispatch, at_most })
+        let max_wait = (queue * 2 + WAIT_SLACK).min(self.request.first_token_within / 2);
+        Some(PrefixWait { dispatch, max_wait })
     }
 
     /// Refusal with the time after which the queue has room and the first token
--- a/crates/routing/tests/decide.rs
+++ b/crates/routing/tests/decide.rs
@@ -251,7 +251,7 @@
     let decision = route(&table, &[predicted], 1).expect("routed");
     assert_eq!(decision.engine, EngineId(1));
     assert_eq!(decision.wait.map(|wait| wait.dispatch), Some(computing));
-    assert!(decision.wait.is_some_and(|wait| wait.at_most <= Duration::from_secs(5)));
+    assert!(decision.wait.is_some_and(|wait| wait.max_wait <= Duration::from_secs(5)));
 
     table.first_token(EngineId(1), computing, NOW);
     assert_eq!(route(&table, &[predicted], 1).expect("routed").wait, None);
