--- a/crates/lab/src/experiment/juniper.rs
+++ b/crates/lab/src/experiment/juniper.rs
@@ -104,7 +104,7 @@
             prefill_tokens: request.prefill_tokens(decision.expected_blocks),
         };
         let id = DispatchId(question.attempt.0);
-        table.dispatched(decision.engine, id, work, now);
+        table.record_dispatch(decision.engine, id, work, now);
         if let Some(incarnation) = decision.incarnation {
             index.predict(decision.engine, incarnation, &job.blocks, id.into(), now);
         }
--- a/crates/lab/src/prove/decisions/router.rs
+++ b/crates/lab/src/prove/decisions/router.rs
@@ -58,7 +58,7 @@
         let prefill_tokens = question.prefill_tokens(decision.expected_blocks);
         let work = DispatchedWork { prompt_tokens: request.prompt_tokens, prefill_tokens };
         let id = dispatch_id(request.id);
-        self.table.dispatched(decision.engine, id, work, now);
+        self.table.record_dispatch(decision.engine, id, work, now);
         if let Some(incarnation) = decision.incarnation {
             self.index.predict(decision.engine, incarnation, &request.blocks, id.into(), now);
         }
--- a/crates/router/src/engines.rs
+++ b/crates/router/src/engines.rs
@@ -221,7 +221,7 @@
             prefill_tokens: request.prefill_tokens(decision.expected_blocks),
         };
         let id = DispatchId(self.next_dispatch.fetch_add(1, Ordering::Relaxed));
-        table.dispatched(decision.engine, id, work, now);
+        table.record_dispatch(decision.engine, id, work, now);
         if let Some(incarnation) = decision.incarnation {
             index.predict(decision.engine, incarnation, &plan.blocks.hashes, id.into(), now);
         }
--- a/crates/routing/examples/decision_time.rs
+++ b/crates/routing/examples/decision_time.rs
@@ -126,7 +126,7 @@
             let prefill_tokens = request.prefill_tokens(decision.expected_blocks);
             let work = DispatchedWork { prompt_tokens: PROMPT_TOKENS, prefill_tokens };
             let id = DispatchId(number as u64);
-            table.dispatched(decision.engine, id, work, now);
+            table.record_dispatch(decision.engine, id, work, now);
             table.finished(decision.engine, DispatchId(number.saturating_sub(500) as u64), now);
         }
         let reporting = number as u32 % engines;
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -138,7 +138,7 @@
     }
 
     /// Records an attempt dispatched to an engine.
-    pub fn dispatched(
+    pub fn record_dispatch(
         &mut self,
         engine: EngineId,
         id: DispatchId,
--- a/crates/routing/tests/decide.rs
+++ b/crates/routing/tests/decide.rs
@@ -47,7 +47,7 @@
     for attempt in 0..attempts {
         let id = DispatchId(u64::from(engine.0) << 32 | attempt);
         let work = DispatchedWork { prompt_tokens: TOKENS, prefill_tokens };
-        table.dispatched(engine, id, work, NOW);
+        table.record_dispatch(engine, id, work, NOW);
     }
 }
 
@@ -246,7 +246,7 @@
     let mut table = table(2, NOW);
     let computing = DispatchId(8);
     let work = DispatchedWork { prompt_tokens: TOKENS, prefill_tokens: TOKENS };
-    table.dispatched(EngineId(1), computing, work, NOW);
+    table.record_dispatch(EngineId(1), computing, work, NOW);
     let predicted = Holder { predicted: 38, computed_by: Some(computing.into()), ..holder(1, 38) };
     let decision = route(&table, &[predicted], 1).expect("routed");
     assert_eq!(decision.engine, EngineId(1));
