--- a/crates/lab/src/experiment/juniper.rs
+++ b/crates/lab/src/experiment/juniper.rs
@@ -157,7 +157,7 @@
     }
 
     fn finished(&mut self, router: usize, engine: usize, attempt: AttemptId, now: Timestamp) {
-        self.routers[router].table.finished(engine_id(engine), DispatchId(attempt.0), now);
+        self.routers[router].table.record_end(engine_id(engine), DispatchId(attempt.0), now);
     }
 
     fn restart(&mut self) {
--- a/crates/lab/src/prove/decisions/router.rs
+++ b/crates/lab/src/prove/decisions/router.rs
@@ -72,7 +72,7 @@
     }
 
     pub(super) fn finished(&mut self, engine: usize, id: RequestId, now: Timestamp) {
-        self.table.finished(engine_id(engine), dispatch_id(id), now);
+        self.table.record_end(engine_id(engine), dispatch_id(id), now);
     }
 
     pub(super) fn platform_says(&mut self, engine: usize, leaving: bool) {
--- a/crates/router/src/engines.rs
+++ b/crates/router/src/engines.rs
@@ -122,7 +122,7 @@
 impl Drop for Dispatch {
     fn drop(&mut self) {
         let now = self.engines.now();
-        self.engines.lock().table.finished(self.decision.engine, self.id, now);
+        self.engines.lock().table.record_end(self.decision.engine, self.id, now);
         self.engines.progress.notify_waiters();
     }
 }
--- a/crates/routing/examples/decision_time.rs
+++ b/crates/routing/examples/decision_time.rs
@@ -127,7 +127,7 @@
             let work = DispatchedWork { prompt_tokens: PROMPT_TOKENS, prefill_tokens };
             let id = DispatchId(number as u64);
             table.record_dispatch(decision.engine, id, work, now);
-            table.finished(decision.engine, DispatchId(number.saturating_sub(500) as u64), now);
+            table.record_end(decision.engine, DispatchId(number.saturating_sub(500) as u64), now);
         }
         let reporting = number as u32 % engines;
         table.report(EngineId(reporting), &load(reporting, &serving, random), now);
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -171,7 +171,7 @@
     }
 
     /// Removes an attempt that completed or failed.
-    pub fn finished(&mut self, engine: EngineId, id: DispatchId, now: Timestamp) {
+    pub fn record_end(&mut self, engine: EngineId, id: DispatchId, now: Timestamp) {
         let Some(position) = self.index(engine) else {
             return;
         };
--- a/crates/routing/tests/decide.rs
+++ b/crates/routing/tests/decide.rs
@@ -281,7 +281,7 @@
     let three_prompts = f64::from(3 * TOKENS) * token_us + busy_start_us;
     assert_eq!(view.queue, Duration::from_micros(three_prompts as u64));
     for attempt in 0..4 {
-        table.finished(EngineId(0), DispatchId(attempt), later);
+        table.record_end(EngineId(0), DispatchId(attempt), later);
     }
     let view = table.view(EngineId(0), later).expect("known");
     assert_eq!((view.queue, view.own_in_flight), (Duration::ZERO, 0));
