--- a/crates/lab/src/experiment/juniper.rs
+++ b/crates/lab/src/experiment/juniper.rs
@@ -153,7 +153,11 @@
     }
 
     fn first_token(&mut self, router: usize, engine: usize, attempt: AttemptId, now: Timestamp) {
-        self.routers[router].table.first_token(engine_id(engine), DispatchId(attempt.0), now);
+        self.routers[router].table.record_first_token(
+            engine_id(engine),
+            DispatchId(attempt.0),
+            now,
+        );
     }
 
     fn finished(&mut self, router: usize, engine: usize, attempt: AttemptId, now: Timestamp) {
--- a/crates/lab/src/prove/decisions/router.rs
+++ b/crates/lab/src/prove/decisions/router.rs
@@ -68,7 +68,7 @@
     }
 
     pub(super) fn first_token(&mut self, engine: usize, id: RequestId, now: Timestamp) {
-        self.table.first_token(engine_id(engine), dispatch_id(id), now);
+        self.table.record_first_token(engine_id(engine), dispatch_id(id), now);
     }
 
     pub(super) fn finished(&mut self, engine: usize, id: RequestId, now: Timestamp) {
--- a/crates/router/src/engines.rs
+++ b/crates/router/src/engines.rs
@@ -90,7 +90,7 @@
     /// Notes that the first token arrived.
     pub fn first_token(&self) {
         let now = self.engines.now();
-        self.engines.lock().table.first_token(self.decision.engine, self.id, now);
+        self.engines.lock().table.record_first_token(self.decision.engine, self.id, now);
         self.engines.progress.notify_waiters();
     }
 
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -162,7 +162,7 @@
 
     /// Records the first token of an attempt, which shows that all work ahead of it
     /// is done.
-    pub fn first_token(&mut self, engine: EngineId, id: DispatchId, now: Timestamp) {
+    pub fn record_first_token(&mut self, engine: EngineId, id: DispatchId, now: Timestamp) {
         if let Some(position) = self.index(engine)
             && self.engines[position].record_first_token(id, now)
         {
--- a/crates/routing/tests/decide.rs
+++ b/crates/routing/tests/decide.rs
@@ -253,7 +253,7 @@
     assert_eq!(decision.wait.map(|wait| wait.dispatch), Some(computing));
     assert!(decision.wait.is_some_and(|wait| wait.max_wait <= Duration::from_secs(5)));
 
-    table.first_token(EngineId(1), computing, NOW);
+    table.record_first_token(EngineId(1), computing, NOW);
     assert_eq!(route(&table, &[predicted], 1).expect("routed").wait, None);
     let known = Holder { predicted: 0, computed_by: None, ..predicted };
     assert_eq!(route(&table, &[known], 1).expect("routed").wait, None);
@@ -275,7 +275,7 @@
     let mut table = table(1, NOW);
     dispatch_attempts(&mut table, EngineId(0), 4, 2_600);
     let later = NOW.after(Duration::from_millis(100));
-    table.first_token(EngineId(0), DispatchId(0), later);
+    table.record_first_token(EngineId(0), DispatchId(0), later);
     let view = table.view(EngineId(0), later).expect("known");
     let CostModel { token_us, busy_start_us, .. } = CostModel::default();
     let three_prompts = f64::from(3 * TOKENS) * token_us + busy_start_us;
