--- a/crates/lab/src/experiment/juniper.rs
+++ b/crates/lab/src/experiment/juniper.rs
@@ -121,7 +121,7 @@
 
     fn load(&mut self, router: usize, engine: usize, report: &LoadReport, now: Timestamp) {
         let known = &mut self.routers[router];
-        known.table.report(engine_id(engine), &engine_load(report), now);
+        known.table.apply_load_report(engine_id(engine), &engine_load(report), now);
         // The number of engines is far below the index's limit.
         let _ = known.index.start_incarnation(engine_id(engine), report.incarnation);
     }
--- a/crates/lab/src/prove/decisions/router.rs
+++ b/crates/lab/src/prove/decisions/router.rs
@@ -93,7 +93,7 @@
         let own_word_ignored =
             matches!(self.planted, Some(PlantedFault::DrainIgnored | PlantedFault::OwnWordIgnored));
         load.leaving &= !own_word_ignored;
-        self.table.report(id, &load, now);
+        self.table.apply_load_report(id, &load, now);
         // Four engines are far below the index's limit.
         let _ = self.index.start_incarnation(id, load.incarnation);
     }
--- a/crates/router/src/engines.rs
+++ b/crates/router/src/engines.rs
@@ -250,7 +250,7 @@
     pub fn report(&self, engine: EngineId, load: &EngineLoad) {
         let now = self.now();
         let mut state = self.lock();
-        state.table.report(engine, load, now);
+        state.table.apply_load_report(engine, load, now);
         // A new life voids what is known of the old one, even before its first event.
         if let Err(error) = state.index.start_incarnation(engine, load.incarnation) {
             log::error!("event=index_full engine={engine} reason=\"{error}\"");
--- a/crates/routing/examples/decision_time.rs
+++ b/crates/routing/examples/decision_time.rs
@@ -91,7 +91,7 @@
         let zone = ZoneName::new(format!("zone-{}", engine % ZONES))?;
         table.set_round_trip(&zone, Duration::from_micros(u64::from(engine % ZONES) * 200));
         table.insert(&EngineDescriptor { engine: EngineId(engine), zone });
-        table.report(EngineId(engine), &load(engine, serving, random), Timestamp::ZERO);
+        table.apply_load_report(EngineId(engine), &load(engine, serving, random), Timestamp::ZERO);
     }
     Ok(table)
 }
@@ -130,7 +130,7 @@
             table.record_end(decision.engine, DispatchId(number.saturating_sub(500) as u64), now);
         }
         let reporting = number as u32 % engines;
-        table.report(EngineId(reporting), &load(reporting, &serving, random), now);
+        table.apply_load_report(EngineId(reporting), &load(reporting, &serving, random), now);
     }
     nanos.sort_unstable();
     Ok(nanos)
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -114,7 +114,7 @@
     }
 
     /// Applies a load report.
-    pub fn report(&mut self, engine: EngineId, load: &EngineLoad, now: Timestamp) {
+    pub fn apply_load_report(&mut self, engine: EngineId, load: &EngineLoad, now: Timestamp) {
         let Some(position) = self.index(engine) else {
             return;
         };
--- a/crates/routing/tests/decide.rs
+++ b/crates/routing/tests/decide.rs
@@ -143,7 +143,7 @@
     table.set_leaving(EngineId(0), DepartureSource::Platform, false);
     assert!(route(&table, &[holder(0, 38)], 1).is_ok());
     let leaving = juniper_routing::EngineLoad { leaving: true, ..idle_load(EngineId(0)) };
-    table.report(EngineId(0), &leaving, NOW);
+    table.apply_load_report(EngineId(0), &leaving, NOW);
     assert!(route(&table, &[holder(0, 38)], 1).is_err());
 }
 
@@ -152,7 +152,7 @@
     let mut table = table(2, NOW);
     table.mark_down(EngineId(0));
     assert!((0..50).all(|prompt| route(&table, &[], prompt).expect("routed").engine.0 == 1));
-    table.report(EngineId(0), &idle_load(EngineId(0)), NOW);
+    table.apply_load_report(EngineId(0), &idle_load(EngineId(0)), NOW);
     assert!((0..50).any(|prompt| route(&table, &[], prompt).expect("routed").engine.0 == 0));
 }
 
@@ -237,7 +237,7 @@
         waiting_prompt_tokens: 26_000,
         ..idle_load(EngineId(0))
     };
-    table.report(EngineId(0), &busy, NOW);
+    table.apply_load_report(EngineId(0), &busy, NOW);
     assert!((0..50).all(|prompt| route(&table, &[], prompt).expect("routed").engine.0 == 1));
 }
 
--- a/crates/routing/tests/support/mod.rs
+++ b/crates/routing/tests/support/mod.rs
@@ -56,7 +56,7 @@
     let mut table = EngineTable::new(CostModel::default());
     for engine in (0..engines).map(EngineId) {
         insert(&mut table, engine);
-        table.report(engine, &idle_load(engine), now);
+        table.apply_load_report(engine, &idle_load(engine), now);
     }
     table
 }
