--- a/crates/router/src/sharing/mod.rs
+++ b/crates/router/src/sharing/mod.rs
@@ -173,7 +173,7 @@
             waiting: load.waiting,
             waiting_prompt_tokens: load.waiting_prompt_tokens,
         };
-        self.lock().sharing.load(serving, digest, self.engines.now());
+        self.lock().sharing.record_load(serving, digest, self.engines.now());
     }
 
     /// Passes on cache events of a followed engine.
--- a/crates/sharing/src/sharing.rs
+++ b/crates/sharing/src/sharing.rs
@@ -139,7 +139,7 @@
     }
 
     /// Records a load report of an engine that this router follows.
-    pub fn load(&mut self, serving: ServingDigest, load: LoadDigest, now: Timestamp) {
+    pub fn record_load(&mut self, serving: ServingDigest, load: LoadDigest, now: Timestamp) {
         self.loads.record(serving, load, now);
     }
 
--- a/crates/sharing/tests/sharing.rs
+++ b/crates/sharing/tests/sharing.rs
@@ -235,7 +235,7 @@
     sharing.set_group(Group::new([first, second]));
     let sent = |sharing: &mut Sharing, leaving| {
         let (serving, load) = digests(leaving);
-        sharing.load(serving, load, NOW);
+        sharing.record_load(serving, load, NOW);
         let messages = sharing.flush(NOW).unwrap();
         let message: &ShareMessage = &messages[0].1;
         (message.serving.len(), message.loads.len())
