--- a/crates/router/src/sharing/mod.rs
+++ b/crates/router/src/sharing/mod.rs
@@ -178,7 +178,7 @@
 
     /// Passes on cache events of a followed engine.
     pub fn cache_events(&self, engine: EngineId, life: Incarnation, events: &[CacheEvent]) {
-        self.lock().sharing.cache_events(engine, life, events);
+        self.lock().sharing.apply_cache_events(engine, life, events);
     }
 
     /// Passes on the whole cache of a followed engine.
--- a/crates/sharing/src/sharing.rs
+++ b/crates/sharing/src/sharing.rs
@@ -119,7 +119,7 @@
     }
 
     /// Applies cache events of an engine that this router follows.
-    pub fn cache_events(
+    pub fn apply_cache_events(
         &mut self,
         engine: EngineId,
         incarnation: Incarnation,
--- a/crates/sharing/tests/sharing.rs
+++ b/crates/sharing/tests/sharing.rs
@@ -103,12 +103,20 @@
 fn every_router_finds_blocks_of_an_engine_that_one_follows() {
     let mut zone = Zone::new(&three_routers());
     let blocks = prompt(1, 320);
-    zone.router_mut(router(1, 10)).cache_events(ENGINE, INCARNATION, &[event(1, &blocks, &[])]);
+    zone.router_mut(router(1, 10)).apply_cache_events(
+        ENGINE,
+        INCARNATION,
+        &[event(1, &blocks, &[])],
+    );
     zone.run_rounds();
     for asker in three_routers() {
         assert_eq!(zone.find_holders(asker, &blocks), [(ENGINE, INCARNATION)]);
     }
-    zone.router_mut(router(1, 10)).cache_events(ENGINE, INCARNATION, &[event(2, &[], &blocks)]);
+    zone.router_mut(router(1, 10)).apply_cache_events(
+        ENGINE,
+        INCARNATION,
+        &[event(2, &[], &blocks)],
+    );
     zone.run_rounds();
     assert!(zone.find_holders(router(2, 20), &blocks).is_empty());
 }
@@ -119,10 +127,14 @@
     let mut sharing = Sharing::new(first);
     sharing.set_group(Group::new([first, second, third]));
     // The first message to each owner is a resync; later ones contain changes only.
-    sharing.cache_events(ENGINE, INCARNATION, &[event(1, &prompt(1, 640), &[])]);
+    sharing.apply_cache_events(ENGINE, INCARNATION, &[event(1, &prompt(1, 640), &[])]);
     sharing.flush(NOW).unwrap();
     let blocks = prompt(4, 640);
-    sharing.cache_events(ENGINE, INCARNATION, &[event(2, &blocks, &[]), event(3, &[], &blocks)]);
+    sharing.apply_cache_events(
+        ENGINE,
+        INCARNATION,
+        &[event(2, &blocks, &[]), event(3, &[], &blocks)],
+    );
     let messages = sharing.flush(NOW).unwrap();
     assert_eq!(messages.len(), 2);
     for delta in messages.iter().flat_map(|(_, message)| &message.deltas) {
@@ -137,11 +149,15 @@
         let mut zone = Zone::new(&three_routers());
         let follower = router(1, 10);
         let (first, second, third) = (prompt(1, 160), prompt(2, 160), prompt(3, 160));
-        zone.router_mut(follower).cache_events(ENGINE, INCARNATION, &[event(1, &first, &[])]);
+        zone.router_mut(follower).apply_cache_events(ENGINE, INCARNATION, &[event(1, &first, &[])]);
         zone.run_rounds();
-        zone.router_mut(follower).cache_events(ENGINE, INCARNATION, &[event(2, &second, &first)]);
+        zone.router_mut(follower).apply_cache_events(
+            ENGINE,
+            INCARNATION,
+            &[event(2, &second, &first)],
+        );
         zone.round(|_, _| true, noticed);
-        zone.router_mut(follower).cache_events(ENGINE, INCARNATION, &[event(3, &third, &[])]);
+        zone.router_mut(follower).apply_cache_events(ENGINE, INCARNATION, &[event(3, &third, &[])]);
         zone.run_rounds();
         assert!(zone.find_holders(router(2, 20), &first).is_empty());
         assert_eq!(zone.find_holders(router(3, 30), &second), [(ENGINE, INCARNATION)]);
@@ -154,7 +170,7 @@
     let mut zone = Zone::new(&three_routers());
     let follower = router(1, 10);
     let blocks = prompt(4, 480);
-    zone.router_mut(follower).cache_events(ENGINE, INCARNATION, &[event(1, &blocks, &[])]);
+    zone.router_mut(follower).apply_cache_events(ENGINE, INCARNATION, &[event(1, &blocks, &[])]);
     zone.run_rounds();
     let before = zone.routers.iter().map(|(_, sharing)| sharing.size().owned_keys).sum::<usize>();
     // The third router restarts with an empty shard.
@@ -178,14 +194,14 @@
     let (old, new) = (prompt(5, 320), prompt(6, 320));
     for sequence in 1..20 {
         let blocks = prompt(100 + sequence, 64);
-        zone.router_mut(router(1, 10)).cache_events(
+        zone.router_mut(router(1, 10)).apply_cache_events(
             ENGINE,
             INCARNATION,
             &[event(sequence, &blocks, &[])],
         );
         zone.run_rounds();
     }
-    zone.router_mut(router(1, 10)).cache_events(ENGINE, INCARNATION, &[event(20, &old, &[])]);
+    zone.router_mut(router(1, 10)).apply_cache_events(ENGINE, INCARNATION, &[event(20, &old, &[])]);
     zone.run_rounds();
     zone.router_mut(router(1, 10)).unfollow(ENGINE);
     let snapshot = Snapshot { incarnation: INCARNATION, sequence: 21, blocks: new.clone() };
@@ -199,13 +215,17 @@
 fn entries_of_an_earlier_incarnation_or_unreachable_engine_are_removed() {
     let mut zone = Zone::new(&three_routers());
     let blocks = prompt(7, 320);
-    zone.router_mut(router(1, 10)).cache_events(ENGINE, INCARNATION, &[event(1, &blocks, &[])]);
+    zone.router_mut(router(1, 10)).apply_cache_events(
+        ENGINE,
+        INCARNATION,
+        &[event(1, &blocks, &[])],
+    );
     zone.run_rounds();
-    zone.router_mut(router(1, 10)).cache_events(ENGINE, Incarnation(8), &[]);
+    zone.router_mut(router(1, 10)).apply_cache_events(ENGINE, Incarnation(8), &[]);
     zone.run_rounds();
     assert!(zone.find_holders(router(2, 20), &blocks).is_empty());
     let again = [event(1, &blocks, &[])];
-    zone.router_mut(router(1, 10)).cache_events(ENGINE, Incarnation(8), &again);
+    zone.router_mut(router(1, 10)).apply_cache_events(ENGINE, Incarnation(8), &again);
     zone.run_rounds();
     assert_eq!(zone.find_holders(router(2, 20), &blocks), [(ENGINE, Incarnation(8))]);
     zone.router_mut(router(1, 10)).mark_down(ENGINE);
