--- a/crates/router/src/sharing/mod.rs
+++ b/crates/router/src/sharing/mod.rs
@@ -183,7 +183,7 @@
 
     /// Passes on the whole cache of a followed engine.
     pub fn cache_snapshot(&self, engine: EngineId, snapshot: &Snapshot) {
-        self.lock().sharing.cache_snapshot(engine, snapshot);
+        self.lock().sharing.apply_cache_snapshot(engine, snapshot);
     }
 
     /// Voids what others know of a followed engine's cache.
--- a/crates/sharing/src/sharing.rs
+++ b/crates/sharing/src/sharing.rs
@@ -129,7 +129,7 @@
     }
 
     /// Applies a cache snapshot of an engine that this router follows.
-    pub fn cache_snapshot(&mut self, engine: EngineId, snapshot: &Snapshot) {
+    pub fn apply_cache_snapshot(&mut self, engine: EngineId, snapshot: &Snapshot) {
         self.publisher.replace(engine, snapshot);
     }
 
--- a/crates/sharing/tests/sharing.rs
+++ b/crates/sharing/tests/sharing.rs
@@ -205,7 +205,7 @@
     zone.run_rounds();
     zone.router_mut(router(1, 10)).unfollow(ENGINE);
     let snapshot = Snapshot { incarnation: INCARNATION, sequence: 21, blocks: new.clone() };
-    zone.router_mut(router(2, 20)).cache_snapshot(ENGINE, &snapshot);
+    zone.router_mut(router(2, 20)).apply_cache_snapshot(ENGINE, &snapshot);
     zone.run_rounds();
     assert!(zone.find_holders(router(3, 30), &old).is_empty());
     assert_eq!(zone.find_holders(router(3, 30), &new), [(ENGINE, INCARNATION)]);
