--- a/crates/router/src/sharing/mod.rs
+++ b/crates/router/src/sharing/mod.rs
@@ -188,7 +188,7 @@
 
     /// Voids what others know of a followed engine's cache.
     pub fn void_cache(&self, engine: EngineId) {
-        self.lock().sharing.void_cache(engine);
+        self.lock().sharing.clear_cache(engine);
     }
 
     /// Tells the others that a followed engine doesn't answer.
--- a/crates/sharing/src/sharing.rs
+++ b/crates/sharing/src/sharing.rs
@@ -134,7 +134,7 @@
     }
 
     /// Clears the cache entries of an engine that this router follows.
-    pub fn void_cache(&mut self, engine: EngineId) {
+    pub fn clear_cache(&mut self, engine: EngineId) {
         self.publisher.clear(engine);
     }
 
