--- a/crates/routing/src/cost.rs
+++ b/crates/routing/src/cost.rs
@@ -178,10 +178,10 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CostFunction {
     fixed_cost: f32,
-    latency: f32,
-    by_queue: f32,
-    max_queue_us: f32,
-    timely_us: f32,
+    latency_weight: f32,
+    queue_weight: f32,
+    queue_limit_us: f32,
+    max_start_us: f32,
     short_queue_us: f32,
 }
 
@@ -198,23 +198,24 @@
         let own_us = compute_us + import_us;
         let waste = weights.waste * model.waste_factor * compute_us;
         let congestion = model.congestion_factor * compute_us * ARRIVALS_PER_US;
-        let max_queue_us = bounds.max_queue_us - model.room_factor * compute_us;
+        let queue_limit_us = bounds.max_queue_us - model.room_factor * compute_us;
         CostFunction {
             fixed_cost: (weights.latency * own_us + waste) as f32,
-            latency: weights.latency as f32,
-            by_queue: (weights.latency * (1.0 + congestion)) as f32,
-            max_queue_us: max_queue_us.max(model.short_queue_us) as f32,
-            timely_us: (bounds.within_us - own_us) as f32,
+            latency_weight: weights.latency as f32,
+            queue_weight: (weights.latency * (1.0 + congestion)) as f32,
+            queue_limit_us: queue_limit_us.max(model.short_queue_us) as f32,
+            max_start_us: (bounds.within_us - own_us) as f32,
             short_queue_us: model.short_queue_us as f32,
         }
     }
 
     pub(crate) fn score(&self, queue_us: f32, transfer_us: f32, pressure_us: f32) -> Score {
-        let cost =
-            self.fixed_cost + self.latency * (transfer_us + pressure_us) + self.by_queue * queue_us;
+        let cost = self.fixed_cost
+            + self.latency_weight * (transfer_us + pressure_us)
+            + self.queue_weight * queue_us;
         // Branchless, because the results are hard to predict for the processor.
-        let has_room = queue_us <= self.max_queue_us;
-        let is_timely = has_room & (queue_us + transfer_us <= self.timely_us);
+        let has_room = queue_us <= self.queue_limit_us;
+        let is_timely = has_room & (queue_us + transfer_us <= self.max_start_us);
         let has_short_queue = is_timely & (queue_us <= self.short_queue_us);
         Score { cost, fit: Fit(u8::from(is_timely) + u8::from(has_short_queue)) }
     }
