--- a/crates/lab/src/experiment/juniper.rs
+++ b/crates/lab/src/experiment/juniper.rs
@@ -101,10 +101,10 @@
             .map_err(|refusal| Refused { retry_after: refusal.retry_after })?;
         let work = DispatchedWork {
             prompt_tokens: job.prompt_tokens,
-            missed_tokens: request.missed_tokens(decision.expected_blocks),
+            prefill_tokens: request.prefill_tokens(decision.expected_blocks),
         };
         let id = DispatchId(question.attempt.0);
-        table.dispatched(decision.engine, id, work, now);
+        table.record_dispatch(decision.engine, id, work, now);
         if let Some(incarnation) = decision.incarnation {
             index.predict(decision.engine, incarnation, &job.blocks, id.into(), now);
         }
@@ -112,16 +112,16 @@
             engine: decision.engine.0 as usize,
             incarnation: decision.incarnation,
             expected_blocks: decision.expected_blocks,
-            wait: decision.wait.map(|PrefixWait { dispatch, at_most }| Wait {
+            wait: decision.wait.map(|PrefixWait { dispatch, max_wait }| Wait {
                 attempt: AttemptId(dispatch.0),
-                at_most,
+                at_most: max_wait,
             }),
         })
     }
 
     fn load(&mut self, router: usize, engine: usize, report: &LoadReport, now: Timestamp) {
         let known = &mut self.routers[router];
-        known.table.report(engine_id(engine), &engine_load(report), now);
+        known.table.apply_load_report(engine_id(engine), &engine_load(report), now);
         // The number of engines is far below the index's limit.
         let _ = known.index.start_incarnation(engine_id(engine), report.incarnation);
     }
@@ -153,11 +153,15 @@
     }
 
     fn first_token(&mut self, router: usize, engine: usize, attempt: AttemptId, now: Timestamp) {
-        self.routers[router].table.first_token(engine_id(engine), DispatchId(attempt.0), now);
+        self.routers[router].table.record_first_token(
+            engine_id(engine),
+            DispatchId(attempt.0),
+            now,
+        );
     }
 
     fn finished(&mut self, router: usize, engine: usize, attempt: AttemptId, now: Timestamp) {
-        self.routers[router].table.finished(engine_id(engine), DispatchId(attempt.0), now);
+        self.routers[router].table.record_end(engine_id(engine), DispatchId(attempt.0), now);
     }
 
     fn restart(&mut self) {
--- a/crates/lab/src/prove/decisions/router.rs
+++ b/crates/lab/src/prove/decisions/router.rs
@@ -4,7 +4,7 @@
 
 use juniper_emulators::engine::{Engine, EngineRequest};
 use juniper_prefix_index::{CacheEvent, EventOutcome, PrefixIndex, Snapshot};
-use juniper_routing::drain::LeavingSource;
+use juniper_routing::drain::DepartureSource;
 use juniper_routing::{
     CostModel, CostWeights, Decision, DispatchId, DispatchedWork, EngineDescriptor, EngineTable,
     RouteRequest, ServingKey, decide,
@@ -55,10 +55,10 @@
             weights: CostWeights { latency: 1.0, waste: 1.0 },
         };
         let decision = decide(&self.table, &holders, &question, now, random).ok()?;
-        let missed_tokens = question.missed_tokens(decision.expected_blocks);
-        let work = DispatchedWork { prompt_tokens: request.prompt_tokens, missed_tokens };
+        let prefill_tokens = question.prefill_tokens(decision.expected_blocks);
+        let work = DispatchedWork { prompt_tokens: request.prompt_tokens, prefill_tokens };
         let id = dispatch_id(request.id);
-        self.table.dispatched(decision.engine, id, work, now);
+        self.table.record_dispatch(decision.engine, id, work, now);
         if let Some(incarnation) = decision.incarnation {
             self.index.predict(decision.engine, incarnation, &request.blocks, id.into(), now);
         }
@@ -68,16 +68,16 @@
     }
 
     pub(super) fn first_token(&mut self, engine: usize, id: RequestId, now: Timestamp) {
-        self.table.first_token(engine_id(engine), dispatch_id(id), now);
+        self.table.record_first_token(engine_id(engine), dispatch_id(id), now);
     }
 
     pub(super) fn finished(&mut self, engine: usize, id: RequestId, now: Timestamp) {
-        self.table.finished(engine_id(engine), dispatch_id(id), now);
+        self.table.record_end(engine_id(engine), dispatch_id(id), now);
     }
 
     pub(super) fn platform_says(&mut self, engine: usize, leaving: bool) {
         if self.planted != Some(PlantedFault::DrainIgnored) {
-            self.table.set_leaving(engine_id(engine), LeavingSource::Platform, leaving);
+            self.table.set_leaving(engine_id(engine), DepartureSource::Platform, leaving);
         }
     }
 
@@ -93,7 +93,7 @@
         let own_word_ignored =
             matches!(self.planted, Some(PlantedFault::DrainIgnored | PlantedFault::OwnWordIgnored));
         load.leaving &= !own_word_ignored;
-        self.table.report(id, &load, now);
+        self.table.apply_load_report(id, &load, now);
         // Four engines are far below the index's limit.
         let _ = self.index.start_incarnation(id, load.incarnation);
     }
--- a/crates/router/src/control_plane.rs
+++ b/crates/router/src/control_plane.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use juniper_protocol::Traffic;
-use juniper_sharing::RouterLife;
+use juniper_sharing::RouterIncarnation;
 use juniper_types::Incarnation;
 use kameo::actor::{ActorRef, Spawn};
 use tokio::net::{TcpListener, UdpSocket};
--- a/crates/router/src/engines.rs
+++ b/crates/router/src/engines.rs
@@ -10,8 +10,8 @@
 use std::time::Duration;
 
 use juniper_prefix_index::{CacheEvent, EventOutcome, Holder, PrefixIndex, Snapshot};
-use juniper_routing::drain::LeavingSource;
-use juniper_routing::retry::{RetryBudget, RetryDenied, RetryQuestion};
+use juniper_routing::drain::DepartureSource;
+use juniper_routing::retry::{RetryBudget, RetryContext, RetryDenied};
 use juniper_routing::{
     CostModel, Decision, DispatchId, DispatchedWork, EngineDescriptor, EngineLoad, EngineTable,
     PrefixWait, Refusal, RouteRequest, ServingKey, decide,
@@ -90,7 +90,7 @@
     /// Records the arrival of the first token.
     pub fn record_first_token(&self) {
         let now = self.engines.now();
-        self.engines.lock().table.first_token(self.decision.engine, self.id, now);
+        self.engines.lock().table.record_first_token(self.decision.engine, self.id, now);
         self.engines.progress.notify_waiters();
     }
 
@@ -98,7 +98,7 @@
     /// the time set by the decision. Returns false if the engine became unusable meanwhile, because
     /// a leaving engine must not receive requests that were assigned to it earlier.
     pub async fn wait_for_prefix(&self) -> bool {
-        let Some(PrefixWait { dispatch, at_most }) = self.decision.wait else {
+        let Some(PrefixWait { dispatch, max_wait }) = self.decision.wait else {
             return true;
         };
         let computed = async {
@@ -121,7 +121,7 @@
 impl Drop for Dispatch {
     fn drop(&mut self) {
         let now = self.engines.now();
-        self.engines.lock().table.finished(self.decision.engine, self.id, now);
+        self.engines.lock().table.record_end(self.decision.engine, self.id, now);
         self.engines.progress.notify_waiters();
     }
 }
@@ -221,10 +221,10 @@
         let decision = decide(table, &holders, &request, now, random)?;
         let work = DispatchedWork {
             prompt_tokens: plan.blocks.tokens,
-            missed_tokens: request.missed_tokens(decision.expected_blocks),
+            prefill_tokens: request.prefill_tokens(decision.expected_blocks),
         };
         let id = DispatchId(self.next_dispatch.fetch_add(1, Ordering::Relaxed));
-        table.dispatched(decision.engine, id, work, now);
+        table.record_dispatch(decision.engine, id, work, now);
         if let Some(incarnation) = decision.incarnation {
             index.predict(decision.engine, incarnation, &plan.blocks.hashes, id.into(), now);
         }
--- a/crates/router/src/limits.rs
+++ b/crates/router/src/limits.rs
@@ -5,7 +5,7 @@
 
 use std::sync::{Arc, Mutex, MutexGuard};
 
-use juniper_routing::admission::{Admission, AdmissionQuestion, FleetShare, Ticket};
+use juniper_routing::admission::{Admission, AdmissionRequest, FleetShare, Ticket};
 use juniper_types::Timestamp;
 use tokio::time::Instant;
 
@@ -47,7 +47,7 @@
     /// [`RequestError::Limited`] with the exceeded limit and the retry delay.
     pub fn admit(
         self: &Arc<Self>,
-        question: &AdmissionQuestion<'_>,
+        question: &AdmissionRequest<'_>,
         routers: u32,
     ) -> Result<Admitted, RequestError> {
         let now = self.now();
--- a/crates/router/src/relay/attempt.rs
+++ b/crates/router/src/relay/attempt.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use juniper_routing::drain::LeavingSource;
+use juniper_routing::drain::DepartureSource;
 use juniper_types::RequestId;
 use serde::Deserialize;
 use tokio::time::{Instant, timeout_at};
--- a/crates/router/src/relay/opening.rs
+++ b/crates/router/src/relay/opening.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use juniper_routing::retry::{AttemptOutcome, RetryQuestion};
+use juniper_routing::retry::{AttemptOutcome, RetryContext};
 use juniper_settings::TrafficKind;
 use juniper_types::EngineId;
 use tokio::time::Instant;
--- a/crates/router/src/router_state.rs
+++ b/crates/router/src/router_state.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 
 use juniper_clock::BootInstant;
-use juniper_routing::admission::AdmissionQuestion;
+use juniper_routing::admission::AdmissionRequest;
 use juniper_settings::{CutOffPolicy, EffectiveSettings};
 use tokio::sync::Semaphore;
 use tokio::time::Duration;
@@ -102,7 +102,7 @@
 
     /// Applies the rate and concurrency limits of the tenant and service to a request.
     pub fn admit(&self, in_flight: &mut InFlight, caller: &Caller) -> Result<(), RequestError> {
-        let question = AdmissionQuestion {
+        let question = AdmissionRequest {
             tenant: &caller.home.tenant,
             service: &caller.service,
             settings: &caller.settings,
--- a/crates/router/src/sharing/mod.rs
+++ b/crates/router/src/sharing/mod.rs
@@ -19,8 +19,8 @@
 use juniper_protocol::{ClusterKey, PeerIdentity, Reply, Request, Traffic};
 use juniper_routing::EngineLoad;
 use juniper_sharing::{
-    FollowPlan, Group, LoadDigest, Question, RouterLife, ServingDigest, ShareMessage, Sharing,
-    SharingSize,
+    FollowPlan, Group, LoadDigest, OwnerQuery, RouterIncarnation, ServingDigest, ShareMessage,
+    Sharing, SharingSize,
 };
 use juniper_types::{BlockHash, EngineId, Incarnation};
 
@@ -45,7 +45,7 @@
 
 /// Shares engine state with the routers of the zone.
 pub struct SharingHub {
-    own: RouterLife,
+    own: RouterIncarnation,
     identity: PeerIdentity,
     key: ClusterKey,
     full_follow_engines: usize,
@@ -68,7 +68,7 @@
 impl SharingHub {
     /// Creates a hub without peers.
     pub fn new(
-        own: RouterLife,
+        own: RouterIncarnation,
         config: &RouterConfig,
         engines: Arc<Engines>,
         traffic: &Arc<Traffic>,
@@ -169,7 +169,7 @@
             waiting: load.waiting,
             waiting_prompt_tokens: load.waiting_prompt_tokens,
         };
-        self.lock().sharing.load(serving, digest, self.engines.now());
+        self.lock().sharing.record_load(serving, digest, self.engines.now());
     }
 
     /// Publishes cache events of a followed engine.
@@ -210,7 +210,7 @@
             if !state.shared {
                 return Vec::new();
             }
-            let questions = state.sharing.questions(blocks, self.engines.now());
+            let questions = state.sharing.prefix_query(blocks, self.engines.now());
             let links: Vec<Option<Link>> = questions
                 .remote
                 .iter()
@@ -260,7 +260,7 @@
 
 async fn lookup(
     link: Option<Link>,
-    question: &Question,
+    question: &OwnerQuery,
 ) -> Option<Vec<juniper_prefix_index::coarse::CheckpointHolders>> {
     let request = Request::Lookup { keys: question.keys.clone() };
     match link?.call(request, LOOKUP_TIMEOUT).await {
--- a/crates/router/src/sharing/service.rs
+++ b/crates/router/src/sharing/service.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use juniper_protocol::{Connection, Message, PeerRole, Refusal, Reply, Request, accept};
-use juniper_sharing::RouterLife;
+use juniper_sharing::RouterIncarnation;
 use juniper_types::NodeId;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
--- a/crates/routing/tests/retry.rs
+++ b/crates/routing/tests/retry.rs
@@ -1,15 +1,15 @@
-//! What may be retried, and how often.
+//! Retry policy and retry budget.
 
 use std::time::Duration;
 
 use juniper_routing::retry::{
-    AttemptOutcome, MAX_ATTEMPTS, RetryBudget, RetryDenied, RetryQuestion,
+    AttemptOutcome, MAX_ATTEMPTS, RetryBudget, RetryContext, RetryDenied,
 };
 use juniper_settings::TrafficKind;
 use juniper_types::Timestamp;
 use quickcheck::QuickCheck;
 
-const CHAT: RetryQuestion = RetryQuestion {
+const CHAT: RetryContext = RetryContext {
     kind: TrafficKind::Chat,
     outcome: AttemptOutcome::Unknown,
     resumable: true,
@@ -19,43 +19,46 @@
 };
 
 #[test]
-fn at_most_once_traffic_is_retried_only_if_it_did_not_run() {
+fn at_most_once_request_is_retried_only_if_it_did_not_run() {
     let mut budget = RetryBudget::new(10);
-    let ask = |outcome| RetryQuestion { kind: TrafficKind::AtMostOnce, outcome, ..CHAT };
+    let retry_context = |outcome| RetryContext { kind: TrafficKind::AtMostOnce, outcome, ..CHAT };
     let denied = Err(RetryDenied::NotRepeatable);
-    assert_eq!(budget.decide(&ask(AttemptOutcome::Unknown), Timestamp::ZERO), denied);
-    assert_eq!(budget.decide(&ask(AttemptOutcome::PartlyAnswered), Timestamp::ZERO), denied);
-    assert_eq!(budget.decide(&ask(AttemptOutcome::NotRun), Timestamp::ZERO), Ok(()));
+    assert_eq!(budget.decide(&retry_context(AttemptOutcome::Unknown), Timestamp::ZERO), denied);
+    assert_eq!(
+        budget.decide(&retry_context(AttemptOutcome::PartlyAnswered), Timestamp::ZERO),
+        denied
+    );
+    assert_eq!(budget.decide(&retry_context(AttemptOutcome::NotRun), Timestamp::ZERO), Ok(()));
 }
 
 #[test]
-fn an_answer_that_has_begun_is_only_resumed() {
+fn partial_answer_is_retried_only_if_resumable() {
     let mut budget = RetryBudget::new(10);
-    let begun = RetryQuestion { outcome: AttemptOutcome::PartlyAnswered, ..CHAT };
-    assert_eq!(budget.decide(&begun, Timestamp::ZERO), Ok(()));
-    let unresumable = RetryQuestion { resumable: false, ..begun };
+    let partial = RetryContext { outcome: AttemptOutcome::PartlyAnswered, ..CHAT };
+    assert_eq!(budget.decide(&partial, Timestamp::ZERO), Ok(()));
+    let unresumable = RetryContext { resumable: false, ..partial };
     assert_eq!(budget.decide(&unresumable, Timestamp::ZERO), Err(RetryDenied::NotResumable));
 }
 
 #[test]
 fn attempts_and_time_are_bounded() {
     let mut budget = RetryBudget::new(10);
-    let tried = RetryQuestion { attempts: MAX_ATTEMPTS, ..CHAT };
+    let tried = RetryContext { attempts: MAX_ATTEMPTS, ..CHAT };
     assert_eq!(budget.decide(&tried, Timestamp::ZERO), Err(RetryDenied::Attempts));
-    let late = RetryQuestion { time_left: Duration::from_millis(10), ..CHAT };
+    let late = RetryContext { time_left: Duration::from_millis(10), ..CHAT };
     assert_eq!(budget.decide(&late, Timestamp::ZERO), Err(RetryDenied::Deadline));
 }
 
 #[test]
-fn no_percent_means_no_retry() {
+fn zero_percent_allows_no_retry() {
     let mut budget = RetryBudget::new(0);
     budget.record_request(Timestamp::from_millis(60_000));
-    let asked = budget.decide(&CHAT, Timestamp::from_millis(60_000));
-    assert_eq!(asked, Err(RetryDenied::Budget));
+    let result = budget.decide(&CHAT, Timestamp::from_millis(60_000));
+    assert_eq!(result, Err(RetryDenied::Budget));
 }
 
 #[test]
-fn retries_stay_within_their_share_however_many_attempts_fail() {
+fn retries_stay_within_the_budget() {
     fn holds(percent: u8, requests: u16) -> bool {
         let percent = percent % 31;
         let requests = u32::from(requests % 5_000);
