--- a/crates/storage/src/disk.rs
+++ b/crates/storage/src/disk.rs
@@ -1,18 +1,18 @@
-//! The few file operations that storage needs, so that a simulator can stand in for the disk.
+//! File operations that storage uses, as a trait that a simulated disk can implement.
 
 use std::io;
 
-/// Why a file operation failed.
+/// Error of a file operation.
 #[derive(Debug, thiserror::Error)]
 pub enum DiskError {
     /// The operating system reported an error.
     #[error("{operation} {file}: {source}")]
     Io {
-        /// What was tried.
+        /// Name of the failed operation, such as `create` or `sync`.
         operation: &'static str,
-        /// The file, or `.` for the folder.
+        /// File name, or `.` for the folder.
         file: String,
-        /// The cause.
+        /// Error reported by the operating system.
         source: io::Error,
     },
     /// Another process has the folder open.
@@ -21,7 +21,7 @@
 }
 
 impl DiskError {
-    /// An I/O error with what was tried.
+    /// Creates a [`DiskError::Io`] from a failed operation and its file.
     pub fn io(operation: &'static str, file: &str, source: io::Error) -> Self {
         DiskError::Io { operation, file: file.to_owned(), source }
     }
@@ -29,47 +29,47 @@
 
 /// One flat folder of files.
 ///
-/// What was written is certain to survive a power cut only after `sync` of the
-/// file, and a new, renamed or removed name only after `sync_folder`. Until
-/// then any part of it may be there or not.
+/// Written data is guaranteed to survive a power failure only after `sync` of the
+/// file, and a created, renamed or removed name only after `sync_folder`. Before
+/// that, any part of the change may or may not be on the disk.
 pub trait Disk {
-    /// Takes the folder for this process, until the disk is dropped.
+    /// Locks the folder for this process until the disk is dropped.
     ///
     /// # Errors
-    /// Fails when another process has it or the lock can't be made.
+    /// Fails when another process holds the lock or the lock file can't be created.
     fn lock(&mut self) -> Result<(), DiskError>;
-    /// Names of all files.
+    /// Lists the names of all files.
     ///
     /// # Errors
     /// Fails when the folder can't be read.
     fn list(&mut self) -> Result<Vec<String>, DiskError>;
-    /// The whole content of a file.
+    /// Reads the whole content of a file.
     ///
     /// # Errors
     /// Fails when the file can't be read.
     fn read(&mut self, file: &str) -> Result<Vec<u8>, DiskError>;
-    /// Makes an empty file, or empties an existing one.
+    /// Creates an empty file or truncates an existing one.
     ///
     /// # Errors
-    /// Fails when the file can't be made.
+    /// Fails when the file can't be created.
     fn create(&mut self, file: &str) -> Result<(), DiskError>;
-    /// Writes at an offset; a write at the end makes the file longer.
+    /// Writes `data` at `offset` in bytes, extending the file if needed.
     ///
     /// # Errors
-    /// Fails when not all could be written; some of it may have been.
+    /// Fails when not all of `data` could be written; a part may have been.
     fn write_at(&mut self, file: &str, offset: u64, data: &[u8]) -> Result<(), DiskError>;
-    /// Cuts a file to `length` bytes.
+    /// Truncates a file to `length` bytes.
     ///
     /// # Errors
-    /// Fails when the file can't be cut.
+    /// Fails when the file can't be truncated.
     fn truncate(&mut self, file: &str, length: u64) -> Result<(), DiskError>;
     /// Makes a file's content durable.
     ///
     /// # Errors
-    /// Fails when that isn't certain. What was written may be gone, and a second
-    /// call proves nothing.
+    /// Fails when the sync fails. Written data may be lost, and a successful second
+    /// call doesn't mean that it is durable.
     fn sync(&mut self, file: &str) -> Result<(), DiskError>;
-    /// Renames a file, replacing one that has the new name.
+    /// Renames a file, replacing an existing file of the new name.
     ///
     /// # Errors
     /// Fails when the file can't be renamed.
@@ -79,14 +79,14 @@
     /// # Errors
     /// Fails when the file can't be removed.
     fn remove(&mut self, file: &str) -> Result<(), DiskError>;
-    /// Makes names made, changed and removed durable.
+    /// Makes created, renamed and removed file names durable.
     ///
     /// # Errors
-    /// Fails when that isn't certain.
+    /// Fails when the sync fails.
     fn sync_folder(&mut self) -> Result<(), DiskError>;
-    /// A number that stays with the file and differs in a copy (the inode).
+    /// Returns the file's inode number, which differs in a copy.
     ///
     /// # Errors
-    /// Fails when the file isn't there.
+    /// Fails when the file doesn't exist.
     fn file_number(&mut self, file: &str) -> Result<u64, DiskError>;
 }
--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -1,10 +1,10 @@
-//! What can go wrong with a data folder.
+//! Errors of opening, formatting and writing a data folder.
 
 use juniper_types::NodeId;
 
 use crate::disk::DiskError;
 
-/// Why a data folder can't be opened.
+/// Error when a data folder is opened.
 #[derive(Debug, thiserror::Error)]
 pub enum OpenError {
     /// The folder has not been formatted.
@@ -13,23 +13,23 @@
     /// The folder belongs to another node.
     #[error("the data folder belongs to {found}, not to {expected}")]
     WrongNode {
-        /// Whose folder it is.
+        /// Node that the folder belongs to.
         found: NodeId,
-        /// Whose it should be.
+        /// Node that opened the folder.
         expected: NodeId,
     },
-    /// The folder is a copy of another one, whose replica may be alive and have
-    /// made promises since. It counts as a lost disk.
+    /// The folder is a copy. The replica of the original may still run and have
+    /// voted or acknowledged entries since, so the copy is treated as a lost disk.
     #[error("the data folder is a copy; it has to be wiped and join as a new disk")]
     Copied,
-    /// Something that was synced can't be read back. It counts as a lost disk.
+    /// Synced data can't be read back; the folder is treated as a lost disk.
     #[error("synced data in {file} is damaged at byte {offset}: {kind}")]
     Damaged {
-        /// The file.
+        /// File name.
         file: String,
-        /// Where in the file.
+        /// Offset in the file, in bytes.
         offset: u64,
-        /// What is wrong.
+        /// Kind of damage.
         kind: Damage,
     },
     /// The disk failed.
@@ -37,27 +37,27 @@
     Disk(#[from] DiskError),
 }
 
-/// How synced data is damaged.
+/// Kind of damage to synced data.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Damage {
-    /// A checksum doesn't match, and later data proves that this part was synced.
+    /// A checksum doesn't match in a part that is known to have been synced.
     #[error("wrong checksum")]
     Checksum,
-    /// The file is shorter than what was synced.
+    /// The file is shorter than its synced length.
     #[error("the end is missing")]
     Missing,
-    /// The checksum matches but the content makes no sense.
+    /// The checksum matches but the content is invalid.
     #[error("malformed content")]
     Malformed,
-    /// A file, or entries that no file holds, are missing.
+    /// A segment or a range of log entries is missing.
     #[error("a gap in the log")]
     Gap,
 }
 
-/// Why a folder can't be formatted.
+/// Error when a data folder is formatted.
 #[derive(Debug, thiserror::Error)]
 pub enum FormatError {
-    /// The folder holds a replica's data already.
+    /// The folder already holds the data of a replica.
     #[error("the data folder is in use already")]
     NotEmpty,
     /// The disk failed.
@@ -65,14 +65,14 @@
     Disk(#[from] DiskError),
 }
 
-/// Why data was not made durable.
+/// Error when data is made durable.
 #[derive(Debug, thiserror::Error)]
 pub enum StorageError {
-    /// The disk failed; full disks are among the causes. Nothing more is written.
+    /// The disk failed or is full. No further writes are accepted.
     #[error(transparent)]
     Disk(#[from] DiskError),
-    /// An earlier operation failed. What it left on the disk is unknown, so nothing
-    /// can be acknowledged until the folder is opened anew.
+    /// An earlier operation failed and left the disk in an unknown state. Nothing can
+    /// be acknowledged until the folder is opened again.
     #[error("storage stopped after an earlier failure")]
     Stopped,
 }
--- a/crates/storage/src/folder.rs
+++ b/crates/storage/src/folder.rs
@@ -1,4 +1,4 @@
-//! A real folder, through the standard library.
+//! [`Disk`] implementation on a folder of the file system.
 
 use std::collections::HashMap;
 use std::fs::{self, File, OpenOptions, TryLockError};
@@ -10,62 +10,62 @@
 
 const LOCK_FILE: &str = "lock";
 
-/// Most files kept open; the log writes to two at a time.
+/// Maximum number of cached file handles. The log writes to two files at a time.
 const MAX_OPEN_FILES: usize = 8;
 
-/// A folder on a real disk.
+/// Data folder on a file system.
 #[derive(Debug)]
 pub struct Folder {
     path: PathBuf,
-    open: HashMap<String, File>,
+    open_files: HashMap<String, File>,
     lock: Option<File>,
-    /// Whether the number of a file tells it from a copy.
-    numbers_files: bool,
+    /// Whether inode numbers are stable, so that they distinguish a file from a copy.
+    has_stable_inodes: bool,
 }
 
 impl Folder {
-    /// Uses the folder at `path`, which is made if it isn't there.
+    /// Uses the folder at `path`, creating it if it doesn't exist.
     ///
     /// # Errors
-    /// Fails when the folder can't be made.
+    /// Fails when the folder can't be created.
     pub fn new(path: impl Into<PathBuf>) -> Result<Self, DiskError> {
         let path = path.into();
-        make_durably(&path).map_err(|error| DiskError::io("create", ".", error))?;
-        Ok(Folder { path, open: HashMap::new(), lock: None, numbers_files: true })
+        create_durably(&path).map_err(|error| DiskError::io("create", ".", error))?;
+        Ok(Folder { path, open_files: HashMap::new(), lock: None, has_stable_inodes: true })
     }
 
-    /// On a file system whose numbers of files change by themselves, a copied
-    /// folder can't be told from the original.
+    /// Disables inode numbers, for file systems on which they aren't stable. A copied
+    /// folder is then not detected.
     pub fn without_file_numbers(mut self) -> Self {
-        self.numbers_files = false;
+        self.has_stable_inodes = false;
         self
     }
 
-    /// Where the folder is.
+    /// Path of the folder.
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    fn file(&mut self, name: &str) -> Result<&File, DiskError> {
-        if !self.open.contains_key(name) {
+    fn open_file(&mut self, name: &str) -> Result<&File, DiskError> {
+        if !self.open_files.contains_key(name) {
             let path = self.path.join(name);
             let opened = OpenOptions::new().read(true).write(true).open(path);
-            self.keep_open(name, opened.map_err(|error| DiskError::io("open", name, error))?);
+            self.cache_file(name, opened.map_err(|error| DiskError::io("open", name, error))?);
         }
-        Ok(&self.open[name])
+        Ok(&self.open_files[name])
     }
 
-    fn keep_open(&mut self, name: &str, file: File) {
-        if self.open.len() >= MAX_OPEN_FILES {
-            self.open.clear();
+    fn cache_file(&mut self, name: &str, file: File) {
+        if self.open_files.len() >= MAX_OPEN_FILES {
+            self.open_files.clear();
         }
-        self.open.insert(name.to_owned(), file);
+        self.open_files.insert(name.to_owned(), file);
     }
 }
 
-/// Makes the folder if it isn't there, and syncs its name: after a power cut a
-/// folder that was lost would look like a disk that was never used.
-fn make_durably(path: &Path) -> std::io::Result<()> {
+/// Creates the folder if it doesn't exist and syncs its parent. Without the sync, a
+/// folder lost in a power failure would look like a new, unused disk.
+fn create_durably(path: &Path) -> std::io::Result<()> {
     if path.is_dir() {
         return Ok(());
     }
@@ -112,36 +112,36 @@
     fn create(&mut self, file: &str) -> Result<(), DiskError> {
         let mut options = OpenOptions::new();
         options.read(true).write(true).create(true).truncate(true);
-        let made = options.open(self.path.join(file));
-        let made = made.map_err(|error| DiskError::io("create", file, error))?;
-        self.keep_open(file, made);
+        let created = options.open(self.path.join(file));
+        let created = created.map_err(|error| DiskError::io("create", file, error))?;
+        self.cache_file(file, created);
         Ok(())
     }
 
     fn write_at(&mut self, file: &str, offset: u64, data: &[u8]) -> Result<(), DiskError> {
-        let written = self.file(file)?.write_all_at(data, offset);
+        let written = self.open_file(file)?.write_all_at(data, offset);
         written.map_err(|error| DiskError::io("write", file, error))
     }
 
     fn truncate(&mut self, file: &str, length: u64) -> Result<(), DiskError> {
-        let cut = self.file(file)?.set_len(length);
-        cut.map_err(|error| DiskError::io("truncate", file, error))
+        let truncated = self.open_file(file)?.set_len(length);
+        truncated.map_err(|error| DiskError::io("truncate", file, error))
     }
 
     fn sync(&mut self, file: &str) -> Result<(), DiskError> {
-        let synced = self.file(file)?.sync_data();
+        let synced = self.open_file(file)?.sync_data();
         synced.map_err(|error| DiskError::io("sync", file, error))
     }
 
     fn rename(&mut self, from: &str, to: &str) -> Result<(), DiskError> {
-        self.open.remove(from);
-        self.open.remove(to);
+        self.open_files.remove(from);
+        self.open_files.remove(to);
         fs::rename(self.path.join(from), self.path.join(to))
             .map_err(|error| DiskError::io("rename", from, error))
     }
 
     fn remove(&mut self, file: &str) -> Result<(), DiskError> {
-        self.open.remove(file);
+        self.open_files.remove(file);
         fs::remove_file(self.path.join(file)).map_err(|error| DiskError::io("remove", file, error))
     }
 
@@ -151,7 +151,7 @@
     }
 
     fn file_number(&mut self, file: &str) -> Result<u64, DiskError> {
-        if !self.numbers_files {
+        if !self.has_stable_inodes {
             return Ok(0);
         }
         let metadata = fs::metadata(self.path.join(file));
--- a/crates/storage/src/format.rs
+++ b/crates/storage/src/format.rs
@@ -1,4 +1,4 @@
-//! Makes and empties data folders.
+//! Formatting and wiping of data folders.
 
 use juniper_consensus::{DiskIdentity, Entry, HardState, Membership, Payload, ReplicaId};
 
@@ -9,24 +9,23 @@
 use crate::mark::MarkWriter;
 use crate::segments::segment_name;
 
-/// Term and index of the entry that a new cluster's log starts with.
+/// Term and index of the first entry in the log of a new cluster.
 const FIRST: u64 = 1;
 
-/// A random identity for a new disk.
+/// Generates a random identity for a new disk.
 pub fn new_disk_identity() -> DiskIdentity {
     DiskIdentity::from_random(rand::random())
 }
 
-/// Makes a data folder for a replica.
+/// Formats a data folder for a replica.
 ///
-/// Without `initial` the replica joins a running cluster as a learner. The
-/// replicas of a new cluster all get the same `initial` membership, which holds
-/// them and their disks. This must happen once for a cluster, by an operator's
-/// command: a daemon that founded a cluster on finding its disk empty would do
-/// it again after losing the disk.
+/// Without `initial` the replica joins a running cluster as a learner. All replicas
+/// of a new cluster are given the same `initial` membership, which lists them and
+/// their disks. An operator must do this once per cluster: a daemon that bootstrapped
+/// a cluster whenever its disk is empty would do so again after losing the disk.
 ///
 /// # Errors
-/// Fails when the folder is formatted already or the disk fails.
+/// Fails when the folder is already formatted or the disk fails.
 pub fn format(
     disk: &mut impl Disk,
     id: ReplicaId,
@@ -65,8 +64,8 @@
     }
 }
 
-/// Removes everything from a data folder, its identity first, so that a wipe
-/// which is interrupted leaves a folder that counts as unformatted.
+/// Removes all files of a data folder. The identity is removed first, so that an
+/// interrupted wipe leaves an unformatted folder.
 ///
 /// # Errors
 /// Fails when the folder is in use or the disk fails.
@@ -77,7 +76,7 @@
         disk.remove(IDENTITY_FILE)?;
         disk.sync_folder()?;
     }
-    let rest = files.iter().filter(|file| *file != IDENTITY_FILE && *file != "lock");
-    rest.into_iter().try_for_each(|file| disk.remove(file))?;
+    let remaining = files.iter().filter(|file| *file != IDENTITY_FILE && *file != "lock");
+    remaining.into_iter().try_for_each(|file| disk.remove(file))?;
     disk.sync_folder()
 }
--- a/crates/storage/src/frame.rs
+++ b/crates/storage/src/frame.rs
@@ -1,8 +1,8 @@
-//! Frames: what one sync makes durable, with a checksum and its own place.
+//! Encoding of frames, the units in which the log is written and synced.
 //!
-//! A frame names the segment and the offset that it was written at. It is
-//! written only after everything before it was synced, so a valid frame proves
-//! that whatever stands before it in the segment was durable once.
+//! A frame holds a checksum and the segment and offset that it was written at. A
+//! frame is written only after all earlier data was synced, so a valid frame
+//! implies that everything before it in the segment was durable.
 
 use juniper_consensus::entry::MAX_NUMBER;
 use juniper_consensus::{Entry, HardState, Position};
@@ -12,40 +12,40 @@
 
 const MAGIC: &[u8; 4] = b"JHF1";
 
-/// Magic, length of the body, segment, offset, checksum.
+/// Magic bytes, body length, segment, offset and checksum.
 const HEADER_BYTES: usize = 4 + 4 + 8 + 8 + 4;
-const CHECKSUM_AT: usize = HEADER_BYTES - 4;
+const CHECKSUM_OFFSET: usize = HEADER_BYTES - 4;
 
-/// Content of a frame. Its parts apply in the order of the fields.
+/// Content of a frame. Fields are applied in the order of declaration.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 #[cbor(map)]
 pub(crate) struct Record {
-    /// In the first frame of a segment: the end of the log that the segment
-    /// continues. Whatever earlier segments hold beyond is void.
+    /// End of the log that a segment continues, set in its first frame. Entries of
+    /// earlier segments after this position are discarded.
     #[n(0)]
     pub(crate) continues: Option<Position>,
-    /// A snapshot that stands for the log up to here.
+    /// End of a snapshot that replaces the log up to this position.
     #[n(1)]
     pub(crate) snapshot: Option<Position>,
-    /// Entries; they replace those with the same or a higher index.
+    /// Entries, which replace existing ones with the same or a higher index.
     #[n(2)]
     pub(crate) entries: Vec<Entry>,
-    /// The promises.
+    /// Hard state (epoch, term, vote and commit index).
     #[n(3)]
     pub(crate) hard_state: Option<HardState>,
 }
 
 impl Record {
-    /// Whether every term and index in the record can be counted with.
+    /// Whether every term and index is low enough for arithmetic without overflow.
     pub(crate) fn is_in_bounds(&self) -> bool {
         let entries = self.entries.iter().map(Entry::position);
         let mut positions = entries.chain(self.continues).chain(self.snapshot);
-        let promises = self.hard_state.unwrap_or_default();
-        promises.term <= MAX_NUMBER && positions.all(|position| position.is_in_bounds())
+        let hard_state = self.hard_state.unwrap_or_default();
+        hard_state.term <= MAX_NUMBER && positions.all(|position| position.is_in_bounds())
     }
 }
 
-/// The frame of `record` at a place in a segment.
+/// Encodes the frame of `record` at `offset` in a segment.
 pub(crate) fn encode_frame(segment: u64, offset: u64, record: &Record) -> Vec<u8> {
     let body = encode(record);
     let mut frame = Vec::with_capacity(HEADER_BYTES + body.len());
@@ -66,23 +66,24 @@
     hasher.finalize()
 }
 
-/// The body of the valid frame at `offset`, if there is one.
+/// Returns the body of the frame at `offset`, or `None` if no valid frame starts there.
 pub(crate) fn frame_body(segment: u64, content: &[u8], offset: usize) -> Option<&[u8]> {
     let header = content.get(offset..offset.checked_add(HEADER_BYTES)?)?;
-    let in_place = &header[..4] == MAGIC
+    let matches_location = &header[..4] == MAGIC
         && read_u64(header, 8) == Some(segment)
         && read_u64(header, 16) == Some(offset as u64);
-    if !in_place {
+    if !matches_location {
         return None;
     }
     let length = usize::try_from(read_u32(header, 4)?).ok()?;
     let start = offset + HEADER_BYTES;
     let body = content.get(start..start.checked_add(length)?)?;
-    let valid = read_u32(header, CHECKSUM_AT) == Some(checksum(&header[..CHECKSUM_AT], body));
+    let valid =
+        read_u32(header, CHECKSUM_OFFSET) == Some(checksum(&header[..CHECKSUM_OFFSET], body));
     valid.then_some(body)
 }
 
-/// Bytes that a frame with this body takes.
+/// Length of a frame with this body, in bytes.
 pub(crate) fn frame_length(body: &[u8]) -> usize {
     HEADER_BYTES + body.len()
 }
--- a/crates/storage/src/identity.rs
+++ b/crates/storage/src/identity.rs
@@ -1,4 +1,4 @@
-//! The identity file: whose folder it is, and which disk.
+//! Identity file, which names the node and the disk that a data folder belongs to.
 
 use juniper_consensus::{DiskIdentity, ReplicaId};
 use juniper_types::NodeId;
@@ -8,7 +8,7 @@
 use crate::disk::{Disk, DiskError};
 use crate::error::{Damage, OpenError};
 
-/// Name of the file. It appears last when a folder is formatted.
+/// Name of the identity file, which is created last when a folder is formatted.
 pub(crate) const IDENTITY_FILE: &str = "identity";
 const NEW_IDENTITY_FILE: &str = "identity.new";
 
@@ -19,12 +19,12 @@
     node: NodeId,
     #[n(1)]
     disk: DiskIdentity,
-    /// Number of the identity file itself. A copy of the folder has another one.
+    /// Inode number of the identity file, which differs in a copy of the folder.
     #[n(2)]
     file_number: u64,
 }
 
-/// Writes the identity, durably.
+/// Writes the identity file durably.
 pub(crate) fn write_identity(disk: &mut impl Disk, id: ReplicaId) -> Result<(), DiskError> {
     disk.create(NEW_IDENTITY_FILE)?;
     let file_number = disk.file_number(NEW_IDENTITY_FILE)?;
@@ -37,7 +37,7 @@
     disk.sync_folder()
 }
 
-/// Reads the identity and refuses a copied folder.
+/// Reads the identity file and rejects a copied folder.
 pub(crate) fn read_identity(disk: &mut impl Disk) -> Result<ReplicaId, OpenError> {
     if !disk.list()?.iter().any(|file| file == IDENTITY_FILE) {
         return Err(OpenError::NotFormatted);
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,8 +1,8 @@
 //! Durable log, snapshots and disk identity of a control replica.
 //!
-//! A data folder is made by [`format()`], opened by [`Storage::open`] and written
-//! by [`Storage::save`], which returns only after everything is synced. The
-//! design and the layout of the files are described in `docs/design/storage.md`.
+//! A data folder is created by [`format()`], opened by [`Storage::open`] and written
+//! by [`Storage::save`], which returns only after all data is synced. The design and
+//! the file formats are described in `docs/design/storage.md`.
 
 mod codec;
 pub mod disk;
--- a/crates/storage/src/mark.rs
+++ b/crates/storage/src/mark.rs
@@ -1,25 +1,24 @@
-//! The mark: how far the log is known to have been synced.
+//! Mark of the position up to which the log is known to have been synced.
 //!
-//! It is written after each sync of the log, without a sync of its own, into one
-//! of two slots in turn. Once it can be read, everything before it was durable;
-//! what lies beyond it may or may not have been. Each slot has a disk sector of
-//! its own, which disks write whole or not at all.
+//! The mark is written after each sync of the log, without being synced, to two
+//! slots in turn. Log data before a mark was durable; data after it may not have
+//! been. Each slot has its own disk sector, which disks write atomically.
 
 use crate::codec::{read_u32, read_u64};
 use crate::disk::{Disk, DiskError};
 
-/// Name of the file.
+/// Name of the file that holds the mark.
 pub(crate) const MARK_FILE: &str = "synced";
 
 const SLOT_BYTES: u64 = 512;
 const RECORD_BYTES: usize = 8 + 8 + 4;
 
-/// A place in the log before which everything is durable.
+/// Position in the log before which all data is durable.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Mark {
-    /// The segment.
+    /// Segment number.
     pub(crate) segment: u64,
-    /// Bytes in the segment.
+    /// Offset in the segment, in bytes.
     pub(crate) offset: u64,
 }
 
@@ -41,21 +40,21 @@
     }
 }
 
-/// Writes marks into the two slots in turn.
+/// Writer of marks that alternates between the two slots.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct MarkWriter {
     writes: u64,
 }
 
 impl MarkWriter {
-    /// Makes the file with two empty slots; the caller syncs it.
+    /// Creates the file with two empty slots and syncs its content, but not the folder.
     pub(crate) fn create(disk: &mut impl Disk) -> Result<(), DiskError> {
         disk.create(MARK_FILE)?;
         disk.write_at(MARK_FILE, 0, &[0; 2 * SLOT_BYTES as usize])?;
         disk.sync(MARK_FILE)
     }
 
-    /// Writes `mark`, without syncing it.
+    /// Writes `mark` without a sync.
     pub(crate) fn write(&mut self, disk: &mut impl Disk, mark: Mark) -> Result<(), DiskError> {
         self.writes += 1;
         let slot = self.writes % 2 * SLOT_BYTES;
@@ -63,7 +62,7 @@
     }
 }
 
-/// The latest mark that can be read. No mark at all is no proof of anything, and safe.
+/// Reads the latest valid mark. Without one, no data is taken as synced, which is safe.
 pub(crate) fn read_mark(disk: &mut impl Disk) -> Result<Mark, DiskError> {
     let content = disk.read(MARK_FILE)?;
     let slots = content.chunks(SLOT_BYTES as usize).filter_map(Mark::decode);
--- a/crates/storage/src/recovery.rs
+++ b/crates/storage/src/recovery.rs
@@ -1,9 +1,8 @@
-//! Recovery of a cluster that has lost its quorum for good.
+//! Recovery of a cluster that has permanently lost its quorum.
 //!
-//! An operator inspects the data folders that are left, plans, and applies the
-//! plan to one of them. The chosen replica becomes the only voter of a new
-//! epoch; whatever was left out is fenced off by the epoch and has to be wiped
-//! before its node joins again.
+//! An operator inspects the remaining data folders, makes a plan and applies it to
+//! one of them. The chosen replica becomes the only voter of a new epoch. All other
+//! replicas are fenced off by the epoch and must be wiped before they rejoin.
 
 use juniper_consensus::{
     ClusterEpoch, Entry, HardState, Index, Membership, Payload, Position, ReplicaId, Term, Write,
@@ -18,33 +17,33 @@
 use crate::snapshot;
 use crate::storage::Storage;
 
-/// What a data folder holds.
+/// Summary of the content of a data folder.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FolderReport {
-    /// The replica.
+    /// Replica that the folder belongs to.
     pub id: ReplicaId,
-    /// Its epoch.
+    /// Cluster epoch.
     pub epoch: ClusterEpoch,
-    /// Its term.
+    /// Current term.
     pub term: Term,
-    /// Its last entry. Among folders of one epoch, the highest is the latest state.
+    /// Position of the last entry. In one epoch, the highest marks the latest state.
     pub last: Position,
-    /// An index that it knew to be committed; the true one may be higher.
+    /// Highest index known to be committed; the actual commit index may be higher.
     pub commit: Index,
-    /// End of its snapshot.
+    /// End of the snapshot.
     pub snapshot: Position,
-    /// The latest membership that it knew.
+    /// Latest known membership.
     pub membership: Membership,
 }
 
 impl FolderReport {
-    /// Orders folders by how late their state is.
+    /// Sort key by which the latest state is highest.
     fn rank(&self) -> (u64, Position) {
         (self.epoch.number, self.last)
     }
 }
 
-/// Why a recovery can't be planned or applied.
+/// Error when a recovery is planned or applied.
 #[derive(Debug, thiserror::Error)]
 pub enum RecoveryError {
     /// No folder was given.
@@ -53,7 +52,7 @@
     /// The folders belong to different clusters.
     #[error("the folders of {0} and {1} belong to different clusters")]
     DifferentClusters(ReplicaId, ReplicaId),
-    /// No folder was ever part of a cluster.
+    /// No folder has been part of a cluster.
     #[error("no folder has a membership")]
     NoMembership,
     /// The folder has changed since the plan was made.
@@ -67,22 +66,22 @@
     Storage(#[from] StorageError),
 }
 
-/// What a recovery would do.
+/// Outcome of a recovery, for an operator to confirm.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecoveryPlan {
-    /// The folder with the latest state, which becomes the only voter.
+    /// Folder with the latest state, whose replica becomes the only voter.
     pub chosen: FolderReport,
-    /// Other folders, whose state is given up.
+    /// Other folders, whose state is discarded.
     pub given_up: Vec<FolderReport>,
-    /// Voters of the chosen folder's membership of which no folder was given. If one
-    /// of them held later entries, these are lost.
+    /// Voters of the chosen folder's membership without a given folder. Later entries
+    /// that only they hold are lost.
     pub missing_voters: Vec<ReplicaId>,
-    /// Whether the given folders hold a majority of the voters, so that every
-    /// committed entry is sure to be in the chosen one.
+    /// Whether the given folders are a majority of the voters, which guarantees that the
+    /// chosen one holds every committed entry.
     pub is_complete: bool,
-    /// The epoch that follows.
+    /// Epoch after the recovery.
     pub epoch: ClusterEpoch,
-    /// The membership that follows.
+    /// Membership after the recovery.
     pub membership: Membership,
 }
 
@@ -110,22 +109,23 @@
     })
 }
 
-/// Chooses the folder with the latest state. `token` is a random number.
+/// Makes a plan that keeps the folder with the latest state. `token` is a random
+/// number that makes the new epoch unique.
 ///
 /// # Errors
-/// Fails when there is nothing to choose from.
+/// Fails when no folder has been part of a cluster, or the clusters differ.
 pub fn plan(reports: Vec<FolderReport>, token: u64) -> Result<RecoveryPlan, RecoveryError> {
     let mut reports = reports;
     reports.sort_by_key(|report| std::cmp::Reverse(report.rank()));
     let mut reports = reports.into_iter().filter(|report| report.epoch != ClusterEpoch::NONE);
     let chosen = reports.next().ok_or(RecoveryError::NoFolder)?;
     let given_up: Vec<FolderReport> = reports.collect();
-    let stranger = given_up.iter().find(|other| other.epoch.cluster != chosen.epoch.cluster);
-    if let Some(stranger) = stranger {
-        return Err(RecoveryError::DifferentClusters(chosen.id, stranger.id));
+    let foreign = given_up.iter().find(|other| other.epoch.cluster != chosen.epoch.cluster);
+    if let Some(foreign) = foreign {
+        return Err(RecoveryError::DifferentClusters(chosen.id, foreign.id));
     }
     let epoch = chosen.epoch.recovered(token);
-    let zone = zone_of(&chosen)?;
+    let zone = recovered_zone(&chosen)?;
     let membership = Membership::of_voters(epoch, [(chosen.id, zone)]);
     let given = |id: ReplicaId| id == chosen.id || given_up.iter().any(|other| other.id == id);
     let voters = chosen.membership.voters().map(|member| member.id);
@@ -134,21 +134,21 @@
     Ok(RecoveryPlan { chosen, given_up, missing_voters, is_complete, epoch, membership })
 }
 
-/// The zone of the chosen replica, or that of any member if it isn't in its own
+/// Zone of the chosen replica, or of the first member if the replica isn't in its own
 /// membership yet.
-fn zone_of(chosen: &FolderReport) -> Result<ZoneName, RecoveryError> {
+fn recovered_zone(chosen: &FolderReport) -> Result<ZoneName, RecoveryError> {
     let membership = &chosen.membership;
     let own = membership.get(chosen.id).or_else(|| membership.members.first());
     own.map(|member| member.zone.clone()).ok_or(RecoveryError::NoMembership)
 }
 
-/// Carries out a plan on the chosen folder.
+/// Applies a plan to the chosen folder.
 ///
-/// Everything in its log counts as committed from then on: some of it may have
-/// been, and there is nobody left to ask.
+/// All entries in its log become committed: some of them may have been, and no other
+/// replica remains to find out.
 ///
 /// # Errors
-/// Fails when the folder isn't as it was when the plan was made, or the disk fails.
+/// Fails when the folder has changed since the plan was made, or the disk fails.
 pub fn apply(disk: impl Disk, plan: &RecoveryPlan) -> Result<(), RecoveryError> {
     let node: NodeId = plan.chosen.id.node;
     let (mut storage, restored) = Storage::open(disk, node)?;
--- a/crates/storage/src/replay.rs
+++ b/crates/storage/src/replay.rs
@@ -1,14 +1,14 @@
-//! Rebuilds the log from its records.
+//! Rebuilding of the log from its records.
 
 use juniper_consensus::{Entry, HardState, Index, Position, Snapshot};
 
 use crate::error::Damage;
 use crate::frame::Record;
 
-/// The log as far as it has been read.
+/// Log rebuilt from the records read so far.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Replay {
-    /// End of the latest snapshot file; nothing up to here is needed from the log.
+    /// End of the latest snapshot file. Entries up to this index aren't needed.
     snapshot_index: Index,
     base: Position,
     entries: Vec<Entry>,
@@ -16,23 +16,23 @@
 }
 
 impl Replay {
-    /// An empty log beside the latest snapshot file.
+    /// Creates an empty log next to the latest snapshot file.
     pub(crate) fn new(snapshot: Option<&Snapshot>) -> Self {
         let snapshot_index = snapshot.map_or(0, |snapshot| snapshot.meta.position.index);
         Replay { snapshot_index, ..Replay::default() }
     }
 
-    /// The last entry, or the end of the snapshot that the log starts from.
+    /// Position of the last entry, or of the end of the snapshot if there are no entries.
     pub(crate) fn last(&self) -> Position {
         self.entries.last().map_or(self.base, Entry::position)
     }
 
-    /// The promises read last.
+    /// Hard state of the latest record that has one.
     pub(crate) fn hard_state(&self) -> HardState {
         self.hard_state
     }
 
-    /// The position that the log starts after.
+    /// Position before the first entry of the log.
     pub(crate) fn base(&self) -> Position {
         self.base
     }
@@ -45,9 +45,9 @@
         if let Some(position) = record.continues {
             self.continue_from(position)?;
         }
-        // A snapshot from before the segments that are gone says nothing any more.
+        // A snapshot before the log's base belongs to removed segments.
         if let Some(position) = record.snapshot.filter(|at| at.index >= self.base.index) {
-            self.start_after(position);
+            self.compact_to(position);
         }
         self.append(record.entries)?;
         if let Some(hard_state) = record.hard_state {
@@ -56,12 +56,12 @@
         Ok(())
     }
 
-    /// A segment continues the log at `position`. If that isn't here, the segments
-    /// before were removed, which is right only if a snapshot covers them.
+    /// Continues the log at `position`. If the log doesn't hold that position, earlier
+    /// segments were removed, which is valid only if a snapshot covers them.
     fn continue_from(&mut self, position: Position) -> Result<(), Damage> {
         if self.contains(position) {
-            let keep = self.offset(position.index + 1).unwrap_or(0);
-            self.entries.truncate(keep);
+            let retained = self.offset(position.index + 1).unwrap_or(0);
+            self.entries.truncate(retained);
         } else if position.index <= self.snapshot_index {
             self.entries.clear();
             self.base = position;
@@ -71,12 +71,12 @@
         Ok(())
     }
 
-    /// A snapshot stands for the log up to `position`. Entries after it stay if the
-    /// log holds its end, because then it agrees with the snapshot.
-    fn start_after(&mut self, position: Position) {
+    /// Replaces the log up to `position` by a snapshot. Later entries are retained if
+    /// the log holds `position`, because it then agrees with the snapshot.
+    fn compact_to(&mut self, position: Position) {
         if self.contains(position) {
-            let drop = self.offset(position.index + 1).unwrap_or(0).min(self.entries.len());
-            self.entries.drain(..drop);
+            let covered = self.offset(position.index + 1).unwrap_or(0).min(self.entries.len());
+            self.entries.drain(..covered);
         } else {
             self.entries.clear();
         }
@@ -86,45 +86,45 @@
     fn append(&mut self, entries: Vec<Entry>) -> Result<(), Damage> {
         let Some(first) = entries.first().map(|entry| entry.index) else { return Ok(()) };
         if first <= self.base.index && self.base.index <= self.snapshot_index {
-            self.replace_covered(first);
+            self.restart_before(first);
         }
-        let fits = first > self.base.index && first <= self.last().index + 1;
+        let extends_log = first > self.base.index && first <= self.last().index + 1;
         let consecutive = entries.windows(2).all(|pair| pair[1].index == pair[0].index + 1);
-        if !fits || !consecutive {
+        if !extends_log || !consecutive {
             return Err(Damage::Gap);
         }
-        let keep = self.offset(first).unwrap_or(0);
-        self.entries.truncate(keep);
+        let retained = self.offset(first).unwrap_or(0);
+        self.entries.truncate(retained);
         self.entries.extend(entries);
         Ok(())
     }
 
-    /// Entries from `first` on replace some that were in segments which are gone,
-    /// because a snapshot covers them. The term before `first` is gone with them.
-    fn replace_covered(&mut self, first: Index) {
+    /// Restarts the log before `first`, for entries that replace some of removed segments
+    /// which a snapshot covers. The term of the entry before `first` isn't known.
+    fn restart_before(&mut self, first: Index) {
         self.entries.clear();
         self.base = Position { term: 0, index: first.saturating_sub(1) };
     }
 
-    /// Ends with the latest snapshot file: it may be newer than the last record,
-    /// because it becomes durable before the record that names it.
+    /// Finishes the replay by applying the latest snapshot file, which may be newer than
+    /// the last record because a snapshot becomes durable before its record.
     pub(crate) fn finish(mut self, snapshot: Option<&Snapshot>) -> Result<Replay, Damage> {
         let position = snapshot.map_or(Position::default(), |snapshot| snapshot.meta.position);
         if position.index < self.base.index {
             return Err(Damage::Gap);
         }
         if position != self.base {
-            self.start_after(position);
+            self.compact_to(position);
         }
         Ok(self)
     }
 
-    /// The entries, and the promises.
+    /// Returns the hard state and the entries.
     pub(crate) fn into_parts(self) -> (HardState, Vec<Entry>) {
         (self.hard_state, self.entries)
     }
 
-    /// The position at `index`, if the log holds it.
+    /// Position at `index`, or `None` if the log doesn't hold it.
     fn position(&self, index: Index) -> Option<Position> {
         if index == self.base.index {
             return Some(self.base);
--- a/crates/storage/src/segments.rs
+++ b/crates/storage/src/segments.rs
@@ -1,4 +1,4 @@
-//! Reads the segments of the log and tells a torn tail from damage.
+//! Reading of log segments, which distinguishes a torn write from damage.
 
 use juniper_consensus::{Index, Snapshot};
 
@@ -10,12 +10,12 @@
 
 const PREFIX: &str = "segment-";
 
-/// Name of a segment's file.
+/// File name of a segment.
 pub(crate) fn segment_name(number: u64) -> String {
     format!("{PREFIX}{number:020}")
 }
 
-/// Numbers of the segments among `files`, in order.
+/// Numbers of the segments among `files`, in ascending order.
 pub(crate) fn segment_numbers(files: &[String]) -> Vec<u64> {
     let number = |file: &String| file.strip_prefix(PREFIX)?.parse().ok();
     let mut found: Vec<u64> = files.iter().filter_map(number).collect();
@@ -23,41 +23,41 @@
     found
 }
 
-/// A segment that holds valid frames.
+/// Segment with at least one valid frame.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Segment {
-    /// Its number.
+    /// Segment number.
     pub(crate) number: u64,
-    /// Highest index of an entry in it.
+    /// Highest entry index in the segment.
     pub(crate) highest: Index,
-    /// Bytes of valid frames.
-    pub(crate) valid: u64,
-    /// Bytes in the file.
-    length: u64,
+    /// Length of the valid frames, in bytes.
+    pub(crate) valid_length: u64,
+    /// Length of the file, in bytes.
+    file_length: u64,
 }
 
 impl Segment {
-    /// Whether bytes of an unfinished write follow the valid frames.
+    /// Whether bytes of an incomplete write follow the valid frames.
     pub(crate) fn is_torn(&self) -> bool {
-        self.length > self.valid
+        self.file_length > self.valid_length
     }
 }
 
-/// All segments, read.
+/// Result of reading all segments.
 pub(crate) struct ReadSegments {
-    /// The log.
+    /// Rebuilt log.
     pub(crate) replay: Replay,
-    /// Segments with content, in order.
+    /// Segments with valid frames, in ascending order.
     pub(crate) segments: Vec<Segment>,
-    /// Files that an unfinished write left without content.
+    /// Numbers of segments without a valid frame, left by an incomplete write.
     pub(crate) empty: Vec<u64>,
 }
 
 /// Reads every segment.
 ///
-/// A bad frame is a torn write, to be cut, if nothing shows that it was synced
-/// before: the mark doesn't reach it, and no valid frame or segment follows.
-/// Otherwise synced data is damaged.
+/// An invalid frame is a torn write, to be truncated, if it may never have been synced:
+/// the mark is before it and no valid frame or segment follows. Otherwise synced data is
+/// damaged.
 pub(crate) fn read_segments(
     disk: &mut impl Disk,
     snapshot: Option<&Snapshot>,
@@ -96,21 +96,21 @@
             let malformed = |_| damaged(number, offset as u64, Damage::Malformed);
             let record: Record = minicbor::decode(body).map_err(malformed)?;
             highest = record.entries.last().map_or(highest, |entry| highest.max(entry.index));
-            let gap = |kind| damaged(number, offset as u64, kind);
-            self.replay.apply(record).map_err(gap)?;
+            let inconsistent = |kind| damaged(number, offset as u64, kind);
+            self.replay.apply(record).map_err(inconsistent)?;
             offset += frame_length(body);
         }
-        let (valid, length) = (offset as u64, content.len() as u64);
+        let (valid_length, file_length) = (offset as u64, content.len() as u64);
         check_end(number, content, offset, mark, is_newest)?;
-        match valid {
+        match valid_length {
             0 => self.empty.push(number),
-            _ => self.segments.push(Segment { number, highest, valid, length }),
+            _ => self.segments.push(Segment { number, highest, valid_length, file_length }),
         }
         Ok(())
     }
 }
 
-/// Decides what the end of the valid frames at `offset` means.
+/// Checks whether the valid frames may end at `offset` without a loss of synced data.
 fn check_end(
     number: u64,
     content: &[u8],
@@ -119,13 +119,13 @@
     is_newest: bool,
 ) -> Result<(), OpenError> {
     let at_end = offset == content.len();
-    let proved = number == mark.segment && (offset as u64) < mark.offset;
-    if proved {
+    let is_before_mark = number == mark.segment && (offset as u64) < mark.offset;
+    if is_before_mark {
         let kind = if at_end { Damage::Missing } else { Damage::Checksum };
         return Err(damaged(number, offset as u64, kind));
     }
-    let followed = !is_newest || has_frame_after(number, content, offset);
-    if !at_end && followed {
+    let is_followed = !is_newest || has_frame_after(number, content, offset);
+    if !at_end && is_followed {
         return Err(damaged(number, offset as u64, Damage::Checksum));
     }
     Ok(())
--- a/crates/storage/src/snapshot.rs
+++ b/crates/storage/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshot files. One appears under its name only when its content is durable.
+//! Snapshot files, which get their final name only after their content is durable.
 
 use std::sync::Arc;
 
@@ -11,22 +11,22 @@
 const PREFIX: &str = "snapshot-";
 const NEW_FILE: &str = "snapshot.new";
 
-/// Checksum and length of the meta part.
+/// Checksum and length of the metadata.
 const HEADER_BYTES: usize = 4 + 4;
 
 fn file_name(index: Index) -> String {
     format!("{PREFIX}{index:020}")
 }
 
-/// Indexes of the snapshot files among `files`, in order.
-fn indexes(files: &[String]) -> Vec<Index> {
+/// Indexes of the snapshot files among `files`, in ascending order.
+fn snapshot_indexes(files: &[String]) -> Vec<Index> {
     let index = |file: &String| file.strip_prefix(PREFIX)?.parse().ok();
     let mut found: Vec<Index> = files.iter().filter_map(index).collect();
     found.sort_unstable();
     found
 }
 
-/// Writes a snapshot durably under its name.
+/// Writes a snapshot file durably.
 pub(crate) fn write_snapshot(disk: &mut impl Disk, snapshot: &Snapshot) -> Result<(), DiskError> {
     let meta = encode(&snapshot.meta);
     let mut bytes = vec![0; HEADER_BYTES];
@@ -42,9 +42,9 @@
     disk.sync_folder()
 }
 
-/// Reads the latest snapshot.
+/// Reads the latest snapshot, if there is one.
 pub(crate) fn read_latest(disk: &mut impl Disk) -> Result<Option<Snapshot>, OpenError> {
-    let Some(index) = indexes(&disk.list()?).last().copied() else { return Ok(None) };
+    let Some(index) = snapshot_indexes(&disk.list()?).last().copied() else { return Ok(None) };
     let file = file_name(index);
     let bytes = disk.read(&file)?;
     match decode(&bytes) {
@@ -69,9 +69,9 @@
     Ok(Snapshot { meta, data: Arc::new(bytes[end..].to_vec()) })
 }
 
-/// Removes every snapshot before `index`. Not synced: a leftover does no harm.
+/// Removes all snapshots before `index`. No sync is needed, since a leftover is harmless.
 pub(crate) fn remove_older(disk: &mut impl Disk, index: Index) -> Result<(), DiskError> {
     let files = disk.list()?;
-    let older = indexes(&files).into_iter().filter(|other| *other < index);
+    let older = snapshot_indexes(&files).into_iter().filter(|other| *other < index);
     older.map(file_name).try_for_each(|file| disk.remove(&file))
 }
--- a/crates/storage/src/storage.rs
+++ b/crates/storage/src/storage.rs
@@ -1,4 +1,4 @@
-//! An open data folder.
+//! Open data folder of a replica.
 
 use std::collections::VecDeque;
 
@@ -13,20 +13,20 @@
 use crate::segments::{ReadSegments, Segment, read_segments, segment_name};
 use crate::snapshot;
 
-/// Size beyond which a segment is closed, in bytes.
+/// Size at which a segment is closed, in bytes.
 ///
-/// A segment is the unit in which old entries are deleted and unproved ones are
-/// written again at start; 8 MiB takes well under a second to read.
+/// Old entries are deleted in units of segments. The bound also limits how much is
+/// written again at start, when entries after the mark are rewritten.
 const SEGMENT_BYTES: u64 = 8 << 20;
 
-/// A closed segment.
+/// Segment that is no longer written to.
 #[derive(Clone, Copy, Debug)]
 struct ClosedSegment {
     number: u64,
     highest: Index,
 }
 
-/// The segment that is written to.
+/// Segment that new frames are appended to.
 #[derive(Clone, Copy, Debug, Default)]
 struct OpenSegment {
     number: u64,
@@ -34,7 +34,7 @@
     highest: Index,
 }
 
-/// The data of one replica. One process at a time has it open.
+/// Durable data of one replica, which only one process can have open at a time.
 #[derive(Debug)]
 pub struct Storage<D> {
     disk: D,
@@ -49,11 +49,11 @@
 }
 
 impl<D: Disk> Storage<D> {
-    /// Opens the data folder of `node` and reads what it keeps.
+    /// Opens the data folder of `node` and reads its state.
     ///
     /// # Errors
-    /// Fails when the folder isn't this node's, is a copy, or has lost something
-    /// that was synced. In the last two cases it counts as a lost disk.
+    /// Fails when the folder belongs to another node, is a copy, or has lost synced
+    /// data. In the last two cases it must be treated as a lost disk.
     pub fn open(mut disk: D, node: NodeId) -> Result<(Self, Restored), OpenError> {
         disk.lock()?;
         let id = read_identity(&mut disk)?;
@@ -74,22 +74,22 @@
             mark_is_synced: false,
             stopped: false,
         };
-        storage.start_over(&read, mark)?;
+        storage.resume(&read, mark)?;
         let (hard_state, entries) = read.replay.into_parts();
         Ok((storage, Restored { hard_state, snapshot, entries }))
     }
 
-    /// The replica that the folder belongs to.
+    /// Replica that the folder belongs to.
     pub fn id(&self) -> ReplicaId {
         self.id
     }
 
-    /// Makes everything in `write` durable before it returns.
+    /// Saves `write` and returns once all of it is durable.
     ///
     /// # Errors
-    /// After an error nothing may be acknowledged any more: what was written may
-    /// or may not be durable, and trying again would prove nothing, because the
-    /// system may have dropped the unwritten pages. Every later call fails too.
+    /// After an error nothing may be acknowledged: the data may or may not be durable,
+    /// and a successful retry wouldn't show that it is, because the operating system may
+    /// have dropped the dirty pages. All later calls fail too.
     pub fn save(&mut self, write: &Write) -> Result<(), StorageError> {
         if self.stopped {
             return Err(StorageError::Stopped);
@@ -99,8 +99,8 @@
         Ok(saved?)
     }
 
-    /// Syncs the mark, so that damage to the last frames is told from a torn write
-    /// even after a power cut. Worth calling when nothing was written for a while.
+    /// Syncs the mark, so that damage to the last frames can be distinguished from a torn
+    /// write even after a power failure. Meant to be called when the log is idle.
     ///
     /// # Errors
     /// As [`Storage::save`].
@@ -108,12 +108,12 @@
         if self.stopped {
             return Err(StorageError::Stopped);
         }
-        let sealed = self.sync_mark();
-        self.stopped = sealed.is_err();
-        Ok(sealed?)
+        let synced = self.sync_mark();
+        self.stopped = synced.is_err();
+        Ok(synced?)
     }
 
-    /// Hands the disk back.
+    /// Returns the disk.
     pub fn into_disk(self) -> D {
         self.disk
     }
@@ -143,7 +143,7 @@
         Ok(())
     }
 
-    /// Writes one frame and syncs it. Then the log ends at `last`.
+    /// Appends and syncs one frame, after which the log ends at `last`.
     fn append(&mut self, record: &Record, last: Position) -> Result<(), DiskError> {
         let file = segment_name(self.current.number);
         let frame = encode_frame(self.current.number, self.current.offset, record);
@@ -171,7 +171,7 @@
     }
 
     /// Closes the segment and starts the next one with `record`. The mark is synced
-    /// first, so that no more than about one segment is ever unproved.
+    /// first, so that at most about one segment lies after the durable mark.
     fn rotate(&mut self, record: Record, last: Position) -> Result<(), DiskError> {
         self.sync_mark()?;
         let OpenSegment { number, highest, .. } = self.current;
@@ -179,8 +179,8 @@
         self.start_segment(number + 1, record, last)
     }
 
-    /// Makes a segment whose first frame holds `record`. The mark must not name the
-    /// segment before its name is durable.
+    /// Creates a segment whose first frame holds `record`. The mark is written last: the
+    /// segment's file name must be durable before the mark refers to it.
     fn start_segment(
         &mut self,
         number: u64,
@@ -196,20 +196,21 @@
         self.write_mark()
     }
 
-    /// Deletes segments, the oldest first, that hold nothing beyond a snapshot.
+    /// Removes snapshots and closed segments that a snapshot up to `index` covers, the
+    /// oldest first.
     fn remove_covered(&mut self, index: Index) -> Result<(), DiskError> {
         snapshot::remove_older(&mut self.disk, index)?;
-        let first_kept = self.closed.iter().position(|segment| segment.highest > index);
-        let covered = first_kept.unwrap_or(self.closed.len());
+        let first_retained = self.closed.iter().position(|segment| segment.highest > index);
+        let covered = first_retained.unwrap_or(self.closed.len());
         for segment in self.closed.drain(..covered) {
             self.disk.remove(&segment_name(segment.number))?;
         }
         Ok(())
     }
 
-    /// Starts a new segment after the folder was read.
-    fn start_over(&mut self, read: &ReadSegments, mark: Mark) -> Result<(), DiskError> {
-        self.prove(read, mark)?;
+    /// Starts a new segment after the folder was read and removes empty ones.
+    fn resume(&mut self, read: &ReadSegments, mark: Mark) -> Result<(), DiskError> {
+        self.rewrite_after_mark(read, mark)?;
         let newest = read.segments.last().map_or(0, |segment| segment.number);
         let closed = read.segments.iter().map(|segment| {
             let Segment { number, highest, .. } = *segment;
@@ -224,25 +225,25 @@
         };
         self.start_segment(newest + 1, record, self.last)?;
         self.sync_mark()?;
-        let left_over = read.empty.iter().filter(|number| **number != newest + 1);
-        left_over.into_iter().try_for_each(|number| self.disk.remove(&segment_name(*number)))
+        let leftover = read.empty.iter().filter(|number| **number != newest + 1);
+        leftover.into_iter().try_for_each(|number| self.disk.remove(&segment_name(*number)))
     }
 
-    /// Makes durable what was read beyond the mark.
+    /// Rewrites and syncs the data that was read after the mark.
     ///
-    /// A sync that failed may have left it in the system's cache only, marked as
-    /// if it were on the disk. It is written again in its place and synced before
-    /// another segment is made: a segment that is followed by one has no torn end.
-    fn prove(&mut self, read: &ReadSegments, mark: Mark) -> Result<(), DiskError> {
+    /// After a failed sync, such data may be only in the page cache, as clean pages that
+    /// a further sync wouldn't write. This must be done before a new segment is created,
+    /// because only the newest segment may have a torn end.
+    fn rewrite_after_mark(&mut self, read: &ReadSegments, mark: Mark) -> Result<(), DiskError> {
         for segment in read.segments.iter().filter(|segment| segment.number >= mark.segment) {
             let file = segment_name(segment.number);
             if segment.is_torn() {
-                self.disk.truncate(&file, segment.valid)?;
+                self.disk.truncate(&file, segment.valid_length)?;
             }
-            let proved = if segment.number == mark.segment { mark.offset } else { 0 };
+            let start = if segment.number == mark.segment { mark.offset } else { 0 };
             let content = self.disk.read(&file)?;
-            let unproved = usize::try_from(proved).ok().and_then(|start| content.get(start..));
-            self.disk.write_at(&file, proved, unproved.unwrap_or_default())?;
+            let unconfirmed = usize::try_from(start).ok().and_then(|start| content.get(start..));
+            self.disk.write_at(&file, start, unconfirmed.unwrap_or_default())?;
             self.disk.sync(&file)?;
         }
         self.disk.sync_folder()
