--- a/crates/storage/tests/folder.rs
+++ b/crates/storage/tests/folder.rs
@@ -1,4 +1,4 @@
-//! A real folder: formatting, restarts, torn tails, damage, copies and wipes.
+//! Storage on a real folder: formatting, restarts, torn writes, damage, copies and wipes.
 
 mod support;
 
@@ -11,7 +11,7 @@
     Damage, DiskError, Folder, FormatError, OpenError, Storage, format, inspect, wipe,
 };
 use juniper_types::NodeId;
-use support::{NODE, data, founding, id, open, write};
+use support::{NODE, data, id, initial_membership, open, write};
 use tempfile::TempDir;
 
 fn files(folder: &Path, prefix: &str) -> Vec<PathBuf> {
@@ -24,18 +24,18 @@
 
 fn snapshot(index: u64) -> Snapshot {
     let position = Position { term: 1, index };
-    let meta = SnapshotMeta { position, membership: founding() };
+    let meta = SnapshotMeta { position, membership: initial_membership() };
     Snapshot { meta, data: Arc::new(vec![3; 50]) }
 }
 
 fn new_folder() -> TempDir {
     let folder = tempfile::tempdir().unwrap();
-    format(&mut Folder::new(folder.path()).unwrap(), id(1), Some(&founding())).unwrap();
+    format(&mut Folder::new(folder.path()).unwrap(), id(1), Some(&initial_membership())).unwrap();
     folder
 }
 
-/// A folder that holds entries up to `count + 1`, written one by one.
-fn folder_with(count: u64) -> TempDir {
+/// Creates a folder with entries up to index `count + 1`, each saved separately.
+fn folder_with_entries(count: u64) -> TempDir {
     let folder = new_folder();
     let (mut storage, _) = open(folder.path()).unwrap();
     (1..=count).for_each(|n| storage.save(&write(n, 1, &[n + 1])).unwrap());
@@ -43,10 +43,10 @@
 }
 
 #[test]
-fn a_fresh_folder_starts_with_the_founding_membership_or_with_nothing() {
+fn new_folder_starts_with_initial_membership_or_empty() {
     let folder = new_folder();
     let (storage, restored) = open(folder.path()).unwrap();
-    assert_eq!((storage.id(), restored.membership()), (id(1), Some(&founding())));
+    assert_eq!((storage.id(), restored.membership()), (id(1), Some(&initial_membership())));
     drop(storage);
     let joining = tempfile::tempdir().unwrap();
     let mut disk = Folder::new(joining.path()).unwrap();
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_folder_in_use_formatted_or_of_another_node_is_refused() {
+fn folder_that_is_locked_formatted_or_of_another_node_is_rejected() {
     let folder = new_folder();
     let mut disk = Folder::new(folder.path()).unwrap();
     assert!(matches!(format(&mut disk, id(1), None), Err(FormatError::NotEmpty)));
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn everything_saved_is_there_after_any_number_of_restarts() {
+fn saved_entries_survive_repeated_restarts() {
     let folder = new_folder();
     for round in 1..=30 {
         let (mut storage, restored) = open(folder.path()).unwrap();
@@ -83,12 +83,12 @@
     storage.save(&write(1, 31, &[5, 6])).unwrap();
     drop(storage);
     let (_, restored) = open(folder.path()).unwrap();
-    assert_eq!(restored.last(), Position { term: 31, index: 6 }, "later entries are void");
+    assert_eq!(restored.last(), Position { term: 31, index: 6 }, "later entries are discarded");
 }
 
 #[test]
-fn a_snapshot_replaces_the_log_and_frees_its_files() {
-    let folder = folder_with(10);
+fn snapshot_replaces_covered_entries_and_older_snapshots() {
+    let folder = folder_with_entries(10);
     let (mut storage, _) = open(folder.path()).unwrap();
     let mut with_snapshot = write(1, 1, &[]);
     with_snapshot.snapshot = Some(snapshot(8));
@@ -110,8 +110,8 @@
 }
 
 #[test]
-fn an_entry_replaced_after_a_restart_and_then_covered_is_no_gap() {
-    let folder = folder_with(10);
+fn entry_replaced_after_restart_and_covered_by_snapshot_is_not_a_gap() {
+    let folder = folder_with_entries(10);
     let (mut storage, _) = open(folder.path()).unwrap();
     let mut early = write(1, 1, &[]);
     (early.snapshot, early.last) = (Some(snapshot(5)), Position { term: 1, index: 11 });
@@ -131,9 +131,9 @@
 }
 
 #[test]
-fn a_torn_tail_that_was_never_synced_is_cut() {
+fn unsynced_torn_write_is_truncated() {
     for torn in [1, 3, 20, 200] {
-        let folder = folder_with(5);
+        let folder = folder_with_entries(5);
         let newest = files(folder.path(), "segment-").pop().unwrap();
         let mut content = fs::read(&newest).unwrap();
         content.extend(vec![0xa5; torn]);
@@ -147,8 +147,8 @@
 }
 
 #[test]
-fn any_damaged_byte_of_synced_data_is_a_typed_error() {
-    let folder = folder_with(5);
+fn every_damaged_byte_of_synced_data_is_reported() {
+    let folder = folder_with_entries(5);
     for kind in ["segment-", "identity"] {
         let file = files(folder.path(), kind).pop().unwrap();
         let whole = fs::read(&file).unwrap();
@@ -164,8 +164,8 @@
 }
 
 #[test]
-fn missing_synced_data_is_a_typed_error() {
-    let folder = folder_with(5);
+fn missing_synced_data_is_reported() {
+    let folder = folder_with_entries(5);
     let newest = files(folder.path(), "segment-").pop().unwrap();
     let whole = fs::read(&newest).unwrap();
     fs::write(&newest, &whole[..whole.len() - 1]).unwrap();
@@ -180,8 +180,8 @@
 }
 
 #[test]
-fn a_damaged_snapshot_is_a_typed_error() {
-    let folder = folder_with(10);
+fn damaged_snapshot_is_reported() {
+    let folder = folder_with_entries(10);
     let (mut storage, _) = open(folder.path()).unwrap();
     let mut with_snapshot = write(1, 1, &[]);
     with_snapshot.snapshot = Some(snapshot(8));
@@ -201,8 +201,8 @@
 }
 
 #[test]
-fn a_copied_folder_is_refused() {
-    let folder = folder_with(3);
+fn copied_folder_is_rejected() {
+    let folder = folder_with_entries(3);
     let copy = tempfile::tempdir().unwrap();
     for file in files(folder.path(), "") {
         fs::copy(&file, copy.path().join(file.file_name().unwrap())).unwrap();
@@ -212,8 +212,8 @@
 }
 
 #[test]
-fn a_wiped_folder_can_be_formatted_under_a_new_identity_only() {
-    let folder = folder_with(3);
+fn wiped_folder_is_unformatted_and_accepts_a_new_identity() {
+    let folder = folder_with_entries(3);
     let mut disk = Folder::new(folder.path()).unwrap();
     wipe(&mut disk).unwrap();
     assert!(matches!(inspect(&mut disk), Err(OpenError::NotFormatted)));
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn segments_are_rotated_and_read_back_in_order() {
+fn segments_are_rotated_and_read_in_order() {
     let folder = new_folder();
     let (mut storage, _) = open(folder.path()).unwrap();
     for n in 1..=12 {
--- a/crates/storage/tests/hostile.rs
+++ b/crates/storage/tests/hostile.rs
@@ -1,4 +1,4 @@
-//! Files with any content: no panic, no unbounded memory, and nothing made up.
+//! Files with arbitrary content open or are rejected, without a panic or unbounded memory use.
 
 mod support;
 
@@ -8,7 +8,7 @@
 use juniper_consensus::{Entry, HardState, Payload, Position};
 use juniper_storage::{Folder, OpenError, format};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
-use support::{founding, id, open, write};
+use support::{id, initial_membership, open, write};
 use tempfile::TempDir;
 
 const CASES: u64 = 200;
@@ -17,33 +17,33 @@
 
 fn new_folder() -> TempDir {
     let folder = tempfile::tempdir().unwrap();
-    format(&mut Folder::new(folder.path()).unwrap(), id(1), Some(&founding())).unwrap();
+    format(&mut Folder::new(folder.path()).unwrap(), id(1), Some(&initial_membership())).unwrap();
     folder
 }
 
-fn wild_number(random: &mut Gen) -> u64 {
+fn extreme_number(random: &mut Gen) -> u64 {
     *random.choose(&[0, 1, 2, 3, 4, u64::MAX - 1, u64::MAX]).unwrap()
 }
 
-/// A record that a broken writer could have left behind, under a right checksum.
+/// Encoded record with arbitrary content, to be framed with a valid checksum.
 #[derive(Clone, Debug)]
-struct WildRecord(Vec<u8>);
+struct ArbitraryRecord(Vec<u8>);
 
-impl Arbitrary for WildRecord {
+impl Arbitrary for ArbitraryRecord {
     fn arbitrary(random: &mut Gen) -> Self {
         let position = |random: &mut Gen| {
-            let position = Position { term: wild_number(random), index: wild_number(random) };
+            let position = Position { term: extreme_number(random), index: extreme_number(random) };
             bool::arbitrary(random).then_some(position)
         };
         let (continues, snapshot) = (position(random), position(random));
         let entry = |random: &mut Gen| Entry {
-            term: wild_number(random),
-            index: wild_number(random),
+            term: extreme_number(random),
+            index: extreme_number(random),
             payload: Payload::Data(Vec::arbitrary(random)),
         };
         let entries: Vec<Entry> = (0..u8::arbitrary(random) % 4).map(|_| entry(random)).collect();
-        let commit = wild_number(random);
-        let hard_state = HardState { commit, term: wild_number(random), ..HardState::default() };
+        let commit = extreme_number(random);
+        let hard_state = HardState { commit, term: extreme_number(random), ..HardState::default() };
         let mut body = vec![0xa4, 0];
         minicbor::encode(continues, &mut body).unwrap();
         body.push(1);
@@ -52,12 +52,12 @@
         minicbor::encode(entries, &mut body).unwrap();
         body.push(3);
         minicbor::encode(hard_state, &mut body).unwrap();
-        WildRecord(body)
+        ArbitraryRecord(body)
     }
 }
 
-/// The frame of `body` as the first segment holds it at `offset`.
-fn frame(offset: usize, body: &[u8]) -> Vec<u8> {
+/// Encodes the frame of `body` at `offset` of the first segment.
+fn encode_frame(offset: usize, body: &[u8]) -> Vec<u8> {
     let mut frame = b"JHF1".to_vec();
     frame.extend_from_slice(&(body.len() as u32).to_be_bytes());
     frame.extend_from_slice(&1_u64.to_be_bytes());
@@ -68,10 +68,11 @@
     frame
 }
 
-/// Opens a new folder after `spoil` changed it; a folder that opens can be written.
-fn survives(spoil: impl FnOnce(&Path)) -> bool {
+/// Whether a new folder, changed by `corrupt`, opens and accepts a write, or is rejected
+/// as damaged or copied.
+fn opens_or_is_rejected(corrupt: impl FnOnce(&Path)) -> bool {
     let folder = new_folder();
-    spoil(folder.path());
+    corrupt(folder.path());
     match open(folder.path()) {
         Ok((mut storage, restored)) => {
             let next = restored.last().index.saturating_add(1);
@@ -82,9 +83,9 @@
 }
 
 #[test]
-fn any_bytes_in_any_file_open_or_are_a_typed_error() {
+fn files_with_arbitrary_bytes_open_or_are_rejected() {
     fn property(which: u8, bytes: Vec<u8>, appended: bool) -> bool {
-        survives(|folder| {
+        opens_or_is_rejected(|folder| {
             let files = [SEGMENT, "synced", "identity", "snapshot-00000000000000000004"];
             let file = folder.join(files[usize::from(which) % files.len()]);
             let mut content = if appended { fs::read(&file).unwrap_or_default() } else { vec![] };
@@ -98,18 +99,18 @@
 }
 
 #[test]
-fn records_that_make_no_sense_are_a_typed_error() {
-    fn property(records: Vec<WildRecord>) -> bool {
-        survives(|folder| {
+fn arbitrary_records_with_valid_checksum_open_or_are_rejected() {
+    fn property(records: Vec<ArbitraryRecord>) -> bool {
+        opens_or_is_rejected(|folder| {
             let file = folder.join(SEGMENT);
             let mut content = fs::read(&file).unwrap();
-            for WildRecord(body) in &records {
-                content.extend(frame(content.len(), body));
+            for ArbitraryRecord(body) in &records {
+                content.extend(encode_frame(content.len(), body));
             }
             fs::write(file, content).unwrap();
         })
     }
     let random = Gen::from_size_and_seed(6, SEED);
     let mut check = QuickCheck::new().rng(random).tests(CASES);
-    check.quickcheck(property as fn(Vec<WildRecord>) -> bool);
+    check.quickcheck(property as fn(Vec<ArbitraryRecord>) -> bool);
 }
--- a/crates/storage/tests/recovery.rs
+++ b/crates/storage/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! Recovery of a lost quorum: the latest survivor is chosen, shown, and fences off the rest.
+//! Recovery of a lost quorum: choice of the latest folder, report to the operator, fencing.
 
 use juniper_consensus::{
     ClusterEpoch, DiskIdentity, Entry, HardState, MemberRole, Membership, Payload, Position,
@@ -20,7 +20,7 @@
     Membership::of_voters(ClusterEpoch::first(cluster), voters)
 }
 
-/// A folder of `node` whose log ends at `last`, written in that term.
+/// Creates a folder of `node` whose log ends at `last` and is written in that term.
 fn folder(node: u64, cluster: u64, last: Position) -> TempDir {
     let folder = tempfile::tempdir().unwrap();
     let mut disk = Folder::new(folder.path()).unwrap();
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn the_latest_state_is_chosen_by_term_before_length() {
+fn folder_with_highest_term_is_chosen_over_longer_log() {
     let longer = folder(1, 5, Position { term: 2, index: 9 });
     let later = folder(2, 5, Position { term: 3, index: 4 });
     let plan = plan(vec![report(&longer), report(&later)], TOKEN).unwrap();
@@ -50,14 +50,14 @@
 }
 
 #[test]
-fn a_plan_from_a_minority_says_that_commits_may_be_missing() {
+fn plan_from_a_minority_reports_missing_voters() {
     let only = folder(2, 5, Position { term: 3, index: 4 });
     let plan = plan(vec![report(&only)], TOKEN).unwrap();
     assert_eq!((plan.missing_voters, plan.is_complete), (vec![id(1), id(3)], false));
 }
 
 #[test]
-fn making_a_plan_changes_nothing_and_applying_it_makes_one_voter_of_a_new_epoch() {
+fn planning_changes_nothing_and_applying_leaves_one_voter_in_a_new_epoch() {
     let chosen = folder(2, 5, Position { term: 3, index: 4 });
     let before = report(&chosen);
     let plan = plan(vec![before.clone()], TOKEN).unwrap();
@@ -73,10 +73,10 @@
 }
 
 #[test]
-fn folders_of_other_clusters_and_of_none_are_refused() {
-    let ours = folder(1, 5, Position { term: 2, index: 9 });
-    let theirs = folder(2, 6, Position { term: 2, index: 9 });
-    let mixed = plan(vec![report(&ours), report(&theirs)], TOKEN);
+fn folders_of_different_clusters_or_without_cluster_are_rejected() {
+    let first_cluster = folder(1, 5, Position { term: 2, index: 9 });
+    let second_cluster = folder(2, 6, Position { term: 2, index: 9 });
+    let mixed = plan(vec![report(&first_cluster), report(&second_cluster)], TOKEN);
     assert!(matches!(mixed, Err(RecoveryError::DifferentClusters(..))));
     let empty = tempfile::tempdir().unwrap();
     format(&mut Folder::new(empty.path()).unwrap(), id(3), None).unwrap();
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_folder_of_a_later_epoch_wins_over_a_longer_log() {
+fn folder_of_later_epoch_is_chosen_over_longer_log() {
     let recovered = folder(1, 5, Position { term: 2, index: 3 });
     let first = plan(vec![report(&recovered)], TOKEN).unwrap();
     apply(Folder::new(recovered.path()).unwrap(), &first).unwrap();
--- a/crates/storage/tests/support/mod.rs
+++ b/crates/storage/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Identities, writes and snapshots for the tests of storage.
+//! Identities, memberships and writes for the storage tests.
 
 use std::path::Path;
 
@@ -15,7 +15,7 @@
     ReplicaId { node: NODE, disk: DiskIdentity::from_random(disk) }
 }
 
-pub fn founding() -> Membership {
+pub fn initial_membership() -> Membership {
     Membership::of_voters(ClusterEpoch::first(5), [(id(1), ZoneName::new("taf").unwrap())])
 }
 
@@ -27,7 +27,7 @@
     Payload::Data(vec![7; bytes])
 }
 
-/// A write of entries at `indexes` in `term`.
+/// Builds a write of entries at `indexes` in `term`.
 pub fn write(number: u64, term: u64, indexes: &[u64]) -> Write {
     let entries = indexes.iter().map(|index| Entry { term, index: *index, payload: data(40) });
     let entries: Vec<Entry> = entries.collect();
