--- a/crates/settings/src/address.rs
+++ b/crates/settings/src/address.rs
@@ -1,4 +1,4 @@
-//! CBOR form of socket addresses: their usual text.
+//! CBOR encoding of socket addresses as text, such as `10.0.0.1:7001`.
 
 use std::net::SocketAddr;
 
@@ -6,7 +6,7 @@
 use minicbor::encode::{Error as EncodeError, Write};
 use minicbor::{Decoder, Encoder};
 
-/// Writes `address` as text.
+/// Encodes `address` as text.
 pub fn encode<C, W: Write>(
     address: &SocketAddr,
     encoder: &mut Encoder<W>,
@@ -16,7 +16,7 @@
     Ok(())
 }
 
-/// Reads an address from text.
+/// Decodes an address from text.
 pub fn decode<C>(decoder: &mut Decoder<'_>, _context: &mut C) -> Result<SocketAddr, DecodeError> {
     decoder.str()?.parse().map_err(DecodeError::custom)
 }
--- a/crates/settings/src/change.rs
+++ b/crates/settings/src/change.rs
@@ -1,4 +1,4 @@
-//! Edits of the tree, as writers send them and as deltas carry them.
+//! Edits of the settings tree, as sent by operators and carried in deltas.
 
 use minicbor::{Decode, Encode};
 use serde::{Deserialize, Serialize};
@@ -6,36 +6,36 @@
 use crate::path::SettingsPath;
 use crate::tree::{SettingsNode, SettingsTree};
 
-/// One edit of one node.
+/// Edit of one node, or removal of a subtree.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Encode, Decode)]
 #[serde(rename_all = "kebab-case", tag = "edit", deny_unknown_fields)]
 pub enum Edit {
-    /// Replaces the node at `path` whole, or makes it. An empty root is the
-    /// same as none.
+    /// Creates or replaces the node at `path`. An empty root is equivalent to an absent
+    /// one.
     #[n(0)]
     Put {
-        /// Where.
+        /// Path of the node.
         #[n(0)]
         path: SettingsPath,
-        /// The new node.
+        /// New content of the node.
         #[n(1)]
         node: Box<SettingsNode>,
     },
     /// Removes the node at `path` and everything below it.
     #[n(1)]
     Remove {
-        /// Where.
+        /// Path of the node.
         #[n(0)]
         path: SettingsPath,
     },
 }
 
-/// Edits that are accepted or refused together, applied in order.
+/// Edits that are accepted or rejected as a unit.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, Encode, Decode)]
 #[serde(transparent)]
 #[cbor(transparent)]
 pub struct ChangeSet {
-    /// The edits, in order.
+    /// Edits in the order of their application.
     #[n(0)]
     pub edits: Vec<Edit>,
 }
@@ -46,7 +46,7 @@
         for edit in &self.edits {
             match edit {
                 Edit::Put { path, node } => {
-                    if SettingsTree::is_implied(path, node) {
+                    if SettingsTree::is_empty_root(path, node) {
                         tree.nodes.remove(path);
                     } else {
                         tree.nodes.insert(path.clone(), SettingsNode::clone(node));
--- a/crates/settings/src/fault.rs
+++ b/crates/settings/src/fault.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with a settings tree.
+//! Validation faults and size limits of a settings tree.
 
 use std::net::SocketAddr;
 
@@ -8,17 +8,17 @@
 
 use crate::path::SettingsPath;
 
-/// Most nodes in a tree: 31,000 tenants with five services each.
+/// Maximum number of nodes in a tree. Allows 31,000 tenants with five services each.
 pub const MAX_NODES: usize = 200_000;
 
-/// Largest encoded node, in bytes: 1,300 back ends in one zone.
+/// Maximum size of an encoded node, in bytes. Allows 1,300 back ends in one zone.
 pub const MAX_NODE_BYTES: usize = 64 << 10;
 
-/// Largest encoded tree, in bytes. A whole tree travels in one frame of the
-/// internal protocol, which takes at most 16 MiB.
+/// Maximum size of an encoded tree, in bytes. A tree must fit into one frame of the
+/// internal protocol, which is limited to 16 MiB.
 pub const MAX_TREE_BYTES: usize = 12 << 20;
 
-/// One fault of a tree; a tree with any is never accepted.
+/// Fault that makes a tree invalid.
 #[derive(
     Clone,
     Debug,
@@ -34,93 +34,93 @@
 )]
 #[serde(rename_all = "kebab-case", tag = "fault")]
 pub enum TreeFault {
-    /// A node stands below a node that the tree doesn't have.
+    /// The parent of a node is missing from the tree.
     #[n(0)]
     #[error("{path}: the node above it is missing")]
     ParentMissing {
-        /// The node.
+        /// Path of the node.
         #[n(0)]
         path: SettingsPath,
     },
-    /// A value is outside its range.
+    /// A value is outside its allowed range.
     #[n(1)]
     #[error("{path}: {field} is {value}, allowed: {allowed}")]
     OutOfRange {
-        /// The node.
+        /// Path of the node.
         #[n(0)]
         path: SettingsPath,
-        /// Name of the value.
+        /// Name of the setting.
         #[n(1)]
         field: String,
-        /// What it is.
+        /// Rejected value.
         #[n(2)]
         value: String,
-        /// What it may be.
+        /// Allowed range.
         #[n(3)]
         allowed: String,
     },
-    /// A tenant stands in several zones; its home would be ambiguous.
+    /// A tenant is listed in several zones, which makes its home zone ambiguous.
     #[n(2)]
     #[error("tenant {tenant} stands in several zones")]
     TenantInManyZones {
-        /// The tenant.
+        /// Name of the tenant.
         #[n(0)]
         tenant: TenantName,
-        /// Its zones.
+        /// Zones that list the tenant.
         #[n(1)]
         zones: Vec<ZoneName>,
     },
-    /// Two back ends have the same number.
+    /// Several back ends have the same id.
     #[n(3)]
     #[error("{id} is used by several back ends")]
     BackEndIdRepeated {
-        /// The number.
+        /// Repeated id.
         #[n(0)]
         id: EngineId,
-        /// Where they stand.
+        /// Paths of the nodes that list it.
         #[n(1)]
         paths: Vec<SettingsPath>,
     },
-    /// Two back ends have the same address.
+    /// Several back ends have the same address.
     #[n(4)]
     #[error("address {address} is used by several back ends")]
     BackEndAddressRepeated {
-        /// The address.
+        /// Repeated address.
         #[cbor(n(0), with = "crate::address")]
         address: SocketAddr,
-        /// Where they stand.
+        /// Paths of the nodes that list it.
         #[n(1)]
         paths: Vec<SettingsPath>,
     },
-    /// An API key belongs to several tenants, or twice to one.
+    /// An API key is listed by several tenants, or more than once by one tenant.
     #[n(5)]
     #[error("an API key stands in several places")]
     ApiKeyRepeated {
-        /// Where it stands. The hash isn't shown.
+        /// Paths of the nodes that list the key. The hash is omitted.
         #[n(0)]
         paths: Vec<SettingsPath>,
     },
-    /// A hash of an API key is malformed.
+    /// An API key hash is malformed.
     #[n(6)]
     #[error("{path}: an API key hash has 64 lower-case hexadecimal digits")]
     ApiKeyMalformed {
-        /// The node.
+        /// Path of the node.
         #[n(0)]
         path: SettingsPath,
     },
-    /// Back ends stand on a node that isn't a zone.
+    /// A node that isn't a zone lists back ends.
     #[n(7)]
     #[error("{path}: back ends are allowed on zones only")]
     BackEndsNotAllowed {
-        /// The node.
+        /// Path of the node.
         #[n(0)]
         path: SettingsPath,
     },
-    /// API keys stand on a node that isn't a tenant.
+    /// A node that isn't a tenant lists API keys.
     #[n(8)]
     #[error("{path}: API keys are allowed on tenants only")]
     ApiKeysNotAllowed {
-        /// The node.
+        /// Path of the node.
         #[n(0)]
         path: SettingsPath,
     },
@@ -128,10 +128,10 @@
     #[n(9)]
     #[error("{path}: the node has {bytes} bytes, at most {MAX_NODE_BYTES} are allowed")]
     NodeTooLarge {
-        /// The node.
+        /// Path of the node.
         #[n(0)]
         path: SettingsPath,
-        /// Its encoded size.
+        /// Encoded size, in bytes.
         #[n(1)]
         bytes: u64,
     },
@@ -139,7 +139,7 @@
     #[n(10)]
     #[error("the tree has {nodes} nodes, at most {MAX_NODES} are allowed")]
     TooManyNodes {
-        /// How many it has.
+        /// Number of nodes.
         #[n(0)]
         nodes: u64,
     },
@@ -147,7 +147,7 @@
     #[n(11)]
     #[error("the tree has {bytes} bytes, at most {MAX_TREE_BYTES} are allowed")]
     TreeTooLarge {
-        /// Its encoded size.
+        /// Encoded size, in bytes.
         #[n(0)]
         bytes: u64,
     },
--- a/crates/settings/src/index.rs
+++ b/crates/settings/src/index.rs
@@ -1,8 +1,7 @@
-//! Counts over a tree that make its validation incremental.
+//! Index of a settings tree for incremental validation.
 //!
-//! Every check that spans nodes ("unique in the whole tree", "at most so many
-//! bytes") reads one of these tables, so a change costs what it touches and not
-//! what the tree holds.
+//! Checks across nodes, such as uniqueness and the total size, read this index, so the
+//! cost of a change depends on the nodes it touches and not on the size of the tree.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -13,21 +12,21 @@
 use crate::path::SettingsPath;
 use crate::tree::{ApiKeyHash, SettingsNode};
 
-/// Where a value stands; a place is listed once for each time.
-type Places = Vec<SettingsPath>;
+/// Sorted paths of the nodes that list a value, one for each occurrence.
+type Occurrences = Vec<SettingsPath>;
 
-/// The tables.
+/// Values that must be unique, by their nodes, and the totals of a tree.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct TreeIndex {
     tenants: BTreeMap<TenantName, BTreeSet<ZoneName>>,
-    back_end_ids: BTreeMap<EngineId, Places>,
-    back_end_addresses: BTreeMap<SocketAddr, Places>,
-    api_keys: BTreeMap<ApiKeyHash, Places>,
+    back_end_ids: BTreeMap<EngineId, Occurrences>,
+    back_end_addresses: BTreeMap<SocketAddr, Occurrences>,
+    api_keys: BTreeMap<ApiKeyHash, Occurrences>,
     nodes: usize,
     bytes: usize,
 }
 
-/// Values whose uniqueness a change may have broken.
+/// Values that a change has added and whose uniqueness must be checked again.
 #[derive(Debug, Default)]
 pub(crate) struct TouchedValues {
     tenants: BTreeSet<TenantName>,
@@ -37,7 +36,7 @@
 }
 
 impl TouchedValues {
-    /// Adds the values of a node that has just been put at `path`.
+    /// Adds the values of the new node at `path`.
     pub fn add(&mut self, path: &SettingsPath, node: &SettingsNode) {
         if let SettingsPath::Tenant(_, tenant) = path {
             self.tenants.insert(tenant.clone());
@@ -51,7 +50,7 @@
 }
 
 impl TreeIndex {
-    /// Adds a node of `bytes` encoded bytes.
+    /// Adds a node whose encoded size is `bytes`.
     pub fn insert(&mut self, path: &SettingsPath, node: &SettingsNode, bytes: usize) {
         self.nodes += 1;
         self.bytes += bytes;
@@ -59,15 +58,15 @@
             self.tenants.entry(tenant.clone()).or_default().insert(zone.clone());
         }
         for back_end in &node.back_ends {
-            insert_place(&mut self.back_end_ids, &back_end.id, path);
-            insert_place(&mut self.back_end_addresses, &back_end.address, path);
+            insert_occurrence(&mut self.back_end_ids, &back_end.id, path);
+            insert_occurrence(&mut self.back_end_addresses, &back_end.address, path);
         }
         for key in &node.api_keys {
-            insert_place(&mut self.api_keys, key, path);
+            insert_occurrence(&mut self.api_keys, key, path);
         }
     }
 
-    /// Takes out a node that was inserted with the same arguments.
+    /// Removes a node that was inserted with the same arguments.
     pub fn remove(&mut self, path: &SettingsPath, node: &SettingsNode, bytes: usize) {
         self.nodes -= 1;
         self.bytes -= bytes;
@@ -80,30 +79,30 @@
             }
         }
         for back_end in &node.back_ends {
-            remove_place(&mut self.back_end_ids, &back_end.id, path);
-            remove_place(&mut self.back_end_addresses, &back_end.address, path);
+            remove_occurrence(&mut self.back_end_ids, &back_end.id, path);
+            remove_occurrence(&mut self.back_end_addresses, &back_end.address, path);
         }
         for key in &node.api_keys {
-            remove_place(&mut self.api_keys, key, path);
+            remove_occurrence(&mut self.api_keys, key, path);
         }
     }
 
-    /// Bytes of the encoded tree.
+    /// Size of the encoded tree, in bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// The tenant that an API key belongs to.
+    /// Path of the tenant that an API key belongs to.
     pub fn api_key(&self, hash: &ApiKeyHash) -> Option<&SettingsPath> {
         self.api_keys.get(hash)?.first()
     }
 
-    /// The zone of a back end.
+    /// Path of the zone that lists a back end.
     pub fn back_end(&self, id: EngineId) -> Option<&SettingsPath> {
         self.back_end_ids.get(&id)?.first()
     }
 
-    /// Faults among the `touched` values and the totals.
+    /// Adds the faults of the `touched` values and of the totals to `faults`.
     pub fn check(&self, touched: &TouchedValues, faults: &mut Vec<TreeFault>) {
         for tenant in &touched.tenants {
             if let Some(zones) = self.tenants.get(tenant).filter(|zones| zones.len() > 1) {
@@ -112,17 +111,17 @@
             }
         }
         for id in &touched.back_end_ids {
-            if let Some(paths) = repeated(&self.back_end_ids, id) {
+            if let Some(paths) = repeated_paths(&self.back_end_ids, id) {
                 faults.push(TreeFault::BackEndIdRepeated { id: *id, paths });
             }
         }
         for address in &touched.back_end_addresses {
-            if let Some(paths) = repeated(&self.back_end_addresses, address) {
+            if let Some(paths) = repeated_paths(&self.back_end_addresses, address) {
                 faults.push(TreeFault::BackEndAddressRepeated { address: *address, paths });
             }
         }
         for key in &touched.api_keys {
-            if let Some(paths) = repeated(&self.api_keys, key) {
+            if let Some(paths) = repeated_paths(&self.api_keys, key) {
                 faults.push(TreeFault::ApiKeyRepeated { paths });
             }
         }
@@ -135,24 +134,28 @@
     }
 }
 
-fn insert_place<K: Ord + Clone>(table: &mut BTreeMap<K, Places>, key: &K, path: &SettingsPath) {
-    let places = table.entry(key.clone()).or_default();
-    let position = places.partition_point(|place| place < path);
-    places.insert(position, path.clone());
+fn insert_occurrence<K: Ord + Clone>(
+    table: &mut BTreeMap<K, Occurrences>,
+    key: &K,
+    path: &SettingsPath,
+) {
+    let occurrences = table.entry(key.clone()).or_default();
+    let position = occurrences.partition_point(|other| other < path);
+    occurrences.insert(position, path.clone());
 }
 
-fn remove_place<K: Ord>(table: &mut BTreeMap<K, Places>, key: &K, path: &SettingsPath) {
-    let Some(places) = table.get_mut(key) else {
+fn remove_occurrence<K: Ord>(table: &mut BTreeMap<K, Occurrences>, key: &K, path: &SettingsPath) {
+    let Some(occurrences) = table.get_mut(key) else {
         return;
     };
-    if let Ok(position) = places.binary_search(path) {
-        places.remove(position);
+    if let Ok(position) = occurrences.binary_search(path) {
+        occurrences.remove(position);
     }
-    if places.is_empty() {
+    if occurrences.is_empty() {
         table.remove(key);
     }
 }
 
-fn repeated<K: Ord>(table: &BTreeMap<K, Places>, key: &K) -> Option<Places> {
-    table.get(key).filter(|places| places.len() > 1).cloned()
+fn repeated_paths<K: Ord>(table: &BTreeMap<K, Occurrences>, key: &K) -> Option<Occurrences> {
+    table.get(key).filter(|occurrences| occurrences.len() > 1).cloned()
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,9 +1,9 @@
 //! The inherited settings tree and the settings file of one node.
 //!
-//! [`tree`] holds the replicated tree that operators and automation rewrite;
-//! [`overrides`] holds the values one tree node may set and the resolved values
-//! a service ends up with; [`change`] holds edits of the tree; [`node_file`]
-//! reads the settings file of one daemon.
+//! [`tree`] defines the replicated tree that operators and automation edit,
+//! [`overrides`] the values that a tree node can set and the values in effect for a
+//! service, and [`change`] edits of the tree. [`node_file`] reads the settings file of
+//! one daemon.
 
 pub mod address;
 pub mod change;
--- a/crates/settings/src/node_file/fault.rs
+++ b/crates/settings/src/node_file/fault.rs
@@ -1,30 +1,30 @@
-//! Faults of a node file and their report.
+//! Faults of a node file and the error that reports them.
 
 use std::path::PathBuf;
 
 use miette::{Diagnostic, NamedSource, SourceSpan};
 
-/// Where a fault lies.
+/// Location of a fault.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FaultPlace {
-    /// At these bytes of the file.
+    /// Byte range in the file.
     File(std::ops::Range<usize>),
-    /// In the command-line flag for this key.
+    /// Command-line flag for this dotted key.
     Flag(String),
 }
 
-/// One fault.
+/// Fault of one value of a node file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NodeFault {
-    /// Dotted key of the value, empty for the document itself.
+    /// Dotted key of the value. Empty for the document itself.
     pub key: String,
-    /// What is wrong.
+    /// Description of the fault.
     pub message: String,
-    /// What is allowed there.
+    /// Description of the allowed values.
     pub allowed: String,
-    /// Where.
+    /// Location of the value.
     pub place: FaultPlace,
-    /// Line of the file, counted from 1; absent for a flag.
+    /// Line in the file, counted from 1. `None` for a flag.
     pub line: Option<usize>,
 }
 
@@ -61,23 +61,23 @@
     }
 }
 
-/// Why a node file can't be used.
+/// Error when a node file is loaded.
 #[derive(Debug, thiserror::Error, Diagnostic)]
 pub enum NodeFileError {
     /// The file can't be read.
     #[error("can't read {path}: {error}", path = path.display())]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// Cause reported by the operating system.
         error: std::io::Error,
     },
-    /// The file is longer than [`super::MAX_NODE_FILE_BYTES`].
+    /// The file is larger than [`super::MAX_NODE_FILE_BYTES`].
     #[error("{path} has {length} bytes, at most {max} are allowed", path = path.display(), max = super::MAX_NODE_FILE_BYTES)]
     TooLong {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Its length in bytes.
+        /// Length of the file, in bytes.
         length: u64,
     },
     /// The file has faults.
@@ -85,21 +85,21 @@
     Faulty {
         /// Name of the file.
         name: String,
-        /// The text, for the report.
+        /// Content of the file, for excerpts in the report.
         #[source_code]
         source_text: NamedSource<String>,
-        /// Every fault, in file order.
+        /// All faults, in file order.
         #[related]
         faults: Vec<NodeFault>,
     },
 }
 
 impl NodeFileError {
-    /// A report of `faults` in the file `name` with the text `source`.
+    /// Creates the error for `faults` in the file `name` with the content `source`.
     pub(super) fn faulty(name: &str, source: &str, mut faults: Vec<NodeFault>) -> Self {
         for fault in &mut faults {
             if let FaultPlace::File(range) = &fault.place {
-                fault.line = Some(line_of(source, range.start));
+                fault.line = Some(line_number(source, range.start));
             }
         }
         faults.sort_by_key(|fault| fault.line);
@@ -107,7 +107,7 @@
         NodeFileError::Faulty { name: name.to_owned(), source_text, faults }
     }
 
-    /// The faults, if the file could be read.
+    /// Faults of the file. Empty if the file couldn't be read.
     pub fn faults(&self) -> &[NodeFault] {
         match self {
             NodeFileError::Faulty { faults, .. } => faults,
@@ -116,7 +116,7 @@
     }
 }
 
-fn line_of(source: &str, offset: usize) -> usize {
+fn line_number(source: &str, offset: usize) -> usize {
     let before = &source.as_bytes()[..offset.min(source.len())];
     before.iter().filter(|byte| **byte == b'\n').count() + 1
 }
--- a/crates/settings/src/node_file/mod.rs
+++ b/crates/settings/src/node_file/mod.rs
@@ -1,8 +1,8 @@
-//! The settings file of one node: TOML, checked whole before the daemon starts.
+//! TOML settings file of one node, which is fully checked before the daemon starts.
 //!
-//! Every fault is reported at once with its place in the file and what is
-//! allowed there. Serde stops at the first fault of a document, so the document
-//! is read key by key (`section`) and serde reads each value.
+//! All faults are reported together, with their location and the allowed values. Since
+//! serde stops at the first fault of a document, the document is read key by key
+//! (`section`), and serde deserializes the single values.
 
 mod fault;
 mod roles;
@@ -22,24 +22,24 @@
 use crate::tree::ApiKeyHash;
 use section::{Document, Section};
 
-/// Shortest accepted cluster key, in bytes; the handshake asks for the same.
+/// Minimum length of the cluster key, in bytes, which the handshake also requires.
 pub const MIN_CLUSTER_KEY_BYTES: usize = 16;
 
-/// Largest accepted node file, in bytes.
+/// Maximum size of a node file, in bytes.
 pub const MAX_NODE_FILE_BYTES: u64 = 1 << 20;
 
-/// The text of the cluster key. Its debug form shows nothing of it.
+/// Text of the cluster key, which the debug representation omits.
 #[derive(Clone, PartialEq, Eq)]
 pub struct ClusterKeyText(String);
 
 impl ClusterKeyText {
-    /// Checks the length of `text` and wraps it.
+    /// Wraps `text`, or returns `None` if it is too short.
     pub fn new(text: impl Into<String>) -> Option<Self> {
         let text = text.into();
         (text.len() >= MIN_CLUSTER_KEY_BYTES).then_some(ClusterKeyText(text))
     }
 
-    /// The text.
+    /// Secret text of the key.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -51,75 +51,75 @@
     }
 }
 
-/// Least severe event that is logged.
+/// Minimum severity of logged events.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LogLevel {
     /// Failures only.
     Error,
-    /// And what an operator should look at.
+    /// Also conditions that an operator should look at.
     Warn,
-    /// And one line for each event of note.
+    /// Also notable events of normal operation.
     #[default]
     Info,
-    /// And the reasons of decisions.
+    /// Also the reasons of decisions.
     Debug,
-    /// And every message.
+    /// Also every message.
     Trace,
 }
 
-/// What every daemon needs.
+/// Settings that all daemons have.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CommonSettings {
     /// Number of this node, unique in the deployment.
     pub node: NodeId,
     /// Zone of this node.
     pub zone: ZoneName,
-    /// Folder that holds every file of the node; a control replica needs one.
+    /// Folder for all files of the node, required for a control replica.
     pub data_folder: Option<PathBuf>,
-    /// Secret that the daemons of the deployment share.
+    /// Secret shared by all daemons of the deployment.
     pub cluster_key: ClusterKeyText,
-    /// Hashes of the keys that operators present.
+    /// Hashes of the keys that operators authenticate with.
     pub operator_keys: Vec<ApiKeyHash>,
-    /// Least severe event that is logged.
+    /// Minimum severity of logged events.
     pub log_level: LogLevel,
-    /// Log file; standard error if absent.
+    /// Log file, or `None` for standard error.
     pub log_file: Option<PathBuf>,
 }
 
-/// Another daemon, as the node file names it.
+/// Another daemon that the node file lists.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
-    /// Its node number.
+    /// Node number.
     pub id: NodeId,
-    /// Its zone.
+    /// Zone of the node.
     pub zone: ZoneName,
-    /// Where other daemons reach it.
+    /// Address of the internal listener.
     pub address: SocketAddr,
 }
 
-/// A value from the command line that replaces one of the file.
+/// Value from the command line that overrides one in the file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NodeOverride {
     /// Dotted key, such as `control.internal`.
     pub key: String,
-    /// The value: TOML, or plain text for a string.
+    /// Value as TOML, or as plain text for a string.
     pub value: String,
 }
 
-/// A checked node file.
+/// Valid node file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeFile {
-    /// What every daemon needs.
+    /// Settings that all daemons have.
     pub common: CommonSettings,
-    /// The control section, if the file has one.
+    /// Settings of the `[control]` section, if the file has one.
     pub control: Option<ControlSettings>,
-    /// The router section, if the file has one.
+    /// Settings of the `[router]` section, if the file has one.
     pub router: Option<RouterSettings>,
 }
 
 impl NodeFile {
-    /// Reads and checks the file at `path`; `overrides` replace its values.
+    /// Reads and checks the file at `path`. `overrides` take precedence over its values.
     pub fn load(path: &Path, overrides: &[NodeOverride]) -> Result<Self, NodeFileError> {
         let unreadable = |error| NodeFileError::Unreadable { path: path.to_owned(), error };
         let length = std::fs::metadata(path).map_err(unreadable)?.len();
@@ -130,7 +130,7 @@
         Self::parse(&path.display().to_string(), &source, overrides)
     }
 
-    /// Checks the text of a node file called `name`.
+    /// Parses and checks the content of a node file. `name` appears in the error report.
     pub fn parse(
         name: &str,
         source: &str,
@@ -154,20 +154,20 @@
         root.fault_here("the file has neither a [control] nor a [router] section", "at least one");
     }
     root.finish();
-    // The sections are read before any fault ends the reading, so that all are found.
+    // Both sections are read before returning on any fault, so that all faults are reported.
     let control = control.map(|section| roles::read_control(section, common.as_ref()));
     let router = router.map(|section| roles::read_router(section, common.as_ref()));
     Some(NodeFile {
         common: common?,
-        control: all_or_nothing(control)?,
-        router: all_or_nothing(router)?,
+        control: reject_faulty_section(control)?,
+        router: reject_faulty_section(router)?,
     })
 }
 
-/// Turns an absent section into `Some(None)` and a faulty one into `None`.
-fn all_or_nothing<T>(section: Option<Option<T>>) -> Option<Option<T>> {
+/// Converts an absent section to `Some(None)` and a faulty one to `None`.
+fn reject_faulty_section<T>(section: Option<Option<T>>) -> Option<Option<T>> {
     match section {
-        Some(read) => read.map(Some),
+        Some(settings) => settings.map(Some),
         None => Some(None),
     }
 }
@@ -199,7 +199,7 @@
     })
 }
 
-/// The key stands in the file itself or, better, in a file that it names.
+/// Reads the cluster key, which is set directly or in a separate file.
 fn read_cluster_key(root: &mut Section<'_>) -> Option<ClusterKeyText> {
     const ALLOWED: &str = "16 bytes or more, the same text on every node";
     let text = root.optional::<String>("cluster_key", ALLOWED);
--- a/crates/settings/src/node_file/roles.rs
+++ b/crates/settings/src/node_file/roles.rs
@@ -1,4 +1,4 @@
-//! The `[control]` and `[router]` sections.
+//! Settings of the `[control]` and `[router]` sections.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -13,23 +13,23 @@
 const VOTERS: &str = "one, three or five numbers among this node and its peers";
 const POSITIVE: &str = "a whole number above zero";
 
-/// Most voters of the control group: more cost every commit a longer wait and
-/// tolerate no failure that five don't.
+/// Maximum number of voters of the control cluster. Five voters tolerate two failures, and
+/// each further voter adds to the latency of commits.
 const MAX_VOTERS: usize = 5;
 
-/// Bounds on what a control replica takes on.
+/// Resource limits of a control replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ControlLimits {
-    /// Connections of other daemons held at once.
+    /// Maximum number of open connections from other daemons.
     pub max_connections: usize,
-    /// Handshakes run at once; the rest wait in the listen queue.
+    /// Maximum number of concurrent handshakes. Others wait in the listen queue.
     pub max_handshakes: usize,
-    /// Seconds for which claims are kept and keys accepted.
+    /// Retention of claims and lifetime of their keys, in seconds.
     pub claim_retention_seconds: u64,
 }
 
 impl Default for ControlLimits {
-    /// Room for 340 nodes three times over, and a day of claims.
+    /// Limits for a deployment of 340 nodes, with three connections for each.
     fn default() -> Self {
         ControlLimits {
             max_connections: 1_024,
@@ -39,41 +39,40 @@
     }
 }
 
-/// How a control replica finds the others.
+/// Method by which a control replica finds the others.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PeerDiscovery {
-    /// The node file lists them, and an operator founds the cluster.
+    /// The node file lists the replicas, and an operator bootstraps the cluster.
     Listed,
-    /// The number of a node is its address ([`NodeId::address`]). Any node that
-    /// holds the cluster key may join through a seed.
+    /// Node numbers encode addresses ([`NodeId::address`]). Any node with the cluster key
+    /// may join through a seed.
     Seeded {
-        /// Replicas to ask, as they stood when the settings were written.
+        /// Replicas to contact, as known when the settings were written.
         seeds: Vec<NodeId>,
-        /// Whether the whole deployment starts for the first time, with blank
-        /// disks. The seeds then found the cluster together.
+        /// Whether the deployment starts for the first time, with empty disks. The seeds
+        /// then bootstrap the cluster together.
         founds: bool,
     },
 }
 
-/// How a replica keeps its log, and when it replaces a voter.
+/// Log retention of a replica and replacement of failed voters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReplicaTuning {
-    /// Voters that are kept up, if the cluster has as many replicas.
+    /// Number of voters to maintain, if the cluster has as many replicas.
     pub target_voters: usize,
-    /// Silence after which a standby takes a voter's place, in milliseconds.
+    /// Time without contact after which a standby replaces a voter, in milliseconds.
     pub lost_voter_ms: u64,
-    /// Entries kept in memory behind a snapshot.
+    /// Number of entries retained in memory before the end of a snapshot.
     pub keep_entries: usize,
-    /// Bytes of the log after which a snapshot takes its place.
+    /// Log growth after which a snapshot is taken, in bytes.
     pub snapshot_interval_bytes: usize,
-    /// Whether the file system keeps the numbers of files, by which a copied data
-    /// folder is told from the original.
+    /// Whether the file system has stable inode numbers, by which a copied data folder is
+    /// detected.
     pub numbers_files: bool,
 }
 
 impl Default for ReplicaTuning {
-    /// Three voters on machines with gigabytes of disk and hundreds of megabytes
-    /// of memory.
+    /// Tuning for three voters with gigabytes of disk and hundreds of megabytes of memory.
     fn default() -> Self {
         ReplicaTuning {
             target_voters: 3,
@@ -88,42 +87,42 @@
 /// Settings of the control daemon.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ControlSettings {
-    /// What every daemon needs.
+    /// Settings that all daemons have.
     pub common: CommonSettings,
-    /// Folder that holds every file of the replica.
+    /// Folder for all files of the replica.
     pub data_folder: PathBuf,
-    /// Where daemons reach this replica.
+    /// Listen address for other daemons.
     pub internal: SocketAddr,
-    /// Where operators reach this replica.
+    /// Listen address of the operator API.
     pub operator: SocketAddr,
-    /// The other control replicas, standbys included.
+    /// Other control replicas, including standbys.
     pub peers: Vec<Peer>,
-    /// Voters of a deployment that starts for the first time.
+    /// Voters of a new cluster.
     pub initial_voters: Vec<NodeId>,
-    /// How this replica finds the others.
+    /// Method of finding the other replicas.
     pub discovery: PeerDiscovery,
-    /// How the log is kept.
+    /// Log retention and voter replacement.
     pub tuning: ReplicaTuning,
-    /// Bounds.
+    /// Resource limits.
     pub limits: ControlLimits,
 }
 
-/// Bounds on what a router takes on.
+/// Resource limits of a router.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RouterLimits {
-    /// Connections of callers held at once.
+    /// Maximum number of open connections from callers.
     pub max_connections: usize,
-    /// Requests in flight at once.
+    /// Maximum number of requests in flight.
     pub max_in_flight: usize,
-    /// Engines up to which the router follows every engine itself; above, the
-    /// routers of a zone share them.
+    /// Number of engines, over all zones, up to which each router observes all of them.
+    /// With more engines, the routers of a zone divide them.
     pub full_follow_engines: usize,
-    /// Longest time that a planned stop waits for requests in flight, in seconds.
+    /// Timeout for requests in flight during a graceful shutdown, in seconds.
     pub drain_seconds: u64,
 }
 
 impl Default for RouterLimits {
-    /// Sized for a machine that carries a third of one zone's peak.
+    /// Limits for a router that serves a third of the peak load of a zone.
     fn default() -> Self {
         RouterLimits {
             max_connections: 8_192,
@@ -137,19 +136,19 @@
 /// Settings of the router daemon.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouterSettings {
-    /// What every daemon needs.
+    /// Settings that all daemons have.
     pub common: CommonSettings,
-    /// Where callers reach this router.
+    /// Listen address for callers.
     pub caller: SocketAddr,
-    /// Where operators reach this router.
+    /// Listen address of the operator API.
     pub operator: SocketAddr,
-    /// Where other routers reach this router.
+    /// Listen address for other routers.
     pub internal: SocketAddr,
-    /// The control replicas.
+    /// Control replicas.
     pub control: Vec<Peer>,
-    /// The other routers.
+    /// Other routers.
     pub peers: Vec<Peer>,
-    /// Bounds.
+    /// Resource limits.
     pub limits: RouterLimits,
 }
 
@@ -203,8 +202,8 @@
     let known: BTreeSet<NodeId> = peers.iter().map(|peer| peer.id).chain([own]).collect();
     let unique: BTreeSet<NodeId> = voters.iter().copied().collect();
     let accept = |voters: &Vec<NodeId>| {
-        let odd = voters.len() % 2 == 1 && voters.len() <= MAX_VOTERS;
-        odd && unique.len() == voters.len() && unique.is_subset(&known)
+        let is_valid_count = voters.len() % 2 == 1 && voters.len() <= MAX_VOTERS;
+        is_valid_count && unique.len() == voters.len() && unique.is_subset(&known)
     };
     section.check("initial_voters", Some(voters), accept, VOTERS)
 }
@@ -271,7 +270,7 @@
     }
 }
 
-/// Reads a list of daemons; `own` must not be among them.
+/// Reads a list of daemons and reports a fault if it contains `own`.
 fn read_peers(section: &mut Section<'_>, key: &str, own: Option<NodeId>) -> Vec<Peer> {
     let mut peers: Vec<Peer> = Vec::new();
     for item in section.tables(key) {
--- a/crates/settings/src/node_file/section.rs
+++ b/crates/settings/src/node_file/section.rs
@@ -1,4 +1,4 @@
-//! Reads a TOML document key by key and collects every fault on the way.
+//! Reader of a TOML document, key by key, that collects all faults.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -14,10 +14,10 @@
 
 type Faults = Rc<RefCell<Vec<NodeFault>>>;
 
-/// Overrides that no section has asked for yet, by dotted key.
+/// Overrides that no section has read yet, by dotted key.
 type PendingOverrides = Rc<RefCell<BTreeMap<String, String>>>;
 
-/// A parsed document with the faults found in it so far.
+/// Parsed document with the faults found so far.
 pub(super) struct Document<'i> {
     table: Option<Spanned<DeTable<'i>>>,
     faults: Faults,
@@ -25,7 +25,7 @@
 }
 
 impl<'i> Document<'i> {
-    /// Parses `source`; faults of its syntax are recorded.
+    /// Parses `source` and records syntax errors as faults.
     pub fn parse(source: &'i str, overrides: &[NodeOverride]) -> Self {
         let (table, errors) = DeTable::parse_recoverable(source);
         let faults = errors.iter().map(syntax_fault).collect();
@@ -37,7 +37,7 @@
         }
     }
 
-    /// The section that holds the whole document. Meant to be called once.
+    /// Takes the root section. Further calls return an empty section.
     pub fn root(&mut self) -> Section<'i> {
         let (table, span) = match self.table.take() {
             Some(table) => (table.get_ref().clone(), 0..0),
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Every fault found, overrides that name no known key included.
+    /// Returns all faults, including those of overrides with unknown keys.
     pub fn into_faults(self) -> Vec<NodeFault> {
         let mut faults = self.faults.take();
         for (key, _) in self.overrides.take() {
@@ -79,7 +79,7 @@
     }
 }
 
-/// One table of the document.
+/// Table of the document.
 pub(super) struct Section<'i> {
     prefix: String,
     span: Range<usize>,
@@ -94,22 +94,22 @@
         if self.prefix.is_empty() { key.to_owned() } else { format!("{}.{key}", self.prefix) }
     }
 
-    fn take(&mut self, key: &str) -> Option<Spanned<DeValue<'i>>> {
+    fn take_value(&mut self, key: &str) -> Option<Spanned<DeValue<'i>>> {
         let (name, value) = self.table.remove_entry(key)?;
         let _ = name;
         self.seen.insert(key.to_owned(), FaultPlace::File(value.span()));
         Some(value)
     }
 
-    /// A value that may be absent; a value that can't be read is a fault.
+    /// Reads an optional value. A value that can't be deserialized is a fault.
     pub fn optional<T: DeserializeOwned>(&mut self, key: &str, allowed: &str) -> Option<T> {
-        let in_file = self.take(key);
+        let in_file = self.take_value(key);
         let full_key = self.full_key(key);
         let flag = self.overrides.borrow_mut().remove(&full_key);
         let read = match flag {
             Some(text) => {
                 self.seen.insert(key.to_owned(), FaultPlace::Flag(full_key));
-                read_flag(&text)
+                parse_flag(&text)
             }
             None => T::deserialize(in_file?.into_deserializer()),
         };
@@ -123,7 +123,7 @@
         }
     }
 
-    /// A value that must be there.
+    /// Reads a required value. An absent value is a fault.
     pub fn required<T: DeserializeOwned>(&mut self, key: &str, allowed: &str) -> Option<T> {
         let value = self.optional(key, allowed);
         if !self.seen.contains_key(key) {
@@ -132,7 +132,7 @@
         value
     }
 
-    /// Passes `value` on if `accept` accepts it and records a fault otherwise.
+    /// Returns `value` if `accept` accepts it and records a fault otherwise.
     pub fn check<T>(
         &mut self,
         key: &str,
@@ -148,15 +148,15 @@
         None
     }
 
-    /// The sub-table `key`, if there is one.
+    /// Reads the sub-table `key`, if it exists.
     pub fn table(&mut self, key: &str) -> Option<Section<'i>> {
-        let value = self.take(key)?;
+        let value = self.take_value(key)?;
         self.subsection(key, self.full_key(key), value)
     }
 
-    /// The tables of the list `key`; empty if it is absent.
+    /// Reads the tables of the list `key`. Empty if the key is absent.
     pub fn tables(&mut self, key: &str) -> Vec<Section<'i>> {
-        let Some(value) = self.take(key) else {
+        let Some(value) = self.take_value(key) else {
             return Vec::new();
         };
         let DeValue::Array(items) = value.into_inner() else {
@@ -166,7 +166,9 @@
         let prefix = self.full_key(key);
         let items = items.into_iter().enumerate();
         items
-            .filter_map(|(place, item)| self.subsection(key, format!("{prefix}[{place}]"), item))
+            .filter_map(|(position, item)| {
+                self.subsection(key, format!("{prefix}[{position}]"), item)
+            })
             .collect()
     }
 
@@ -191,7 +193,7 @@
         })
     }
 
-    /// Records every key that nobody asked for as a fault.
+    /// Records a fault for each key that wasn't read.
     pub fn finish(self) {
         let known: Vec<&str> = self.seen.keys().map(String::as_str).collect();
         for key in self.table.keys() {
@@ -206,26 +208,26 @@
         }
     }
 
-    /// Records a fault of the value at `key`.
+    /// Records a fault of the value of `key`.
     pub fn fault_at(&self, key: &str, message: impl Into<String>, allowed: &str) {
         let place = self.seen.get(key).cloned();
-        self.push(self.full_key(key), message.into(), allowed, place);
+        self.record_fault(self.full_key(key), message.into(), allowed, place);
     }
 
     /// Records a fault of the section itself.
     pub fn fault_here(&self, message: impl Into<String>, allowed: &str) {
-        self.push(self.prefix.clone(), message.into(), allowed, None);
+        self.record_fault(self.prefix.clone(), message.into(), allowed, None);
     }
 
-    fn push(&self, key: String, message: String, allowed: &str, place: Option<FaultPlace>) {
+    fn record_fault(&self, key: String, message: String, allowed: &str, place: Option<FaultPlace>) {
         let place = place.unwrap_or_else(|| FaultPlace::File(self.span.clone()));
         let allowed = allowed.to_owned();
         self.faults.borrow_mut().push(NodeFault { key, message, allowed, place, line: None });
     }
 }
 
-/// Reads a flag's text as a TOML value and, where it is none, as a plain string.
-fn read_flag<T: DeserializeOwned>(text: &str) -> Result<T, toml::de::Error> {
+/// Deserializes the text of a flag as a TOML value or, if that fails, as a plain string.
+fn parse_flag<T: DeserializeOwned>(text: &str) -> Result<T, toml::de::Error> {
     let as_toml = DeValue::parse(text).and_then(|value| T::deserialize(value.into_deserializer()));
     as_toml.or_else(|error| {
         let plain: serde::de::value::StrDeserializer<'_, toml::de::Error> =
--- a/crates/settings/src/overrides.rs
+++ b/crates/settings/src/overrides.rs
@@ -1,42 +1,42 @@
-//! The values one tree node may set, and the resolved values of a service.
+//! Values that a tree node can set, and the values in effect for a service.
 
 use juniper_types::{AdapterName, ModelName, WeightsVersion};
 use minicbor::{Decode, Encode};
 use serde::{Deserialize, Serialize};
 
-/// What kind of back end serves the traffic and whether it may be repeated.
+/// Kind of traffic, which determines the back ends and whether requests may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, Encode, Decode)]
 #[serde(rename_all = "kebab-case")]
 pub enum TrafficKind {
-    /// Chat completions by a model engine; may be repeated.
+    /// Chat completions by a model engine, which may be retried.
     #[n(0)]
     Chat,
     /// Application requests that run at most once and need a claim.
     #[n(1)]
     AtMostOnce,
-    /// Application requests that may be repeated.
+    /// Application requests that may be retried.
     #[n(2)]
     Repeatable,
-    /// Byte streams that resume by range.
+    /// Byte streams that resume with a range request.
     #[n(3)]
     Preview,
 }
 
-/// What a router does with repeatable traffic while it can't reach the control replicas.
+/// Policy of a router for retryable traffic while it can't reach the control replicas.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, Encode, Decode)]
 #[serde(rename_all = "kebab-case")]
 pub enum CutOffPolicy {
-    /// Serve on the last accepted revision, up to `max_settings_age_seconds`.
+    /// Serve with the last accepted revision, up to an age of `max_settings_age_seconds`.
     #[n(0)]
     Serve,
-    /// Refuse at once.
+    /// Reject immediately.
     #[n(1)]
     Refuse,
 }
 
 macro_rules! settings_values {
     ($($(#[$doc:meta])* $index:literal $field:ident: $value:ty = $default:expr;)*) => {
-        /// Values that one tree node sets; `None` inherits from the parent.
+        /// Values that one tree node sets. `None` inherits from the parent.
         #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, Encode, Decode)]
         #[serde(default, deny_unknown_fields)]
         #[cbor(map)]
@@ -50,15 +50,15 @@
         }
 
         impl Overrides {
-            /// Replaces every value that `above` sets in `self`'s place where `self` sets none.
-            pub fn inherit(&mut self, above: &Overrides) {
+            /// Takes over the values of `parent` that `self` doesn't set.
+            pub fn inherit(&mut self, parent: &Overrides) {
                 $(if self.$field.is_none() {
-                    self.$field = above.$field.clone();
+                    self.$field = parent.$field.clone();
                 })*
             }
         }
 
-        /// The values in force for one service, every one resolved.
+        /// Values in effect for one service.
         #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
         pub struct EffectiveSettings {
             $(
@@ -68,7 +68,7 @@
         }
 
         impl EffectiveSettings {
-            /// Fills what `overrides` leaves open with the built-in defaults.
+            /// Resolves `overrides`, with the built-in default for each unset value.
             pub fn resolve(overrides: &Overrides) -> Self {
                 EffectiveSettings {
                     $($field: overrides.$field.clone().unwrap_or_else(|| $default),)*
@@ -78,7 +78,7 @@
     };
 }
 
-/// Name of the model that is assumed where the tree names none.
+/// Model that is used if the tree sets none.
 pub const DEFAULT_MODEL: &str = "base";
 
 settings_values! {
@@ -86,50 +86,51 @@
     0 traffic: TrafficKind = TrafficKind::Chat;
     /// Model that serves chat traffic.
     1 model: ModelName = ModelName::new(DEFAULT_MODEL).unwrap_or_else(|_| unreachable!("valid name"));
-    /// Adapter loaded beside the model; the empty list means none.
+    /// Adapter that is loaded with the model. An empty list means none.
     2 adapter: Vec<AdapterName> = Vec::new();
     /// Version of the model's weights.
     3 weights: WeightsVersion = WeightsVersion(1);
-    /// Time a caller waits for a complete answer, in milliseconds.
+    /// Timeout for a complete answer, in milliseconds.
     4 deadline_ms: u64 = 60_000;
-    /// Time to first token above which a request is refused rather than queued, in milliseconds.
+    /// Time to first token above which a request is rejected and not queued, in milliseconds.
     5 first_token_deadline_ms: u64 = 10_000;
-    /// Priority handed to engines, 0 (lowest) to 9.
+    /// Priority passed to engines, 0 (lowest) to 9.
     6 priority: u8 = 5;
-    /// Requests accepted per second over the whole fleet.
+    /// Requests accepted per second by all routers together.
     7 rate_per_second: f64 = 1_000.0;
-    /// Requests accepted at once above the rate.
+    /// Burst size of the rate limit, in requests.
     8 burst: u32 = 200;
-    /// Requests in flight over the whole fleet.
+    /// Maximum number of requests in flight at all routers together.
     9 concurrency: u32 = 1_000;
-    /// Largest share of waiting work, in percent.
+    /// Maximum share of the queued work, in percent.
     10 queue_share_percent: u8 = 50;
-    /// Weight in the fair sharing between tenants.
+    /// Weight in fair sharing between tenants.
     11 share_weight: u32 = 100;
-    /// Weight of recomputed tokens in the routing cost; 1.0 is neutral.
+    /// Weight of recomputed tokens in the routing cost, 1.0 being neutral.
     12 waste_weight: f64 = 1.0;
-    /// Weight of the time to first token in the routing cost; 1.0 is neutral.
+    /// Weight of the time to first token in the routing cost, 1.0 being neutral.
     13 latency_weight: f64 = 1.0;
-    /// What happens to repeatable traffic while cut off from the control replicas.
+    /// Policy for retryable traffic while partitioned from the control replicas.
     14 cut_off: CutOffPolicy = CutOffPolicy::Serve;
-    /// Oldest settings that traffic is served on while cut off, in seconds.
+    /// Maximum age of settings to serve traffic with while partitioned, in seconds.
     15 max_settings_age_seconds: u64 = 7_200;
     /// Retries allowed per hundred requests.
     16 retry_budget_percent: u8 = 10;
-    /// Largest accepted request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     17 max_body_bytes: u64 = 4 << 20;
-    /// Most tokens generated for one request.
+    /// Maximum number of tokens generated for one request.
     18 max_output_tokens: u32 = 4_096;
-    /// Prompt texts whose blocks are kept warm.
+    /// Prompt prefixes to keep cached.
     19 warm_prefixes: Vec<String> = Vec::new();
-    /// Copies kept of each warm prefix.
+    /// Number of cached copies of each warm prefix.
     20 warm_copies: u32 = 1;
-    /// Loads from the weight store at once over the whole fleet; read at the root.
+    /// Maximum number of concurrent loads from the weight store by the whole fleet. Only
+    /// the value of the root applies.
     21 weight_loads_at_once: u32 = 2;
 }
 
 impl EffectiveSettings {
-    /// The adapter in force, if any.
+    /// Adapter in effect, if any.
     pub fn adapter(&self) -> Option<&AdapterName> {
         self.adapter.first()
     }
--- a/crates/settings/src/path.rs
+++ b/crates/settings/src/path.rs
@@ -1,4 +1,4 @@
-//! Where a node stands in the settings tree: root, zone, tenant or service.
+//! Path of a node in the settings tree: root, zone, tenant or service.
 
 use std::fmt;
 use std::str::FromStr;
@@ -9,28 +9,28 @@
 use minicbor::{Decode, Decoder, Encode, Encoder};
 use serde::{Deserialize, Serialize};
 
-/// The name that sorts first: `-` precedes every other character of a name.
+/// Name that sorts first, since `-` precedes all other characters of a name.
 const LEAST_NAME: &str = "-";
 
-/// Why a text is not a settings path.
+/// Error when a settings path is parsed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PathError {
-    /// The path does not start with a slash.
+    /// The path doesn't start with a slash.
     #[error("a settings path starts with '/'")]
     NotAbsolute,
     /// The path has more levels than root, zone, tenant and service.
     #[error("a settings path has at most three names: /zone/tenant/service")]
     TooDeep,
-    /// One of its names is not valid.
+    /// A name in the path is invalid.
     #[error(transparent)]
     Name(#[from] NameError),
 }
 
-/// A place in the tree, written `/`, `/zone`, `/zone/tenant` or `/zone/tenant/service`.
+/// Path in the tree, written `/`, `/zone`, `/zone/tenant` or `/zone/tenant/service`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub enum SettingsPath {
-    /// The defaults that everything inherits.
+    /// Root, whose values all nodes inherit.
     Root,
     /// A zone.
     Zone(ZoneName),
@@ -41,7 +41,7 @@
 }
 
 impl SettingsPath {
-    /// The path one level up, or `None` at the root.
+    /// Path one level up, or `None` for the root.
     pub fn parent(&self) -> Option<SettingsPath> {
         match self {
             SettingsPath::Root => None,
@@ -53,13 +53,13 @@
         }
     }
 
-    /// The path that sorts before every service of a tenant.
+    /// Lower bound of the paths of a tenant's services.
     pub(crate) fn first_service(zone: &ZoneName, tenant: &TenantName) -> SettingsPath {
         let least = ServiceName::new(LEAST_NAME).unwrap_or_else(|_| unreachable!("valid name"));
         SettingsPath::Service(zone.clone(), tenant.clone(), least)
     }
 
-    /// Whether `self` is `ancestor` or lies below it.
+    /// Whether `self` is `ancestor` or below it.
     pub fn is_within(&self, ancestor: &SettingsPath) -> bool {
         let mut current = Some(self.clone());
         while let Some(path) = current {
@@ -89,11 +89,11 @@
     type Err = PathError;
 
     fn from_str(text: &str) -> Result<Self, PathError> {
-        let rest = text.strip_prefix('/').ok_or(PathError::NotAbsolute)?;
-        if rest.is_empty() {
+        let relative = text.strip_prefix('/').ok_or(PathError::NotAbsolute)?;
+        if relative.is_empty() {
             return Ok(SettingsPath::Root);
         }
-        let names: Vec<&str> = rest.split('/').collect();
+        let names: Vec<&str> = relative.split('/').collect();
         match names.as_slice() {
             [zone] => Ok(SettingsPath::Zone(ZoneName::new(zone)?)),
             [zone, tenant] => {
--- a/crates/settings/src/ranges.rs
+++ b/crates/settings/src/ranges.rs
@@ -1,4 +1,4 @@
-//! Ranges of the values that a node may set, and the other checks of one node.
+//! Validation of a single node: ranges of values, size and allowed content.
 
 use std::fmt::Display;
 use std::ops::RangeInclusive;
@@ -8,25 +8,25 @@
 use crate::path::SettingsPath;
 use crate::tree::{ApiKeyHash, SettingsNode};
 
-/// One hour: no caller waits longer for one answer.
+/// One hour.
 const MAX_DEADLINE_MS: u64 = 3_600_000;
-/// Far above the 3,600 requests a second of the largest deployment.
-const MAX_RATE: f64 = 1_000_000.0;
+/// Requests per second.
+const MAX_RATE_PER_SECOND: f64 = 1_000_000.0;
 const MAX_COUNT: u32 = 1_000_000;
-/// Every one of the 3,100 accelerators of the largest deployment.
+/// Number of accelerators of the largest supported deployment.
 const MAX_WEIGHT_LOADS: u32 = 3_100;
-/// Thirty days; older settings are as good as none.
+/// Thirty days.
 const MAX_SETTINGS_AGE_SECONDS: u64 = 2_592_000;
-/// A body is held in memory while it is relayed.
+/// Bounded because a body is buffered in memory while it is forwarded.
 const MAX_BODY_BYTES: u64 = 64 << 20;
 const MAX_OUTPUT_TOKENS: u32 = 1_000_000;
-/// Weights scale a cost by at most a hundred either way.
-const WEIGHTS: RangeInclusive<f64> = 0.01..=100.0;
+/// Range of a weight in the routing cost.
+const COST_WEIGHT_RANGE: RangeInclusive<f64> = 0.01..=100.0;
 const MAX_WARM_PREFIXES: usize = 64;
 const MAX_WARM_PREFIX_BYTES: usize = 32 << 10;
 const MAX_WARM_COPIES: u32 = 64;
 
-/// Checks of one node that need nothing but the node.
+/// Adds the faults of one node to `faults`, without checks across nodes.
 pub(crate) fn check_node(
     path: &SettingsPath,
     node: &SettingsNode,
@@ -54,13 +54,13 @@
     check.range("deadline_ms", values.deadline_ms, 1..=MAX_DEADLINE_MS);
     check.range("first_token_deadline_ms", values.first_token_deadline_ms, 1..=MAX_DEADLINE_MS);
     check.range("priority", values.priority, 0..=9);
-    check.range("rate_per_second", values.rate_per_second, 0.0..=MAX_RATE);
+    check.range("rate_per_second", values.rate_per_second, 0.0..=MAX_RATE_PER_SECOND);
     check.range("burst", values.burst, 1..=MAX_COUNT);
     check.range("concurrency", values.concurrency, 0..=MAX_COUNT);
     check.range("queue_share_percent", values.queue_share_percent, 0..=100);
     check.range("share_weight", values.share_weight, 1..=MAX_COUNT);
-    check.range("waste_weight", values.waste_weight, WEIGHTS);
-    check.range("latency_weight", values.latency_weight, WEIGHTS);
+    check.range("waste_weight", values.waste_weight, COST_WEIGHT_RANGE);
+    check.range("latency_weight", values.latency_weight, COST_WEIGHT_RANGE);
     check.range("max_settings_age_seconds", values.max_settings_age_seconds, {
         0..=MAX_SETTINGS_AGE_SECONDS
     });
@@ -76,14 +76,14 @@
     }
 }
 
-/// Collects range faults of one node.
+/// Range checks of one node that collect faults.
 struct RangeCheck<'a> {
     path: &'a SettingsPath,
     faults: &'a mut Vec<TreeFault>,
 }
 
 impl RangeCheck<'_> {
-    /// A value that is no number lies outside every range.
+    /// Adds a fault if `value` is outside `allowed`. NaN is outside every range.
     fn range<T>(&mut self, field: &str, value: Option<T>, allowed: RangeInclusive<T>)
     where
         T: PartialOrd + Display,
--- a/crates/settings/src/tree.rs
+++ b/crates/settings/src/tree.rs
@@ -1,4 +1,4 @@
-//! The settings tree itself: nodes by path, lookup and inheritance.
+//! Settings tree: nodes by path, lookup and inheritance.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -12,16 +12,17 @@
 use crate::path::SettingsPath;
 use crate::validated::NodeChange;
 
-/// Hash of an API key; the key itself is never stored.
+/// Hash of an API key. The key itself is never stored.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 #[derive(Encode, Decode)]
 #[cbor(transparent)]
 pub struct ApiKeyHash(#[n(0)] pub String);
 
-/// Hexadecimal digits of a hash.
+/// Number of hexadecimal digits in a hash.
 const API_KEY_HASH_DIGITS: usize = 64;
 
+/// Key derivation context that separates these hashes from other uses of BLAKE3.
 const API_KEY_CONTEXT: &str = "juniperhollow api key v1";
 
 impl ApiKeyHash {
@@ -32,19 +33,19 @@
         ApiKeyHash(hasher.finalize().to_hex().to_string())
     }
 
-    /// Whether this is the hash of `key`; takes the same time for every key.
+    /// Whether this is the hash of `key`, compared in constant time.
     pub fn matches(&self, key: &str) -> bool {
         self.0.as_bytes().ct_eq(ApiKeyHash::of(key).0.as_bytes()).into()
     }
 
-    /// Whether the text can be a hash at all: 64 lower-case hexadecimal digits.
+    /// Whether the text consists of 64 lower-case hexadecimal digits.
     pub fn is_well_formed(&self) -> bool {
         let is_digit = |byte: u8| byte.is_ascii_digit() || (b'a'..=b'f').contains(&byte);
         self.0.len() == API_KEY_HASH_DIGITS && self.0.bytes().all(is_digit)
     }
 }
 
-/// What a back end serves.
+/// Kind of a back end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, Encode, Decode)]
 #[serde(rename_all = "kebab-case")]
 pub enum BackEndKind {
@@ -57,72 +58,73 @@
     /// Preview server.
     #[n(2)]
     Preview,
-    /// Store of kept KV cache.
+    /// KV cache store.
     #[n(3)]
     CacheStore,
 }
 
-/// One back end of a zone.
+/// Back end of a zone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Encode, Decode)]
 #[serde(deny_unknown_fields)]
 #[cbor(map)]
 pub struct BackEnd {
-    /// Number of the back end, unique in the whole tree.
+    /// Id of the back end, unique in the whole tree.
     #[n(0)]
     pub id: EngineId,
-    /// What it serves.
+    /// Kind of the back end.
     #[n(1)]
     pub kind: BackEndKind,
-    /// Address of its HTTP face.
+    /// Address of the HTTP API.
     #[cbor(n(2), with = "crate::address")]
     pub address: SocketAddr,
-    /// Whether an operator is draining it: it gets no new work.
+    /// Whether an operator is draining the back end, which then receives no new requests.
     #[n(3)]
     #[serde(default)]
     pub leaving: bool,
 }
 
-/// One node of the tree.
+/// Node of the settings tree.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, Encode, Decode)]
 #[serde(default, deny_unknown_fields)]
 #[cbor(map)]
 pub struct SettingsNode {
-    /// Values set here; the rest is inherited.
+    /// Values that the node sets. Other values are inherited.
     #[n(0)]
     pub overrides: Overrides,
-    /// Back ends; allowed on zones only.
+    /// Back ends, allowed on zones only.
     #[n(1)]
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub back_ends: Vec<BackEnd>,
-    /// Hashes of the API keys of callers; allowed on tenants only.
+    /// Hashes of the API keys of callers, allowed on tenants only.
     #[n(2)]
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub api_keys: Vec<ApiKeyHash>,
 }
 
-/// The whole tree. Every node but the root has its parent in the tree.
+/// Settings tree. A valid tree contains the parent of every node, except that the root
+/// may be absent.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, Encode, Decode)]
 #[serde(transparent)]
 #[cbor(transparent)]
 pub struct SettingsTree {
-    /// Nodes by path; the root may be absent while it sets nothing.
+    /// Nodes by path. An absent root is equivalent to an empty one.
     #[n(0)]
     pub nodes: BTreeMap<SettingsPath, SettingsNode>,
 }
 
 impl SettingsTree {
-    /// The node at `path`, if the tree has it.
+    /// Node at `path`, if it exists.
     pub fn node(&self, path: &SettingsPath) -> Option<&SettingsNode> {
         self.nodes.get(path)
     }
 
-    /// Whether a tree without `node` means the same: a root that sets nothing.
-    pub(crate) fn is_implied(path: &SettingsPath, node: &SettingsNode) -> bool {
+    /// Whether the node is an empty root, which is equivalent to an absent one.
+    pub(crate) fn is_empty_root(path: &SettingsPath, node: &SettingsNode) -> bool {
         *path == SettingsPath::Root && *node == SettingsNode::default()
     }
 
-    /// The values in force at `path`, inherited from every level above it.
-    /// Levels that are absent from the tree contribute nothing.
+    /// Values in effect at `path`, with those inherited from the levels above it. Levels
+    /// that are absent from the tree are skipped.
     pub fn effective(&self, path: &SettingsPath) -> EffectiveSettings {
         let mut merged = Overrides::default();
         let mut current = Some(path.clone());
@@ -135,7 +137,7 @@
         EffectiveSettings::resolve(&merged)
     }
 
-    /// Every back end with its zone, in path order.
+    /// Back ends with their zones, in path order.
     pub fn back_ends(&self) -> impl Iterator<Item = (&ZoneName, &BackEnd)> {
         self.nodes.iter().flat_map(|(path, node)| {
             let zone = match path {
@@ -146,7 +148,7 @@
         })
     }
 
-    /// Every tenant with its home zone and node, in path order.
+    /// Tenants with their home zones and nodes, in path order.
     pub fn tenants(&self) -> impl Iterator<Item = (&ZoneName, &TenantName, &SettingsNode)> {
         self.nodes.iter().filter_map(|(path, node)| match path {
             SettingsPath::Tenant(zone, tenant) => Some((zone, tenant, node)),
@@ -154,7 +156,7 @@
         })
     }
 
-    /// Names of the services below a tenant.
+    /// Names of the services of a tenant.
     pub fn services<'a>(
         &'a self,
         zone: &'a ZoneName,
@@ -167,7 +169,7 @@
         })
     }
 
-    /// Paths of the node at `path`, if there is one, and of every node below it.
+    /// Paths of the node at `path`, if it exists, and of all nodes below it.
     pub fn paths_within(&self, path: &SettingsPath) -> Vec<SettingsPath> {
         let within = |candidate: &SettingsPath| candidate.is_within(path);
         match path {
@@ -185,7 +187,7 @@
         }
     }
 
-    /// What separates `self` from `newer`, in path order.
+    /// Changes from `self` to `newer`, in path order.
     pub fn diff(&self, newer: &SettingsTree) -> Vec<NodeChange> {
         let paths: BTreeSet<&SettingsPath> = self.nodes.keys().chain(newer.nodes.keys()).collect();
         let changes = paths.into_iter().map(|path| NodeChange {
--- a/crates/settings/src/validated.rs
+++ b/crates/settings/src/validated.rs
@@ -1,4 +1,4 @@
-//! A settings tree that is known to be valid, changed one change at a time.
+//! Settings tree that is always valid, with incremental validation of changes.
 
 use std::collections::BTreeMap;
 
@@ -14,25 +14,25 @@
 use crate::ranges::check_node;
 use crate::tree::{ApiKeyHash, SettingsNode, SettingsTree};
 
-/// What one change did to one node.
+/// Effect of a change on one node.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Encode, Decode)]
 pub struct NodeChange {
-    /// The node.
+    /// Path of the node.
     #[n(0)]
     pub path: SettingsPath,
-    /// The node before, if there was one.
+    /// Node before the change, if it existed.
     #[n(1)]
     pub before: Option<SettingsNode>,
-    /// The node after, if there is one.
+    /// Node after the change, if it exists.
     #[n(2)]
     pub after: Option<SettingsNode>,
 }
 
 impl NodeChange {
-    /// The edit that does the same.
+    /// Edit with the same effect.
     ///
-    /// Removing the root takes the whole tree with it, although the root alone
-    /// may be absent; putting an empty root makes it absent and nothing else.
+    /// A removed root becomes a put of an empty root, because removing the root would
+    /// remove the whole tree.
     pub fn to_edit(&self) -> Edit {
         let path = self.path.clone();
         match &self.after {
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The change that takes this one back.
+    /// Change that reverts this one.
     pub fn inverse(&self) -> NodeChange {
         NodeChange {
             path: self.path.clone(),
@@ -52,15 +52,15 @@
     }
 }
 
-/// Edits that do what `changes` say, in an order that never removes a node
-/// that a later edit puts: removals come first.
+/// Converts `changes` to edits. Removals come first, because removing a node also removes
+/// the nodes below it, which may be put by another edit.
 pub fn to_change_set(changes: &[NodeChange]) -> ChangeSet {
     let (puts, removals): (Vec<_>, Vec<_>) = changes.iter().partition(|c| c.after.is_some());
     let edits = removals.into_iter().chain(puts).map(NodeChange::to_edit).collect();
     ChangeSet { edits }
 }
 
-/// Every fault of `tree`, found by a walk over the whole of it.
+/// Returns all faults of `tree`, found by validation of the whole tree.
 pub fn validate(tree: &SettingsTree) -> Vec<TreeFault> {
     match ValidatedTree::new(tree.clone()) {
         Ok(_) => Vec::new(),
@@ -68,10 +68,10 @@
     }
 }
 
-/// A valid tree with the tables that keep it so cheaply.
+/// Valid tree with an index for incremental validation.
 ///
 /// Invariant: `index` describes exactly the nodes of `tree`, and `tree` has no
-/// fault. A refused change leaves both as they were.
+/// fault. A rejected change leaves both unchanged.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ValidatedTree {
     tree: SettingsTree,
@@ -79,9 +79,9 @@
 }
 
 impl ValidatedTree {
-    /// Checks the whole of `tree`.
+    /// Validates the whole of `tree`.
     pub fn new(mut tree: SettingsTree) -> Result<Self, Vec<TreeFault>> {
-        tree.nodes.retain(|path, node| !SettingsTree::is_implied(path, node));
+        tree.nodes.retain(|path, node| !SettingsTree::is_empty_root(path, node));
         let mut index = TreeIndex::default();
         for (path, node) in &tree.nodes {
             index.insert(path, node, encoded_bytes(path, node));
@@ -91,28 +91,28 @@
         if faults.is_empty() { Ok(validated) } else { Err(faults) }
     }
 
-    /// The tree.
+    /// Settings tree.
     pub fn tree(&self) -> &SettingsTree {
         &self.tree
     }
 
-    /// Bytes of the encoded tree.
+    /// Size of the encoded tree, in bytes.
     pub fn bytes(&self) -> usize {
         self.index.bytes()
     }
 
-    /// The tenant that an API key belongs to.
+    /// Path of the tenant that an API key belongs to.
     pub fn api_key(&self, hash: &ApiKeyHash) -> Option<&SettingsPath> {
         self.index.api_key(hash)
     }
 
-    /// The zone node that lists a back end.
+    /// Path of the zone that lists a back end.
     pub fn back_end(&self, id: EngineId) -> Option<&SettingsPath> {
         self.index.back_end(id)
     }
 
-    /// Applies `change` if the resulting tree has no fault. Costs what the
-    /// change touches, not what the tree holds.
+    /// Applies `change` if the resulting tree has no fault. The cost depends on the nodes
+    /// that the change touches, not on the size of the tree.
     pub fn apply(&mut self, change: &ChangeSet) -> Result<Vec<NodeChange>, Vec<TreeFault>> {
         let mut before = BTreeMap::new();
         for edit in &change.edits {
@@ -123,7 +123,7 @@
             return Ok(self.effects(before));
         }
         for (path, node) in before {
-            self.set(&path, node);
+            self.replace_node(&path, node);
         }
         Err(faults)
     }
@@ -135,25 +135,29 @@
     ) {
         match edit {
             Edit::Put { path, node } => {
-                let old = self.set(path, Some(SettingsNode::clone(node)));
+                let old = self.replace_node(path, Some(SettingsNode::clone(node)));
                 before.entry(path.clone()).or_insert(old);
             }
             Edit::Remove { path } => {
                 for path in self.tree.paths_within(path) {
-                    let old = self.set(&path, None);
+                    let old = self.replace_node(&path, None);
                     before.entry(path).or_insert(old);
                 }
             }
         }
     }
 
-    /// Puts or removes one node and returns what was there.
-    fn set(&mut self, path: &SettingsPath, node: Option<SettingsNode>) -> Option<SettingsNode> {
+    /// Puts or removes one node and returns the previous one.
+    fn replace_node(
+        &mut self,
+        path: &SettingsPath,
+        node: Option<SettingsNode>,
+    ) -> Option<SettingsNode> {
         let old = self.tree.nodes.remove(path);
         if let Some(old) = &old {
             self.index.remove(path, old, encoded_bytes(path, old));
         }
-        let node = node.filter(|node| !SettingsTree::is_implied(path, node));
+        let node = node.filter(|node| !SettingsTree::is_empty_root(path, node));
         if let Some(node) = node {
             self.index.insert(path, &node, encoded_bytes(path, &node));
             self.tree.nodes.insert(path.clone(), node);
@@ -169,11 +173,11 @@
         changes.filter(|change| change.before != change.after).collect()
     }
 
-    /// Faults that the nodes at `paths` take part in, and faults of the totals.
+    /// Returns the faults that involve the nodes at `paths`, and faults of the totals.
     ///
-    /// If the tree was valid before the nodes at `paths` changed, these are all
-    /// its faults: a removal takes every node below with it, so only a node
-    /// that was put can miss its parent, and only its values can be repeated.
+    /// If the tree was valid before the nodes at `paths` changed, these are all its
+    /// faults: a removal includes all nodes below, so only a node that was put can lack
+    /// its parent or have repeated values.
     fn faults_of<'a>(&self, paths: impl Iterator<Item = &'a SettingsPath>) -> Vec<TreeFault> {
         let mut faults = Vec::new();
         let mut touched = TouchedValues::default();
@@ -194,7 +198,7 @@
     }
 }
 
-/// Counts bytes and keeps none.
+/// Writer that counts bytes and discards them.
 struct ByteCounter(usize);
 
 impl Write for ByteCounter {
@@ -206,11 +210,11 @@
     }
 }
 
-/// Bytes that a node adds to the encoded tree.
+/// Size that a node adds to the encoded tree, in bytes.
 fn encoded_bytes(path: &SettingsPath, node: &SettingsNode) -> usize {
     let mut counter = ByteCounter(0);
     match minicbor::encode((path, node), &mut counter) {
         Ok(()) => counter.0,
-        Err(error) => unreachable!("a counter takes every byte: {error}"),
+        Err(error) => unreachable!("counting bytes cannot fail: {error}"),
     }
 }
