--- a/crates/storage/src/storage.rs
+++ b/crates/storage/src/storage.rs
@@ -240,10 +240,11 @@
             if segment.is_torn() {
                 self.disk.truncate(&file, segment.valid_length)?;
             }
-            let start = if segment.number == mark.segment { mark.offset } else { 0 };
+            let synced_length = if segment.number == mark.segment { mark.offset } else { 0 };
             let content = self.disk.read(&file)?;
-            let unconfirmed = usize::try_from(start).ok().and_then(|start| content.get(start..));
-            self.disk.write_at(&file, start, unconfirmed.unwrap_or_default())?;
+            let unconfirmed =
+                usize::try_from(synced_length).ok().and_then(|start| content.get(start..));
+            self.disk.write_at(&file, synced_length, unconfirmed.unwrap_or_default())?;
             self.disk.sync(&file)?;
         }
         self.disk.sync_folder()
