--- a/crates/settings/tests/hostile.rs
+++ b/crates/settings/tests/hostile.rs
@@ -1,4 +1,4 @@
-//! Texts and bytes from outside: node files, changes and trees that nobody should write.
+//! Malformed node files, flags, paths, changes and trees are rejected without a panic.
 
 use juniper_settings::{ChangeSet, NodeFile, NodeOverride, SettingsPath, SettingsTree, validate};
 use quickcheck::{Gen, QuickCheck, Testable};
@@ -37,28 +37,28 @@
     QuickCheck::new().rng(generator).tests(CASES).quickcheck(property);
 }
 
-/// `text` with some characters replaced, some doubled, and its end cut off.
-fn garbled(text: &str, changes: &[(u16, char)], cut: u16) -> String {
+/// Returns `text` with some characters inserted or replaced and its end truncated.
+fn corrupt_text(text: &str, changes: &[(u16, char)], truncation: u16) -> String {
     let mut characters: Vec<char> = text.chars().collect();
-    for (place, character) in changes {
-        let place = usize::from(*place) % characters.len();
-        match place % 3 {
-            0 => characters.insert(place, *character),
-            1 => characters[place] = characters[place / 2],
-            _ => characters[place] = *character,
+    for (position, character) in changes {
+        let position = usize::from(*position) % characters.len();
+        match position % 3 {
+            0 => characters.insert(position, *character),
+            1 => characters[position] = characters[position / 2],
+            _ => characters[position] = *character,
         }
     }
-    let kept = characters.len() - usize::from(cut) % characters.len();
-    characters.into_iter().take(kept).collect()
+    let length = characters.len() - usize::from(truncation) % characters.len();
+    characters.into_iter().take(length).collect()
 }
 
 #[test]
-fn garbled_node_files_are_reported_but_never_panic() {
-    fn property(changes: Vec<(u16, char)>, cut: u16) -> bool {
-        let source = garbled(NODE_FILE, &changes, cut);
+fn corrupt_node_files_are_reported_without_panic() {
+    fn property(changes: Vec<(u16, char)>, truncation: u16) -> bool {
+        let source = corrupt_text(NODE_FILE, &changes, truncation);
         match NodeFile::parse("node.toml", &source, &[]) {
             Ok(_) => true,
-            // The report is written for people, so it must come out, too.
+            // Formatting the report must not panic either.
             Err(error) => !error.faults().is_empty() && !format!("{error:?}").is_empty(),
         }
     }
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn wild_flags_never_panic() {
+fn arbitrary_flags_never_panic() {
     fn property(key: String, value: String) -> bool {
         let overrides = [NodeOverride { key: key.clone(), value }];
         let parsed = NodeFile::parse("node.toml", NODE_FILE, &overrides);
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn any_text_is_a_path_or_refused() {
+fn arbitrary_text_is_a_path_or_rejected() {
     fn property(text: String) -> bool {
         match text.parse::<SettingsPath>() {
             Ok(path) => path.to_string().parse() == Ok(path),
@@ -87,33 +87,34 @@
 }
 
 #[test]
-fn garbled_changes_never_panic_nor_break_a_tree() {
-    fn property(changes: Vec<(u16, char)>, cut: u16) -> bool {
-        let text = garbled(CHANGE, &changes, cut);
+fn corrupt_changes_never_panic_and_validate_deterministically() {
+    fn property(changes: Vec<(u16, char)>, truncation: u16) -> bool {
+        let text = corrupt_text(CHANGE, &changes, truncation);
         let Ok(change) = serde_json::from_str::<ChangeSet>(&text) else { return true };
         let mut tree = SettingsTree::default();
         change.apply_to(&mut tree);
-        // Validation says what is wrong, twice the same.
+        // Validation must be deterministic.
         validate(&tree) == validate(&tree)
     }
     check(property as fn(Vec<(u16, char)>, u16) -> bool);
 }
 
 #[test]
-fn damaged_trees_never_panic() {
-    let change: ChangeSet = serde_json::from_str(CHANGE).expect("a sound change");
+fn corrupt_encoded_trees_never_panic() {
+    let change: ChangeSet = serde_json::from_str(CHANGE).expect("valid change");
     let mut tree = SettingsTree::default();
     change.apply_to(&mut tree);
-    let bytes = minicbor::to_vec(&tree).expect("plain data");
-    assert_eq!(minicbor::decode::<SettingsTree>(&bytes).expect("a tree"), tree);
+    let bytes = minicbor::to_vec(&tree).expect("encoding into memory");
+    assert_eq!(minicbor::decode::<SettingsTree>(&bytes).expect("valid tree"), tree);
     let mut generator = Gen::from_size_and_seed(SIZE, SEED);
     for _ in 0..CASES {
-        let mut damaged = bytes.clone();
+        let mut corrupt = bytes.clone();
         for _ in 0..3 {
-            let place = <usize as quickcheck::Arbitrary>::arbitrary(&mut generator) % bytes.len();
-            damaged[place] = quickcheck::Arbitrary::arbitrary(&mut generator);
+            let position =
+                <usize as quickcheck::Arbitrary>::arbitrary(&mut generator) % bytes.len();
+            corrupt[position] = quickcheck::Arbitrary::arbitrary(&mut generator);
         }
-        if let Ok(tree) = minicbor::decode::<SettingsTree>(&damaged) {
+        if let Ok(tree) = minicbor::decode::<SettingsTree>(&corrupt) {
             let _ = validate(&tree);
         }
     }
--- a/crates/settings/tests/node_file.rs
+++ b/crates/settings/tests/node_file.rs
@@ -1,10 +1,10 @@
-//! The node file is checked whole, and every fault names its line.
+//! Parsing of node files: all faults are reported, each with its line.
 
 use juniper_settings::node_file::{FaultPlace, NodeFault};
 use juniper_settings::{NodeFile, NodeFileError, NodeOverride};
 use juniper_types::NodeId;
 
-const GOOD: &str = r#"
+const VALID: &str = r#"
 node = 1
 zone = "hartford"
 data_folder = "data"
@@ -27,13 +27,13 @@
 control = [{ id = 1, zone = "hartford", address = "127.0.0.1:7001" }]
 "#;
 
-fn faults(source: &str) -> Vec<NodeFault> {
+fn parse_faults(source: &str) -> Vec<NodeFault> {
     NodeFile::parse("node.toml", source, &[]).unwrap_err().faults().to_vec()
 }
 
 #[test]
-fn a_good_file_is_read_whole() {
-    let file = NodeFile::parse("node.toml", GOOD, &[]).unwrap();
+fn valid_file_is_read_completely() {
+    let file = NodeFile::parse("node.toml", VALID, &[]).unwrap();
     let control = file.control.unwrap();
     assert_eq!(control.initial_voters, [NodeId(1), NodeId(2), NodeId(3)]);
     assert_eq!(control.peers[1].zone.as_str(), "portland");
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn every_fault_is_reported_with_its_line() {
+fn all_faults_are_reported_with_their_lines() {
     let source = r#"
 node = "one"
 zone = "Hartford"
@@ -53,7 +53,7 @@
 initial_voters = [1, 2]
 peers = [{ id = 2, zone = "worcester", adress = "127.0.0.1:7011" }]
 "#;
-    let faults = faults(source);
+    let faults = parse_faults(source);
     let found: Vec<(Option<usize>, &str)> =
         faults.iter().map(|fault| (fault.line, fault.key.as_str())).collect();
     let expected = [
@@ -72,32 +72,32 @@
 }
 
 #[test]
-fn faults_of_syntax_are_reported_together() {
-    let faults = faults("node = \nzone = 'a\n");
+fn syntax_errors_are_reported_together() {
+    let faults = parse_faults("node = \nzone = 'a\n");
     assert!(faults.iter().filter(|fault| fault.allowed == "TOML").count() >= 2, "{faults:?}");
 }
 
 #[test]
-fn the_report_shows_the_source_and_what_is_allowed() {
-    let wrong = GOOD.replace("\"127.0.0.1:7002\"", "7002");
-    let error = NodeFile::parse("node.toml", &wrong, &[]).unwrap_err();
+fn report_shows_the_source_line_and_the_allowed_values() {
+    let invalid = VALID.replace("\"127.0.0.1:7002\"", "7002");
+    let error = NodeFile::parse("node.toml", &invalid, &[]).unwrap_err();
     let report = format!("{:?}", miette::Report::new(error));
     assert!(report.contains("node.toml:10"), "{report}");
     assert!(report.contains("allowed: an IP address and port"), "{report}");
 }
 
 #[test]
-fn flags_override_the_file_and_are_checked_like_it() {
+fn flags_override_the_file_and_are_validated() {
     let flag = |key: &str, value: &str| NodeOverride { key: key.into(), value: value.into() };
-    let good = [flag("control.internal", "127.0.0.1:9001"), flag("node", "4")];
-    let file = NodeFile::parse("node.toml", GOOD, &good);
-    // Node 4 isn't among the voters, which name nodes 1 to 3 that aren't all peers now.
+    let valid = [flag("control.internal", "127.0.0.1:9001"), flag("node", "4")];
+    let file = NodeFile::parse("node.toml", VALID, &valid);
+    // With node 4, voter 1 is neither this node nor a peer.
     assert!(matches!(file, Err(NodeFileError::Faulty { .. })));
-    let file = NodeFile::parse("node.toml", GOOD, &good[..1]).unwrap();
+    let file = NodeFile::parse("node.toml", VALID, &valid[..1]).unwrap();
     assert_eq!(file.control.unwrap().internal.port(), 9001);
 
-    let bad = [flag("control.internal", "nowhere"), flag("control.unknown", "1")];
-    let error = NodeFile::parse("node.toml", GOOD, &bad).unwrap_err();
+    let invalid = [flag("control.internal", "nowhere"), flag("control.unknown", "1")];
+    let error = NodeFile::parse("node.toml", VALID, &invalid).unwrap_err();
     let places: Vec<_> = error.faults().iter().map(|fault| fault.place.clone()).collect();
     assert!(places.contains(&FaultPlace::Flag("control.internal".into())), "{places:?}");
     assert!(places.contains(&FaultPlace::Flag("control.unknown".into())), "{places:?}");
--- a/crates/settings/tests/support/mod.rs
+++ b/crates/settings/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Small trees and changes over few names, so that random ones collide often.
+//! Random changes over few names, so that paths and values collide often.
 
 use juniper_settings::{
     ApiKeyHash, BackEnd, BackEndKind, ChangeSet, Edit, SettingsNode, SettingsPath,
@@ -10,31 +10,31 @@
 const TENANTS: [&str; 3] = ["acme", "globex", "initech"];
 const SERVICES: [&str; 2] = ["screening", "lighter"];
 
-fn pick<'a>(gen_: &mut Gen, names: &[&'a str]) -> &'a str {
-    gen_.choose(names).copied().unwrap()
+fn choose_name<'a>(random: &mut Gen, names: &[&'a str]) -> &'a str {
+    random.choose(names).copied().unwrap()
 }
 
-fn arbitrary_path(gen_: &mut Gen) -> SettingsPath {
-    let (zone, tenant) = (pick(gen_, &ZONES), pick(gen_, &TENANTS));
-    let text = match u8::arbitrary(gen_) % 10 {
+fn arbitrary_path(random: &mut Gen) -> SettingsPath {
+    let (zone, tenant) = (choose_name(random, &ZONES), choose_name(random, &TENANTS));
+    let text = match u8::arbitrary(random) % 10 {
         0 => "/".to_owned(),
         1..=3 => format!("/{zone}"),
         4..=7 => format!("/{zone}/{tenant}"),
-        _ => format!("/{zone}/{tenant}/{}", pick(gen_, &SERVICES)),
+        _ => format!("/{zone}/{tenant}/{}", choose_name(random, &SERVICES)),
     };
     text.parse().unwrap()
 }
 
-fn arbitrary_node(gen_: &mut Gen, path: &SettingsPath) -> SettingsNode {
+fn arbitrary_node(random: &mut Gen, path: &SettingsPath) -> SettingsNode {
     let mut node = SettingsNode::default();
-    if bool::arbitrary(gen_) {
-        node.overrides.priority = Some(u8::arbitrary(gen_) % 11);
+    if bool::arbitrary(random) {
+        node.overrides.priority = Some(u8::arbitrary(random) % 11);
     }
-    let misplaced = u8::arbitrary(gen_) % 16 == 0;
+    let misplaced = u8::arbitrary(random) % 16 == 0;
     if matches!(path, SettingsPath::Zone(_)) || misplaced {
-        for _ in 0..u8::arbitrary(gen_) % 3 {
-            let number = u32::from(u8::arbitrary(gen_) % 8);
-            let port = 7_000 + u16::from(u8::arbitrary(gen_) % 8);
+        for _ in 0..u8::arbitrary(random) % 3 {
+            let number = u32::from(u8::arbitrary(random) % 8);
+            let port = 7_000 + u16::from(u8::arbitrary(random) % 8);
             node.back_ends.push(BackEnd {
                 id: EngineId(number),
                 kind: BackEndKind::Engine,
@@ -44,25 +44,25 @@
         }
     }
     if matches!(path, SettingsPath::Tenant(..)) || misplaced {
-        for _ in 0..u8::arbitrary(gen_) % 2 {
-            node.api_keys.push(ApiKeyHash::of(&format!("key {}", u8::arbitrary(gen_) % 6)));
+        for _ in 0..u8::arbitrary(random) % 2 {
+            node.api_keys.push(ApiKeyHash::of(&format!("key {}", u8::arbitrary(random) % 6)));
         }
     }
     node
 }
 
-/// A change of one to three edits.
+/// Change of one to three edits.
 #[derive(Clone, Debug)]
 pub struct SmallChange(pub ChangeSet);
 
 impl Arbitrary for SmallChange {
-    fn arbitrary(gen_: &mut Gen) -> Self {
-        let edits = (0..1 + u8::arbitrary(gen_) % 3).map(|_| {
-            let path = arbitrary_path(gen_);
-            if u8::arbitrary(gen_) % 4 == 0 {
+    fn arbitrary(random: &mut Gen) -> Self {
+        let edits = (0..1 + u8::arbitrary(random) % 3).map(|_| {
+            let path = arbitrary_path(random);
+            if u8::arbitrary(random) % 4 == 0 {
                 Edit::Remove { path }
             } else {
-                let node = Box::new(arbitrary_node(gen_, &path));
+                let node = Box::new(arbitrary_node(random, &path));
                 Edit::Put { path, node }
             }
         });
@@ -71,10 +71,10 @@
 
     fn shrink(&self) -> Box<dyn Iterator<Item = Self>> {
         let edits = self.0.edits.clone();
-        let without = (0..edits.len()).map(move |place| {
-            let mut fewer = edits.clone();
-            fewer.remove(place);
-            SmallChange(ChangeSet { edits: fewer })
+        let without = (0..edits.len()).map(move |position| {
+            let mut remaining = edits.clone();
+            remaining.remove(position);
+            SmallChange(ChangeSet { edits: remaining })
         });
         Box::new(without.filter(|change| !change.0.edits.is_empty()))
     }
--- a/crates/settings/tests/validation.rs
+++ b/crates/settings/tests/validation.rs
@@ -1,4 +1,4 @@
-//! Incremental validation gives the verdict of a walk over the whole tree.
+//! Validation of settings trees: incremental validation matches that of the whole tree.
 
 mod support;
 
@@ -10,16 +10,16 @@
 use support::SmallChange;
 
 const CASES: u64 = 2_000;
-const CHANGES: usize = 40;
+const MAX_CHANGES: usize = 40;
 const SEED: u64 = 0x5e77_1465;
 
-/// The same cases in every run.
-fn quickcheck() -> QuickCheck {
-    QuickCheck::new().rng(Gen::from_size_and_seed(CHANGES, SEED))
+/// Creates a runner with a fixed seed.
+fn seeded_quickcheck() -> QuickCheck {
+    QuickCheck::new().rng(Gen::from_size_and_seed(MAX_CHANGES, SEED))
 }
 
 #[test]
-fn taking_back_the_first_root_leaves_the_rest_of_the_tree() {
+fn reverting_the_creation_of_the_root_retains_the_other_nodes() {
     let mut tree = ValidatedTree::default();
     let zone = ChangeSet { edits: vec![put("/hartford", SettingsNode::default())] };
     tree.apply(&zone).unwrap();
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn incremental_validation_equals_whole_validation() {
+fn incremental_validation_matches_validation_of_the_whole_tree() {
     fn property(changes: Vec<SmallChange>) -> TestResult {
         let mut incremental = ValidatedTree::default();
         for SmallChange(change) in &changes {
@@ -49,17 +49,20 @@
                 }
                 Err(found) => {
                     assert_eq!(found, faults);
-                    assert_eq!(incremental, before, "a refused change must leave no trace");
+                    assert_eq!(
+                        incremental, before,
+                        "a rejected change must leave the tree unchanged"
+                    );
                 }
             }
         }
         TestResult::passed()
     }
-    quickcheck().tests(CASES).quickcheck(property as fn(Vec<SmallChange>) -> TestResult);
+    seeded_quickcheck().tests(CASES).quickcheck(property as fn(Vec<SmallChange>) -> TestResult);
 }
 
 #[test]
-fn effects_replay_to_the_same_tree_and_back() {
+fn effects_replay_to_the_same_tree_and_revert_to_the_previous_one() {
     fn property(changes: Vec<SmallChange>) -> TestResult {
         let mut tree = ValidatedTree::default();
         for SmallChange(change) in &changes {
@@ -74,7 +77,7 @@
         }
         TestResult::passed()
     }
-    quickcheck().tests(CASES).quickcheck(property as fn(Vec<SmallChange>) -> TestResult);
+    seeded_quickcheck().tests(CASES).quickcheck(property as fn(Vec<SmallChange>) -> TestResult);
 }
 
 fn put(path: &str, node: SettingsNode) -> Edit {
@@ -82,7 +85,7 @@
 }
 
 #[test]
-fn every_fault_of_a_change_is_reported_at_once() {
+fn all_faults_of_a_change_are_reported_together() {
     let mut wrong = SettingsNode::default();
     wrong.overrides.priority = Some(10);
     wrong.overrides.rate_per_second = Some(f64::NAN);
@@ -90,15 +93,15 @@
     let orphan = put("/portland/globex", SettingsNode::default());
     let edits = vec![put("/hartford", wrong), orphan];
     let faults = ValidatedTree::default().apply(&ChangeSet { edits }).unwrap_err();
-    let names: Vec<String> = faults.iter().map(ToString::to_string).collect();
-    assert_eq!(faults.len(), 5, "{names:?}");
+    let messages: Vec<String> = faults.iter().map(ToString::to_string).collect();
+    assert_eq!(faults.len(), 5, "{messages:?}");
     assert!(
         matches!(&faults[0], TreeFault::ParentMissing { path } if path.to_string() == "/portland/globex")
     );
 }
 
 #[test]
-fn a_node_beyond_the_size_limit_is_refused() {
+fn node_above_the_size_limit_is_rejected() {
     let mut large = SettingsNode::default();
     large.overrides.warm_prefixes = Some(vec!["x".repeat(30_000); 3]);
     let edits = vec![put("/hartford", large)];
@@ -107,7 +110,7 @@
 }
 
 #[test]
-fn a_tenant_may_move_between_zones_in_one_change() {
+fn tenant_can_move_between_zones_in_one_change() {
     let empty = SettingsNode::default;
     let mut tree = ValidatedTree::default();
     let edits = vec![put("/a", empty()), put("/b", empty()), put("/a/acme", empty())];
@@ -124,7 +127,7 @@
 }
 
 #[test]
-fn a_tree_written_in_toml_reads_back() {
+fn tree_is_read_from_toml() {
     let text = r#"
         ["/".overrides]
         model = "screen-7b"
