--- a/crates/settings/src/node_file/fault.rs
+++ b/crates/settings/src/node_file/fault.rs
@@ -6,7 +6,7 @@
 
 /// Location of a fault.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum FaultPlace {
+pub enum FaultLocation {
     /// Byte range in the file.
     File(std::ops::Range<usize>),
     /// Command-line flag for this dotted key.
@@ -23,15 +23,15 @@
     /// Description of the allowed values.
     pub allowed: String,
     /// Location of the value.
-    pub place: FaultPlace,
+    pub location: FaultLocation,
     /// Line in the file, counted from 1. `None` for a flag.
     pub line: Option<usize>,
 }
 
 impl std::fmt::Display for NodeFault {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match (&self.place, self.line) {
-            (FaultPlace::Flag(key), _) => write!(formatter, "flag {key}: ")?,
+        match (&self.location, self.line) {
+            (FaultLocation::Flag(key), _) => write!(formatter, "flag {key}: ")?,
             (_, Some(line)) => write!(formatter, "line {line}: ")?,
             _ => {}
         }
@@ -50,13 +50,13 @@
     }
 
     fn labels(&self) -> Option<Box<dyn Iterator<Item = miette::LabeledSpan> + '_>> {
-        match &self.place {
-            FaultPlace::File(range) => {
+        match &self.location {
+            FaultLocation::File(range) => {
                 let span = SourceSpan::from(range.clone());
                 let label = miette::LabeledSpan::new_with_span(Some(self.message.clone()), span);
                 Some(Box::new(std::iter::once(label)))
             }
-            FaultPlace::Flag(_) => None,
+            FaultLocation::Flag(_) => None,
         }
     }
 }
@@ -98,7 +98,7 @@
     /// Creates the error for `faults` in the file `name` with the content `source`.
     pub(super) fn faulty(name: &str, source: &str, mut faults: Vec<NodeFault>) -> Self {
         for fault in &mut faults {
-            if let FaultPlace::File(range) = &fault.place {
+            if let FaultLocation::File(range) = &fault.location {
                 fault.line = Some(line_number(source, range.start));
             }
         }
--- a/crates/settings/src/node_file/mod.rs
+++ b/crates/settings/src/node_file/mod.rs
@@ -14,7 +14,7 @@
 use juniper_types::{NodeId, ZoneName};
 use serde::{Deserialize, Serialize};
 
-pub use fault::{FaultPlace, NodeFault, NodeFileError};
+pub use fault::{FaultLocation, NodeFault, NodeFileError};
 pub use roles::{
     ControlLimits, ControlSettings, PeerDiscovery, ReplicaTuning, RouterLimits, RouterSettings,
 };
--- a/crates/settings/src/node_file/section.rs
+++ b/crates/settings/src/node_file/section.rs
@@ -10,7 +10,7 @@
 use toml::de::{DeTable, DeValue};
 
 use super::NodeOverride;
-use super::fault::{FaultPlace, NodeFault};
+use super::fault::{FaultLocation, NodeFault};
 
 type Faults = Rc<RefCell<Vec<NodeFault>>>;
 
@@ -61,7 +61,7 @@
                 key: key.clone(),
                 message: "unknown key".to_owned(),
                 allowed: "the keys of the node file, dotted".to_owned(),
-                place: FaultPlace::Flag(key),
+                location: FaultLocation::Flag(key),
                 line: None,
             });
         }
@@ -74,7 +74,7 @@
         key: String::new(),
         message: error.message().to_owned(),
         allowed: "TOML".to_owned(),
-        place: FaultPlace::File(error.span().unwrap_or(0..0)),
+        location: FaultLocation::File(error.span().unwrap_or(0..0)),
         line: None,
     }
 }
@@ -84,7 +84,7 @@
     prefix: String,
     span: Range<usize>,
     table: DeTable<'i>,
-    seen: BTreeMap<String, FaultPlace>,
+    seen: BTreeMap<String, FaultLocation>,
     faults: Faults,
     overrides: PendingOverrides,
 }
@@ -97,7 +97,7 @@
     fn take_value(&mut self, key: &str) -> Option<Spanned<DeValue<'i>>> {
         let (name, value) = self.table.remove_entry(key)?;
         let _ = name;
-        self.seen.insert(key.to_owned(), FaultPlace::File(value.span()));
+        self.seen.insert(key.to_owned(), FaultLocation::File(value.span()));
         Some(value)
     }
 
@@ -108,7 +108,7 @@
         let flag = self.overrides.borrow_mut().remove(&full_key);
         let read = match flag {
             Some(text) => {
-                self.seen.insert(key.to_owned(), FaultPlace::Flag(full_key));
+                self.seen.insert(key.to_owned(), FaultLocation::Flag(full_key));
                 parse_flag(&text)
             }
             None => T::deserialize(in_file?.into_deserializer()),
@@ -201,7 +201,7 @@
                 key: self.full_key(key.get_ref()),
                 message: "unknown key".to_owned(),
                 allowed: format!("the documented keys; this table has: {}", known.join(", ")),
-                place: FaultPlace::File(key.span()),
+                location: FaultLocation::File(key.span()),
                 line: None,
             };
             self.faults.borrow_mut().push(fault);
@@ -210,8 +210,8 @@
 
     /// Records a fault of the value of `key`.
     pub fn fault_at(&self, key: &str, message: impl Into<String>, allowed: &str) {
-        let place = self.seen.get(key).cloned();
-        self.record_fault(self.full_key(key), message.into(), allowed, place);
+        let location = self.seen.get(key).cloned();
+        self.record_fault(self.full_key(key), message.into(), allowed, location);
     }
 
     /// Records a fault of the section itself.
@@ -219,10 +219,16 @@
         self.record_fault(self.prefix.clone(), message.into(), allowed, None);
     }
 
-    fn record_fault(&self, key: String, message: String, allowed: &str, place: Option<FaultPlace>) {
-        let place = place.unwrap_or_else(|| FaultPlace::File(self.span.clone()));
+    fn record_fault(
+        &self,
+        key: String,
+        message: String,
+        allowed: &str,
+        location: Option<FaultLocation>,
+    ) {
+        let location = location.unwrap_or_else(|| FaultLocation::File(self.span.clone()));
         let allowed = allowed.to_owned();
-        self.faults.borrow_mut().push(NodeFault { key, message, allowed, place, line: None });
+        self.faults.borrow_mut().push(NodeFault { key, message, allowed, location, line: None });
     }
 }
 
--- a/crates/settings/tests/node_file.rs
+++ b/crates/settings/tests/node_file.rs
@@ -1,6 +1,6 @@
 //! Parsing of node files: all faults are reported, each with its line.
 
-use juniper_settings::node_file::{FaultPlace, NodeFault};
+use juniper_settings::node_file::{FaultLocation, NodeFault};
 use juniper_settings::{NodeFile, NodeFileError, NodeOverride};
 use juniper_types::NodeId;
 
@@ -98,7 +98,7 @@
 
     let invalid = [flag("control.internal", "nowhere"), flag("control.unknown", "1")];
     let error = NodeFile::parse("node.toml", VALID, &invalid).unwrap_err();
-    let places: Vec<_> = error.faults().iter().map(|fault| fault.place.clone()).collect();
-    assert!(places.contains(&FaultPlace::Flag("control.internal".into())), "{places:?}");
-    assert!(places.contains(&FaultPlace::Flag("control.unknown".into())), "{places:?}");
+    let locations: Vec<_> = error.faults().iter().map(|fault| fault.location.clone()).collect();
+    assert!(locations.contains(&FaultLocation::Flag("control.internal".into())), "{locations:?}");
+    assert!(locations.contains(&FaultLocation::Flag("control.unknown".into())), "{locations:?}");
 }
