--- a/crates/router/src/shared.rs
+++ b/crates/router/src/shared.rs
@@ -5,7 +5,7 @@
 
 use juniper_clock::BootInstant;
 use juniper_routing::admission::AdmissionQuestion;
-use juniper_settings::{CutOffPolicy, EffectiveSettings};
+use juniper_settings::{EffectiveSettings, PartitionPolicy};
 use tokio::sync::Semaphore;
 use tokio::time::Duration;
 
@@ -113,7 +113,7 @@
     pub fn check_cut_off(&self, settings: &EffectiveSettings) -> Result<(), RequestError> {
         let age = self.settings_age();
         let too_old = age.as_secs() > settings.max_settings_age_seconds;
-        let refuses = settings.cut_off == CutOffPolicy::Refuse && age > CUT_OFF_AFTER;
+        let refuses = settings.cut_off == PartitionPolicy::Refuse && age > CUT_OFF_AFTER;
         if too_old || refuses {
             return Err(RequestError::SettingsUnavailable { retry_after_ms: SETTINGS_RETRY_MS });
         }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -22,7 +22,7 @@
     CommonSettings, ControlSettings, NodeFile, NodeFileError, NodeOverride, PeerDiscovery,
     ReplicaTuning, RouterSettings,
 };
-pub use overrides::{CutOffPolicy, EffectiveSettings, Overrides, TrafficKind};
+pub use overrides::{EffectiveSettings, Overrides, PartitionPolicy, TrafficKind};
 pub use path::{PathError, SettingsPath};
 pub use tree::{ApiKeyHash, BackEnd, BackEndKind, SettingsNode, SettingsTree};
 pub use validated::{NodeChange, ValidatedTree, validate};
--- a/crates/settings/src/overrides.rs
+++ b/crates/settings/src/overrides.rs
@@ -25,7 +25,7 @@
 /// Policy of a router for retryable traffic while it can't reach the control replicas.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, Encode, Decode)]
 #[serde(rename_all = "kebab-case")]
-pub enum CutOffPolicy {
+pub enum PartitionPolicy {
     /// Serve with the last accepted revision, up to an age of `max_settings_age_seconds`.
     #[n(0)]
     Serve,
@@ -111,7 +111,7 @@
     /// Weight of the time to first token in the routing cost, 1.0 being neutral.
     13 latency_weight: f64 = 1.0;
     /// Policy for retryable traffic while partitioned from the control replicas.
-    14 cut_off: CutOffPolicy = CutOffPolicy::Serve;
+    14 cut_off: PartitionPolicy = PartitionPolicy::Serve;
     /// Maximum age of settings to serve traffic with while partitioned, in seconds.
     15 max_settings_age_seconds: u64 = 7_200;
     /// Retries allowed per hundred requests.
