--- a/crates/control/src/replica/folder.rs
+++ b/crates/control/src/replica/folder.rs
@@ -24,7 +24,7 @@
 
 fn open_folder(settings: &ControlSettings) -> Result<Folder, ControlError> {
     let folder = Folder::new(replica_folder(settings))?;
-    Ok(match settings.tuning.numbers_files {
+    Ok(match settings.tuning.has_stable_inodes {
         true => folder,
         false => folder.without_file_numbers(),
     })
--- a/crates/settings/src/node_file/roles.rs
+++ b/crates/settings/src/node_file/roles.rs
@@ -68,7 +68,7 @@
     pub snapshot_interval_bytes: usize,
     /// Whether the file system has stable inode numbers, by which a copied data folder is
     /// detected.
-    pub numbers_files: bool,
+    pub has_stable_inodes: bool,
 }
 
 impl Default for ReplicaTuning {
@@ -79,7 +79,7 @@
             lost_voter_ms: 30_000,
             keep_entries: 4_096,
             snapshot_interval_bytes: 8 << 20,
-            numbers_files: true,
+            has_stable_inodes: true,
         }
     }
 }
