--- a/crates/control/src/replica/folder.rs
+++ b/crates/control/src/replica/folder.rs
@@ -26,7 +26,7 @@
     let folder = Folder::new(replica_folder(settings))?;
     Ok(match settings.tuning.has_stable_inodes {
         true => folder,
-        false => folder.without_file_numbers(),
+        false => folder.without_stable_inodes(),
     })
 }
 
--- a/crates/storage/src/folder.rs
+++ b/crates/storage/src/folder.rs
@@ -36,7 +36,7 @@
 
     /// Disables inode numbers, for file systems on which they aren't stable. A copied
     /// folder is then not detected.
-    pub fn without_file_numbers(mut self) -> Self {
+    pub fn without_stable_inodes(mut self) -> Self {
         self.has_stable_inodes = false;
         self
     }
