--- a/crates/control/tests/daemons/support/stalling.rs
+++ b/crates/control/tests/daemons/support/stalling.rs
@@ -58,7 +58,7 @@
         self.folder.sync_folder()
     }
 
-    fn file_number(&mut self, file: &str) -> Result<u64, DiskError> {
-        self.folder.file_number(file)
+    fn inode(&mut self, file: &str) -> Result<u64, DiskError> {
+        self.folder.inode(file)
     }
 }
--- a/crates/simulation/src/disk/mod.rs
+++ b/crates/simulation/src/disk/mod.rs
@@ -306,7 +306,7 @@
         Ok(())
     }
 
-    fn file_number(&mut self, file: &str) -> Result<u64, DiskError> {
+    fn inode(&mut self, file: &str) -> Result<u64, DiskError> {
         Ok(self.0.borrow_mut().file("stat", file)?.number)
     }
 }
--- a/crates/storage/src/disk.rs
+++ b/crates/storage/src/disk.rs
@@ -88,5 +88,5 @@
     ///
     /// # Errors
     /// Fails when the file doesn't exist.
-    fn file_number(&mut self, file: &str) -> Result<u64, DiskError>;
+    fn inode(&mut self, file: &str) -> Result<u64, DiskError>;
 }
--- a/crates/storage/src/folder.rs
+++ b/crates/storage/src/folder.rs
@@ -150,7 +150,7 @@
         synced.map_err(|error| DiskError::io("sync", ".", error))
     }
 
-    fn file_number(&mut self, file: &str) -> Result<u64, DiskError> {
+    fn inode(&mut self, file: &str) -> Result<u64, DiskError> {
         if !self.has_stable_inodes {
             return Ok(0);
         }
--- a/crates/storage/src/identity.rs
+++ b/crates/storage/src/identity.rs
@@ -21,14 +21,14 @@
     disk: DiskIdentity,
     /// Inode number of the identity file, which differs in a copy of the folder.
     #[n(2)]
-    file_number: u64,
+    inode: u64,
 }
 
 /// Writes the identity file durably.
 pub(crate) fn write_identity(disk: &mut impl Disk, id: ReplicaId) -> Result<(), DiskError> {
     disk.create(NEW_IDENTITY_FILE)?;
-    let file_number = disk.file_number(NEW_IDENTITY_FILE)?;
-    let body = encode(&Content { node: id.node, disk: id.disk, file_number });
+    let inode = disk.inode(NEW_IDENTITY_FILE)?;
+    let body = encode(&Content { node: id.node, disk: id.disk, inode });
     let mut bytes = crc32fast::hash(&body).to_be_bytes().to_vec();
     bytes.extend_from_slice(&body);
     disk.write_at(NEW_IDENTITY_FILE, 0, &bytes)?;
@@ -48,7 +48,7 @@
         offset: 0,
         kind,
     })?;
-    if disk.file_number(IDENTITY_FILE)? != content.file_number {
+    if disk.inode(IDENTITY_FILE)? != content.inode {
         return Err(OpenError::Copied);
     }
     Ok(ReplicaId { node: content.node, disk: content.disk })
