--- a/crates/control/src/replica/folder.rs
+++ b/crates/control/src/replica/folder.rs
@@ -66,8 +66,8 @@
     let mut folder = open_folder(settings)?;
     wipe(&mut folder)?;
     drop(folder);
-    if let PeerDiscovery::Seeded { seeds, founds } = &settings.discovery {
-        return format_seeded(settings, seeds, *founds);
+    if let PeerDiscovery::Seeded { seeds, bootstrap } = &settings.discovery {
+        return format_seeded(settings, seeds, *bootstrap);
     }
     if settings.peers.is_empty() {
         let id = found(settings)?;
@@ -86,11 +86,11 @@
 fn format_seeded(
     settings: &ControlSettings,
     seeds: &[NodeId],
-    founds: bool,
+    bootstrap: bool,
 ) -> Result<(), ControlError> {
     let mut folder = open_folder(settings)?;
     let own = settings.common.node;
-    if founds && seeds.contains(&own) {
+    if bootstrap && seeds.contains(&own) {
         let membership = founding_membership(seeds);
         let id = ReplicaId { node: own, disk: founding_disk(seeds, own) };
         format(&mut folder, id, Some(&membership))?;
--- a/crates/control/tests/daemons/seeded.rs
+++ b/crates/control/tests/daemons/seeded.rs
@@ -68,7 +68,7 @@
 
 impl Fleet {
     /// Settings of a replica on new sockets.
-    async fn member(&self, founds: bool) -> (ControlSettings, Listeners) {
+    async fn member(&self, bootstrap: bool) -> (ControlSettings, Listeners) {
         let listeners = listeners().await;
         let internal = listeners.internal.local_addr().expect("bound");
         let operator = listeners.operator.local_addr().expect("bound");
@@ -77,7 +77,7 @@
         let mut settings = settings(node.0, internal, operator, &folder);
         settings.tuning.lost_voter_ms = 1_000;
         let seeds = self.seeds.clone();
-        settings.discovery = PeerDiscovery::Seeded { seeds, founds };
+        settings.discovery = PeerDiscovery::Seeded { seeds, bootstrap };
         (settings, listeners)
     }
 
@@ -91,7 +91,7 @@
         fleet.seeds = parts.iter().map(|(settings, _)| settings.common.node).collect();
         let seeds = fleet.seeds.clone();
         let start = |(mut settings, listeners): (ControlSettings, Listeners)| {
-            settings.discovery = PeerDiscovery::Seeded { seeds: seeds.clone(), founds: true };
+            settings.discovery = PeerDiscovery::Seeded { seeds: seeds.clone(), bootstrap: true };
             Seeded::start(settings, listeners)
         };
         (fleet, parts.into_iter().map(start).collect())
@@ -157,7 +157,7 @@
     let mut settings = replicas.remove(0).stop().await;
     let old = PathBuf::from(&settings.data_folder);
     wipe(&old);
-    settings.discovery = PeerDiscovery::Seeded { seeds: fleet.seeds.clone(), founds: false };
+    settings.discovery = PeerDiscovery::Seeded { seeds: fleet.seeds.clone(), bootstrap: false };
     let listeners = open(&settings).await;
     let back = Seeded::start(settings, listeners);
     wait_for("it votes again", || back.votes() && back.voters() == 3).await;
--- a/crates/settings/src/node_file/roles.rs
+++ b/crates/settings/src/node_file/roles.rs
@@ -51,7 +51,7 @@
         seeds: Vec<NodeId>,
         /// Whether the deployment starts for the first time, with empty disks. The seeds
         /// then bootstrap the cluster together.
-        founds: bool,
+        bootstrap: bool,
     },
 }
 
