--- a/crates/cli/src/recover.rs
+++ b/crates/cli/src/recover.rs
@@ -160,7 +160,7 @@
         let found = inspected.iter().find(|folder| folder.report == *report);
         describe_folder(found.map(|folder| folder.path.as_path()), report)
     };
-    let given_up: Vec<Value> = plan.given_up.iter().map(folder).collect();
+    let discarded: Vec<Value> = plan.discarded.iter().map(folder).collect();
     // The plan passes over replicas that never joined a cluster; the operator should
     // not have to wonder where they are.
     let blank = inspected.iter().filter(|folder| folder.report.epoch == ClusterEpoch::NONE);
@@ -170,7 +170,7 @@
     json!({
         "applied": is_applied,
         "chosen": folder(&plan.chosen),
-        "given_up": given_up,
+        "given_up": discarded,
         "never_joined": never_joined,
         "missing_voters": missing_voters,
         "is_complete": plan.is_complete,
--- a/crates/simulation/tests/lost_quorum.rs
+++ b/crates/simulation/tests/lost_quorum.rs
@@ -129,7 +129,7 @@
     let survivors = [4, 5].map(|node| inspect(&mut cluster.disks[&node].clone()).unwrap());
     let recovery = plan(survivors.to_vec(), 99).unwrap();
     assert_eq!(recovery.chosen.id, id(4, 4), "node 5 missed the last change");
-    assert_eq!(recovery.given_up[0].id, id(5, 5));
+    assert_eq!(recovery.discarded[0].id, id(5, 5));
     assert_eq!((recovery.missing_voters.len(), recovery.is_complete), (3, false));
     apply(cluster.disks[&4].clone(), &recovery).unwrap();
 
--- a/crates/storage/src/recovery.rs
+++ b/crates/storage/src/recovery.rs
@@ -72,7 +72,7 @@
     /// Folder with the latest state, whose replica becomes the only voter.
     pub chosen: FolderReport,
     /// Other folders, whose state is discarded.
-    pub given_up: Vec<FolderReport>,
+    pub discarded: Vec<FolderReport>,
     /// Voters of the chosen folder's membership without a given folder. Later entries
     /// that only they hold are lost.
     pub missing_voters: Vec<ReplicaId>,
@@ -119,19 +119,19 @@
     reports.sort_by_key(|report| std::cmp::Reverse(report.rank()));
     let mut reports = reports.into_iter().filter(|report| report.epoch != ClusterEpoch::NONE);
     let chosen = reports.next().ok_or(RecoveryError::NoFolder)?;
-    let given_up: Vec<FolderReport> = reports.collect();
-    let foreign = given_up.iter().find(|other| other.epoch.cluster != chosen.epoch.cluster);
+    let discarded: Vec<FolderReport> = reports.collect();
+    let foreign = discarded.iter().find(|other| other.epoch.cluster != chosen.epoch.cluster);
     if let Some(foreign) = foreign {
         return Err(RecoveryError::DifferentClusters(chosen.id, foreign.id));
     }
     let epoch = chosen.epoch.recovered(token);
     let zone = recovered_zone(&chosen)?;
     let membership = Membership::of_voters(epoch, [(chosen.id, zone)]);
-    let given = |id: ReplicaId| id == chosen.id || given_up.iter().any(|other| other.id == id);
+    let given = |id: ReplicaId| id == chosen.id || discarded.iter().any(|other| other.id == id);
     let voters = chosen.membership.voters().map(|member| member.id);
     let missing_voters: Vec<ReplicaId> = voters.filter(|id| !given(*id)).collect();
     let is_complete = chosen.membership.has_majority(given);
-    Ok(RecoveryPlan { chosen, given_up, missing_voters, is_complete, epoch, membership })
+    Ok(RecoveryPlan { chosen, discarded, missing_voters, is_complete, epoch, membership })
 }
 
 /// Zone of the chosen replica, or of the first member if the replica isn't in its own
--- a/crates/storage/tests/recovery.rs
+++ b/crates/storage/tests/recovery.rs
@@ -45,7 +45,7 @@
     let later = folder(2, 5, Position { term: 3, index: 4 });
     let plan = plan(vec![report(&longer), report(&later)], TOKEN).unwrap();
     assert_eq!(plan.chosen.id, id(2));
-    assert_eq!(plan.given_up.iter().map(|other| other.id).collect::<Vec<_>>(), [id(1)]);
+    assert_eq!(plan.discarded.iter().map(|other| other.id).collect::<Vec<_>>(), [id(1)]);
     assert_eq!((plan.missing_voters, plan.is_complete), (vec![id(3)], true));
 }
 
