--- a/crates/control/src/replica/writer.rs
+++ b/crates/control/src/replica/writer.rs
@@ -43,7 +43,7 @@
             Err(RecvTimeoutError::Timeout) if sealed => Ok(true),
             Err(RecvTimeoutError::Timeout) => {
                 sealed = true;
-                storage.seal().map(|()| true)
+                storage.sync_mark().map(|()| true)
             }
             Err(RecvTimeoutError::Disconnected) => return,
         };
--- a/crates/simulation/src/process.rs
+++ b/crates/simulation/src/process.rs
@@ -119,7 +119,7 @@
     /// # Errors
     /// Fails when the disk does.
     pub fn seal(&mut self) -> Result<(), StorageError> {
-        self.storage.seal()
+        self.storage.sync_mark()
     }
 
     /// One tick has passed.
--- a/crates/simulation/tests/storage.rs
+++ b/crates/simulation/tests/storage.rs
@@ -140,7 +140,7 @@
         let disk = new_disk(seed);
         write_all(&disk, Position::default());
         let (mut storage, _) = open(&disk).unwrap();
-        storage.seal().unwrap();
+        storage.sync_mark().unwrap();
         disk.lose_power();
         let prefix = if seed % 2 == 0 { "segment-" } else { "snapshot-" };
         let newest = disk.files(prefix).pop().unwrap();
--- a/crates/storage/src/recovery.rs
+++ b/crates/storage/src/recovery.rs
@@ -166,6 +166,6 @@
         last: Position { term, index },
     };
     storage.save(&write)?;
-    storage.seal()?;
+    storage.sync_mark()?;
     Ok(())
 }
--- a/crates/storage/src/storage.rs
+++ b/crates/storage/src/storage.rs
@@ -104,11 +104,11 @@
     ///
     /// # Errors
     /// As [`Storage::save`].
-    pub fn seal(&mut self) -> Result<(), StorageError> {
+    pub fn sync_mark(&mut self) -> Result<(), StorageError> {
         if self.stopped {
             return Err(StorageError::Stopped);
         }
-        let synced = self.sync_mark();
+        let synced = self.try_sync_mark();
         self.stopped = synced.is_err();
         Ok(synced?)
     }
@@ -162,7 +162,7 @@
         self.marks.write(&mut self.disk, mark)
     }
 
-    fn sync_mark(&mut self) -> Result<(), DiskError> {
+    fn try_sync_mark(&mut self) -> Result<(), DiskError> {
         if !self.mark_is_synced {
             self.disk.sync(MARK_FILE)?;
             self.mark_is_synced = true;
@@ -173,7 +173,7 @@
     /// Closes the segment and starts the next one with `record`. The mark is synced
     /// first, so that at most about one segment lies after the durable mark.
     fn rotate(&mut self, record: Record, last: Position) -> Result<(), DiskError> {
-        self.sync_mark()?;
+        self.try_sync_mark()?;
         let OpenSegment { number, highest, .. } = self.current;
         self.closed.push_back(ClosedSegment { number, highest });
         self.start_segment(number + 1, record, last)
@@ -224,7 +224,7 @@
             ..Record::default()
         };
         self.start_segment(newest + 1, record, self.last)?;
-        self.sync_mark()?;
+        self.try_sync_mark()?;
         let leftover = read.empty.iter().filter(|number| **number != newest + 1);
         leftover.into_iter().try_for_each(|number| self.disk.remove(&segment_name(*number)))
     }
