--- a/crates/control/src/replica/storage_writer.rs
+++ b/crates/control/src/replica/storage_writer.rs
@@ -44,7 +44,7 @@
             Err(RecvTimeoutError::Timeout) if sealed => Ok(true),
             Err(RecvTimeoutError::Timeout) => {
                 sealed = true;
-                storage.seal().map(|()| true)
+                storage.sync_mark().map(|()| true)
             }
             Err(RecvTimeoutError::Disconnected) => return,
         };
--- a/crates/control/tests/daemons/seeded.rs
+++ b/crates/control/tests/daemons/seeded.rs
@@ -78,7 +78,7 @@
         let mut settings = settings(node.0, internal, operator, &folder);
         settings.tuning.lost_voter_ms = 1_000;
         let seeds = self.seeds.clone();
-        settings.discovery = PeerDiscovery::Seeded { seeds, founds };
+        settings.discovery = PeerDiscovery::Seeded { seeds, bootstrap };
         (settings, listeners)
     }
 
@@ -93,7 +93,7 @@
         deployment.seeds = parts.iter().map(|(settings, _)| settings.common.node).collect();
         let seeds = deployment.seeds.clone();
         let start = |(mut settings, listeners): (ControlSettings, Listeners)| {
-            settings.discovery = PeerDiscovery::Seeded { seeds: seeds.clone(), founds: true };
+            settings.discovery = PeerDiscovery::Seeded { seeds: seeds.clone(), bootstrap: true };
             Seeded::start(settings, listeners)
         };
         (deployment, parts.into_iter().map(start).collect())
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,9 +1,9 @@
 //! The inherited settings tree and the settings file of one node.
 //!
-//! [`tree`] holds the replicated tree that operators and automation rewrite;
-//! [`overrides`] holds the values one tree node may set and the resolved values
-//! a service ends up with; [`change`] holds edits of the tree; [`node_file`]
-//! reads the settings file of one daemon.
+//! [`tree`] defines the replicated tree that operators and automation edit,
+//! [`overrides`] the values that a tree node can set and the values in effect for a
+//! service, and [`change`] edits of the tree. [`node_file`] reads the settings file of
+//! one daemon.
 
 pub mod address;
 pub mod change;
@@ -22,7 +22,7 @@
     CommonSettings, ControlSettings, NodeFile, NodeFileError, NodeOverride, PeerDiscovery,
     ReplicaTuning, RouterSettings,
 };
-pub use overrides::{CutOffPolicy, EffectiveSettings, Overrides, TrafficKind};
+pub use overrides::{EffectiveSettings, Overrides, PartitionPolicy, TrafficKind};
 pub use path::{PathError, SettingsPath};
 pub use tree::{ApiKeyHash, BackEnd, BackEndKind, SettingsNode, SettingsTree};
 pub use validated::{NodeChange, ValidatedTree, validate};
