--- a/crates/emulators/src/application.rs
+++ b/crates/emulators/src/application.rs
@@ -1,8 +1,9 @@
-//! The application server's record of what it has run.
+//! Execution log of the application server.
 //!
-//! The record is kept by tenant and idempotency key and written to a journal
-//! before the work starts, so that it outlives a kill: whether a request ran
-//! twice, or ran after a refusal said that it hadn't, is decided from it.
+//! Executions are counted by tenant and idempotency key and journaled before
+//! the work starts, so the counts survive a kill of the process. Tests use them
+//! to find requests that were executed twice, or despite a reply that denied
+//! their execution.
 
 use std::collections::BTreeMap;
 use std::fs::{File, OpenOptions};
@@ -15,43 +16,43 @@
 use crate::content::GeneratedText;
 use crate::witness::{BreachKind, Witness};
 
-/// Output tokens that a listing has: 2 KB of text.
+/// Length of a listing in tokens: 2 KB of text.
 const LISTING_TOKENS: u32 = 512;
 
-/// One execution of a call that may run at most once.
+/// Identity of an at-most-once request.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Execution {
-    /// Whose call.
+    /// Tenant of the request.
     pub tenant: String,
-    /// Its idempotency key.
+    /// Idempotency key of the request.
     pub key: String,
 }
 
-/// How often a call was run.
+/// Number of executions of one at-most-once request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExecutionCount {
-    /// The call.
+    /// Executed request.
     #[serde(flatten)]
     pub execution: Execution,
-    /// Times that it was run.
+    /// Number of executions.
     pub count: u64,
 }
 
-/// What a call that runs at most once is answered with.
+/// Response body of an at-most-once request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Receipt {
-    /// Whose call.
+    /// Tenant of the request.
     pub tenant: String,
-    /// Its idempotency key.
+    /// Idempotency key of the request.
     pub key: String,
-    /// Path that was called.
+    /// Path of the request.
     pub path: String,
-    /// Hash of the body, in hexadecimal digits.
+    /// Hash of the request body, in hexadecimal digits.
     pub digest: String,
 }
 
 impl Receipt {
-    /// The receipt that `body` must be answered with.
+    /// Computes the expected response to a request with `body`.
     pub fn of(tenant: &str, key: &str, path: &str, body: &[u8]) -> Self {
         Receipt {
             tenant: tenant.to_owned(),
@@ -62,12 +63,12 @@
     }
 }
 
-/// The text of the listing under `path`: what every server answers with.
+/// Returns the text of the listing under `path`, the same on every server.
 pub fn listing_text(path: &str) -> String {
     GeneratedText::new(path.as_bytes(), 0, Default::default()).range(0, LISTING_TOKENS)
 }
 
-/// Everything that one application server has run.
+/// Executions of one application server.
 #[derive(Debug, Default)]
 pub struct Executions {
     counts: BTreeMap<Execution, u64>,
@@ -76,7 +77,7 @@
 }
 
 impl Executions {
-    /// A record that goes on from the journal at `path`.
+    /// Opens the journal at `path` and restores the counts from it.
     ///
     /// # Errors
     /// Fails when the journal can't be read or opened.
@@ -86,7 +87,7 @@
         let mut text = String::new();
         journal.read_to_string(&mut text)?;
         for line in text.lines() {
-            // A line that a kill cut short was never acted on.
+            // The work of a partially written line was never started.
             if let Ok(execution) = serde_json::from_str::<Execution>(line) {
                 *counts.entry(execution).or_default() += 1;
             }
@@ -97,10 +98,10 @@
         Ok(Executions { counts, journal: Some(journal), witness: Witness::default() })
     }
 
-    /// Records that `execution` starts; must be called before any of its work.
+    /// Records the start of `execution`. Must be called before any of its work.
     ///
     /// # Errors
-    /// Fails when the journal can't be written; then nothing may run.
+    /// Fails when the journal can't be written; the request must not be executed then.
     pub fn record(&mut self, execution: Execution, now: Timestamp) -> io::Result<()> {
         if let Some(journal) = &mut self.journal {
             let mut line = serde_json::to_vec(&execution)?;
@@ -116,7 +117,7 @@
         Ok(())
     }
 
-    /// How often each call was run.
+    /// Returns the number of executions of each request.
     pub fn counts(&self) -> Vec<ExecutionCount> {
         let count = |(execution, count): (&Execution, &u64)| ExecutionCount {
             execution: execution.clone(),
@@ -125,7 +126,7 @@
         self.counts.iter().map(count).collect()
     }
 
-    /// Breaches seen.
+    /// Breaches detected by the server.
     pub fn witness(&self) -> &Witness {
         &self.witness
     }
--- a/crates/emulators/src/engine/batch.rs
+++ b/crates/emulators/src/engine/batch.rs
@@ -1,7 +1,7 @@
-//! Continuous batching: admission, cost and effect of one iteration.
+//! Continuous batching: admission and execution of iterations.
 //!
-//! An iteration gives every request that is past its prefill one token and
-//! spends the rest of the token budget on prefill chunks. Memory for a request's
+//! An iteration generates one token for every request that has finished its
+//! prefill and spends the rest of the token budget on prefill chunks. Memory for a request's
 //! whole prompt and output is reserved on admission, so a running request is
 //! never preempted.
 
@@ -16,14 +16,14 @@
 use super::request::{DropReason, EngineRequest, Output, RequestStatistics};
 use super::{Engine, ModelState, WaitKey, Waiting};
 
-/// What a running request does in the current iteration.
+/// Work of a running request in the current iteration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Work {
-    /// The budget left nothing for it.
+    /// No token budget was left.
     Idle,
-    /// Prefills this many tokens.
+    /// Prefill of this number of tokens.
     Prefill(u32),
-    /// Generates one token.
+    /// Generation of one token.
     Decode,
 }
 
@@ -32,13 +32,13 @@
 pub(super) struct Running {
     pub(super) request: EngineRequest,
     provenance: u32,
-    /// Cached blocks of the prompt so far, referenced.
+    /// Referenced slots of the prompt's cached blocks.
     slots: Vec<Slot>,
-    /// Blocks reserved beyond `slots`.
+    /// Number of reserved blocks in addition to `slots`.
     reserved: u32,
-    /// Tokens whose keys and values exist.
+    /// Number of tokens whose keys and values are computed.
     computed: u32,
-    /// Number of the next output token.
+    /// Index of the next output token.
     next_index: u32,
     statistics: RequestStatistics,
     work: Work,
@@ -55,45 +55,45 @@
 }
 
 impl Engine {
-    /// Moves waiting requests into the batch while they fit, best priority first.
-    pub(super) fn admit(&mut self, now: Timestamp) {
-        self.drop_hopeless(now);
+    /// Moves waiting requests into the batch while they fit, highest priority first.
+    pub(super) fn admit_waiting(&mut self, now: Timestamp) {
+        self.drop_unmeetable(now);
         while self.running.len() < self.config.max_running
             && matches!(self.model, ModelState::Serving { .. })
         {
             let Some(key) = self.waiting.first_key_value().map(|(key, _)| *key) else {
                 break;
             };
-            if !self.admit_one(key, now) {
+            if !self.admit_request(key, now) {
                 break;
             }
         }
         self.publish_change(now);
     }
 
-    /// Drops waiting requests as soon as their deadline can't be met any more.
-    fn drop_hopeless(&mut self, now: Timestamp) {
+    /// Drops waiting requests whose deadline can no longer be met.
+    fn drop_unmeetable(&mut self, now: Timestamp) {
         let prefill_token_ns = self.config.prefill_token_ns;
-        let hopeless: Vec<WaitKey> = self
+        let unmeetable: Vec<WaitKey> = self
             .waiting
             .iter()
-            .filter(|(_, waiting)| is_hopeless(&waiting.request, prefill_token_ns, now))
+            .filter(|(_, waiting)| is_unmeetable(&waiting.request, prefill_token_ns, now))
             .map(|(key, _)| *key)
             .collect();
-        for key in hopeless {
+        for key in unmeetable {
             if let Some(waiting) = self.waiting.remove(&key) {
                 self.drop_request(&waiting.request, DropReason::Deadline, false, now);
             }
         }
     }
 
-    /// Returns `false` when memory does not suffice for the request under `key`.
-    fn admit_one(&mut self, key: WaitKey, now: Timestamp) -> bool {
+    /// Moves the request with `key` into the batch; returns `false` if memory doesn't suffice.
+    fn admit_request(&mut self, key: WaitKey, now: Timestamp) -> bool {
         let Entry::Occupied(entry) = self.waiting.entry(key) else {
             return false;
         };
         let request = &entry.get().request;
-        let slots = self.cache.acquire_prefix(reusable(request));
+        let slots = self.cache.acquire_prefix(reusable_blocks(request));
         let cached = u32::try_from(slots.len()).unwrap_or(u32::MAX);
         let reserved = blocks_needed(request) - cached;
         if !self.cache.reserve(reserved) {
@@ -124,9 +124,9 @@
         true
     }
 
-    /// Starts the next iteration if there is anything to run.
+    /// Starts the next iteration if there are requests to run.
     pub(super) fn start_iteration(&mut self, now: Timestamp) {
-        self.admit(now);
+        self.admit_waiting(now);
         if self.running.is_empty() {
             return;
         }
@@ -134,10 +134,12 @@
         self.iteration_ends_at = Some(Timestamp(now.0 + nanos.div_ceil(1_000)));
     }
 
-    /// Assigns work to the batch and returns the iteration's duration in nanoseconds.
+    /// Assigns work to each request of the batch and returns the iteration's duration in
+    /// nanoseconds.
     fn plan_iteration(&mut self) -> u64 {
         let streams = self.running.iter().filter(|running| running.prefill_left() == 0).count();
-        let mut budget = self.budget().saturating_sub(u32::try_from(streams).unwrap_or(u32::MAX));
+        let mut budget =
+            self.iteration_budget().saturating_sub(u32::try_from(streams).unwrap_or(u32::MAX));
         let mut compute = 0;
         let mut memory = config::WEIGHTS_READ_NS;
         for running in &mut self.running {
@@ -166,7 +168,7 @@
         config::ITERATION_OVERHEAD_NS + compute.max(memory)
     }
 
-    fn budget(&self) -> u32 {
+    fn iteration_budget(&self) -> u32 {
         match self.role {
             Role::Mixed => self.config.token_budget,
             Role::Prefill => self.config.token_budget * config::PREFILL_ROLE_FACTOR,
@@ -174,7 +176,7 @@
         }
     }
 
-    /// Applies the iteration that ends at `now`.
+    /// Applies the results of the iteration that ends at `now`.
     pub(super) fn finish_iteration(&mut self, now: Timestamp) {
         self.iteration_ends_at = None;
         for mut running in std::mem::take(&mut self.running) {
@@ -184,7 +186,7 @@
                 self.finish_request(running, now);
             } else if late {
                 self.drop_request(&running.request, DropReason::Deadline, true, now);
-                self.free(running);
+                self.release_memory(running);
             } else {
                 self.running.push(running);
             }
@@ -201,17 +203,17 @@
                 self.counters.prefilled_tokens += u64::from(chunk);
                 self.store_full_blocks(running);
                 if running.prefill_left() == 0 {
-                    self.generate(running, now);
+                    self.generate_token(running, now);
                 }
             }
             Work::Decode => {
                 running.computed += 1;
-                self.generate(running, now);
+                self.generate_token(running, now);
             }
         }
     }
 
-    /// Makes the prompt blocks that are complete by now available to other requests.
+    /// Stores newly completed prompt blocks in the cache for reuse by other requests.
     fn store_full_blocks(&mut self, running: &mut Running) {
         let full = (running.computed / BLOCK_TOKENS) as usize;
         let chain = Arc::clone(&running.request.blocks);
@@ -223,7 +225,7 @@
         }
     }
 
-    fn generate(&mut self, running: &mut Running, now: Timestamp) {
+    fn generate_token(&mut self, running: &mut Running, now: Timestamp) {
         if running.next_index >= running.request.output_tokens {
             return;
         }
@@ -243,31 +245,31 @@
         self.counters.finished += 1;
         self.counters.cached_tokens += u64::from(statistics.cached_tokens);
         self.counters.prompt_tokens += u64::from(statistics.prompt_tokens);
-        self.ended.note(id);
+        self.ended.record(id);
         self.outbox.push(Output::Finished { id, at: now, statistics });
-        self.free(running);
+        self.release_memory(running);
     }
 
-    pub(super) fn free(&mut self, running: Running) {
+    pub(super) fn release_memory(&mut self, running: Running) {
         self.cache.release(&running.slots);
-        self.cache.unreserve(running.reserved);
+        self.cache.release_reservation(running.reserved);
     }
 }
 
-/// Leading blocks that may be reused; at least one token has to be computed.
-fn reusable(request: &EngineRequest) -> &[BlockHash] {
-    let most = (request.context_tokens().saturating_sub(1) / BLOCK_TOKENS) as usize;
-    &request.blocks[..most.min(request.blocks.len())]
+/// Leading blocks that may be reused; at least one token must be computed to generate output.
+fn reusable_blocks(request: &EngineRequest) -> &[BlockHash] {
+    let max_blocks = (request.context_tokens().saturating_sub(1) / BLOCK_TOKENS) as usize;
+    &request.blocks[..max_blocks.min(request.blocks.len())]
 }
 
-/// Blocks that the prompt and the whole output take.
+/// Number of blocks for the prompt and the whole output.
 pub(super) fn blocks_needed(request: &EngineRequest) -> u32 {
     let tokens = request.prompt_tokens + request.output_tokens.max(request.resume_from);
     tokens.div_ceil(BLOCK_TOKENS)
 }
 
-/// Whether the deadline can't be met even if the whole prompt is cached and nothing else runs.
-fn is_hopeless(request: &EngineRequest, prefill_token_ns: u64, now: Timestamp) -> bool {
+/// Returns whether the deadline can't be met even with a fully cached prompt and an idle engine.
+fn is_unmeetable(request: &EngineRequest, prefill_token_ns: u64, now: Timestamp) -> bool {
     let Some(deadline) = request.deadline else {
         return false;
     };
--- a/crates/emulators/src/engine/cache.rs
+++ b/crates/emulators/src/engine/cache.rs
@@ -1,10 +1,10 @@
 //! Block cache of one engine: reference counts, memory limit, eviction.
 //!
-//! Invariants, and what they guard against:
-//! - A cached block's parent is cached (an orphan could never be matched and
-//!   would only waste memory), so eviction takes leaves only.
+//! Invariants:
+//! - A cached block's parent is cached (an orphan could never be cached_prefix), so
+//!   only leaves are evicted.
 //! - A referenced block is never evicted (a running request would read memory
-//!   that was given to another). A request references its whole chain, so an
+//!   reassigned to another). A request references its whole chain, so an
 //!   unreferenced block has no referenced descendant.
 //! - `cached + reserved <= capacity` at all times.
 
@@ -12,10 +12,10 @@
 
 use juniper_types::BlockHash;
 
-/// Index of a cached block. It is valid while the holder references the block.
+/// Index of a cached block, valid while the holder references the block.
 pub type Slot = u32;
 
-/// Identifies where a block's content came from; see [`crate::witness`].
+/// Id of a [`crate::witness::Provenance`].
 pub type ProvenanceId = u32;
 
 #[derive(Clone, Debug)]
@@ -29,7 +29,7 @@
     provenance: ProvenanceId,
 }
 
-/// Blocks that were stored and removed since the last call.
+/// Blocks stored and removed since the last call of [`BlockCache::take_change`].
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CacheChange {
     /// Blocks stored, parents first.
@@ -38,68 +38,68 @@
     pub removed: Vec<BlockHash>,
 }
 
-/// The cache and the memory that running requests reserve beside it.
+/// Block cache and the memory reserved by running requests.
 #[derive(Clone, Debug)]
 pub struct BlockCache {
     capacity: u32,
     reserved: u32,
     blocks: Vec<Block>,
-    free: Vec<Slot>,
+    free_slots: Vec<Slot>,
     by_hash: HashMap<BlockHash, Slot>,
     /// Unreferenced blocks without children, least recently used first.
     leaves: BTreeSet<(u64, Slot)>,
     unreferenced: u32,
-    clock: u64,
+    use_counter: u64,
     change: CacheChange,
 }
 
 impl BlockCache {
-    /// An empty cache with memory for `capacity` blocks.
+    /// Creates an empty cache with memory for `capacity` blocks.
     pub fn new(capacity: u32) -> Self {
         BlockCache {
             capacity,
             reserved: 0,
             blocks: Vec::new(),
-            free: Vec::new(),
+            free_slots: Vec::new(),
             by_hash: HashMap::new(),
             leaves: BTreeSet::new(),
             unreferenced: 0,
-            clock: 0,
+            use_counter: 0,
             change: CacheChange::default(),
         }
     }
 
-    /// Blocks that fit.
+    /// Capacity in blocks.
     pub fn capacity(&self) -> u32 {
         self.capacity
     }
 
-    /// Blocks cached.
+    /// Number of cached blocks.
     pub fn cached(&self) -> u32 {
         u32::try_from(self.by_hash.len()).unwrap_or(u32::MAX)
     }
 
-    /// Blocks in use by requests or reserved for them.
+    /// Number of blocks referenced by requests or reserved for them.
     pub fn in_use(&self) -> u32 {
         self.cached() - self.unreferenced + self.reserved
     }
 
-    /// Blocks that could be reserved now, evicting whatever may be evicted.
+    /// Number of blocks that can be reserved, including by eviction.
     pub fn available(&self) -> u32 {
         self.capacity - self.in_use()
     }
 
-    /// Whether `hash` is cached.
+    /// Returns whether `hash` is cached.
     pub fn contains(&self, hash: &BlockHash) -> bool {
         self.by_hash.contains_key(hash)
     }
 
-    /// How many leading blocks of `chain` are cached.
-    pub fn matched(&self, chain: &[BlockHash]) -> usize {
+    /// Number of leading blocks of `chain` that are cached.
+    pub fn cached_prefix(&self, chain: &[BlockHash]) -> usize {
         chain.iter().take_while(|hash| self.by_hash.contains_key(hash)).count()
     }
 
-    /// References the cached blocks that `chain` starts with.
+    /// Adds a reference to each leading block of `chain` that is cached.
     pub fn acquire_prefix(&mut self, chain: &[BlockHash]) -> Vec<Slot> {
         let slots: Vec<Slot> =
             chain.iter().map_while(|hash| self.by_hash.get(hash).copied()).collect();
@@ -118,16 +118,16 @@
         block.references += 1;
     }
 
-    /// Drops one reference to each of `slots`.
+    /// Removes one reference from each of `slots`.
     pub fn release(&mut self, slots: &[Slot]) {
-        self.clock += 1;
+        self.use_counter += 1;
         for slot in slots {
             let block = &mut self.blocks[*slot as usize];
             block.references -= 1;
             if block.references > 0 {
                 continue;
             }
-            block.last_used = self.clock;
+            block.last_used = self.use_counter;
             self.unreferenced += 1;
             if block.children == 0 {
                 self.leaves.insert((block.last_used, *slot));
@@ -135,7 +135,8 @@
         }
     }
 
-    /// Reserves memory for `count` blocks, evicting as needed; nothing changes on `false`.
+    /// Reserves memory for `count` blocks, evicting as needed. Returns `false`, without changes, if
+    /// they don't fit.
     pub fn reserve(&mut self, count: u32) -> bool {
         if count > self.available() {
             return false;
@@ -147,8 +148,8 @@
         true
     }
 
-    /// Gives back memory reserved for `count` blocks.
-    pub fn unreserve(&mut self, count: u32) {
+    /// Releases the reservation of `count` blocks.
+    pub fn release_reservation(&mut self, count: u32) {
         self.reserved -= count;
     }
 
@@ -160,14 +161,14 @@
         let (hash, parent) = (block.hash, block.parent);
         self.by_hash.remove(&hash);
         self.unreferenced -= 1;
-        self.free.push(slot);
+        self.free_slots.push(slot);
         self.change.removed.push(hash);
         if let Some(parent) = parent {
-            self.drop_child(parent);
+            self.detach_child(parent);
         }
     }
 
-    fn drop_child(&mut self, parent: Slot) {
+    fn detach_child(&mut self, parent: Slot) {
         let block = &mut self.blocks[parent as usize];
         block.children -= 1;
         if block.children == 0 && block.references == 0 {
@@ -177,8 +178,8 @@
 
     /// Turns one reserved block into the cached block `hash` and references it.
     ///
-    /// The caller references `parent`. If another request stored the same block
-    /// meanwhile, that one is referenced and the reserved block is given back.
+    /// The caller must hold a reference to `parent`. If the block is already
+    /// cached, the existing block is referenced and the reservation released.
     pub fn store(
         &mut self,
         hash: BlockHash,
@@ -197,10 +198,10 @@
             depth,
             children: 0,
             references: 1,
-            last_used: self.clock,
+            last_used: self.use_counter,
             provenance,
         };
-        let slot = self.place(block);
+        let slot = self.insert_block(block);
         if let Some(parent) = parent {
             self.blocks[parent as usize].children += 1;
         }
@@ -209,8 +210,8 @@
         slot
     }
 
-    fn place(&mut self, block: Block) -> Slot {
-        if let Some(slot) = self.free.pop() {
+    fn insert_block(&mut self, block: Block) -> Slot {
+        if let Some(slot) = self.free_slots.pop() {
             self.blocks[slot as usize] = block;
             return slot;
         }
@@ -218,19 +219,19 @@
         u32::try_from(self.blocks.len() - 1).unwrap_or(u32::MAX)
     }
 
-    /// Where the content of the block in `slot` came from.
+    /// Provenance of the block in `slot`.
     pub fn provenance(&self, slot: Slot) -> ProvenanceId {
         self.blocks[slot as usize].provenance
     }
 
-    /// What changed since the last call, or `None` if nothing did.
+    /// Returns the changes since the last call, or `None` if there are none.
     pub fn take_change(&mut self) -> Option<CacheChange> {
         let change = std::mem::take(&mut self.change);
         let empty = change.stored.is_empty() && change.removed.is_empty();
         (!empty).then_some(change)
     }
 
-    /// Every cached block, parents first.
+    /// All cached blocks, parents first.
     pub fn snapshot(&self) -> Vec<BlockHash> {
         let mut slots: Vec<Slot> = self.by_hash.values().copied().collect();
         slots.sort_unstable_by_key(|slot| (self.blocks[*slot as usize].depth, *slot));
--- a/crates/emulators/src/engine/config.rs
+++ b/crates/emulators/src/engine/config.rs
@@ -1,4 +1,4 @@
-//! Constants of the engine model and their grounds.
+//! Configuration and constants of the engine model.
 //!
 //! The reference machine is one accelerator with 24 GB of memory, 1 TB/s of
 //! memory bandwidth and 120 Tflop/s of dense 16-bit arithmetic, of which
@@ -9,70 +9,71 @@
 
 use juniper_types::{AdapterName, ModelName, WeightsVersion};
 
-/// Weights of the reference model: 8 billion parameters of 2 bytes.
+/// Size of the weights of the reference model: 8 billion parameters of 2 bytes.
 pub const MODEL_BYTES: u64 = 16_000_000_000;
 
-/// A low-rank adapter of the reference model (rank 64 on all projections).
+/// Size of a low-rank adapter of the reference model (rank 64 on all projections).
 pub const ADAPTER_BYTES: u64 = 200_000_000;
 
-/// Keys and values of one token: 2 x 32 layers x 8 heads x 128 x 2 bytes.
+/// Size of the keys and values of one token: 2 x 32 layers x 8 heads x 128 x 2 bytes.
 pub const KV_BYTES_PER_TOKEN: u64 = 131_072;
 
-/// Blocks in the 8 GiB that weights and activations leave on 24 GB, at 64
-/// tokens of 128 KiB, that is 8 MiB a block. At the prompt rates of the two
-/// deployments this turns over within seconds.
+/// Blocks in the 8 GiB that weights and activations leave on 24 GB, at 8 MiB
+/// per block (64 tokens of 128 KiB).
 pub const CACHE_BLOCKS: u32 = 1_024;
 
-/// Prefill: 2 flop for each of 8 billion parameters at 60 Tflop/s.
+/// Prefill time of one token: 2 flop for each of 8 billion parameters at 60 Tflop/s.
 pub const PREFILL_TOKEN_NS: u64 = 267_000;
 
-/// Attention of one new token to one earlier token: 4 x 32 x 4096 flop at 60 Tflop/s.
+/// Attention time of one new token to one earlier token: 4 x 32 x 4096 flop at 60 Tflop/s.
 pub const ATTENTION_PAIR_NS: u64 = 9;
 
-/// One pass over the weights: 16 GB at 1 TB/s. Every iteration pays it once.
+/// Time to read the weights, once per iteration: 16 GB at 1 TB/s.
 pub const WEIGHTS_READ_NS: u64 = 16_000_000;
 
-/// Reading the keys and values of one token of context: 128 KiB at 1 TB/s.
+/// Time to read the keys and values of one token of context: 128 KiB at 1 TB/s.
 pub const KV_READ_TOKEN_NS: u64 = 131;
 
-/// Kernel launches, sampling and scheduling of one iteration.
+/// Time for kernel launches, sampling and scheduling of one iteration.
 pub const ITERATION_OVERHEAD_NS: u64 = 1_000_000;
 
-/// Prefill tokens in one iteration: 240 x 267 us = 64 ms, so that a running
-/// stream still gets a token within 68 ms, as the large deployment asks.
+/// Maximum prefill tokens per iteration: 240 x 267 us = 64 ms, so that running
+/// streams meet the large deployment's limit of 68 ms between tokens.
 pub const TOKEN_BUDGET: u32 = 240;
 
-/// Factor on [`TOKEN_BUDGET`] for engines in the prefill role, which have few streams to keep going.
+/// Factor on [`TOKEN_BUDGET`] for engines in the prefill role, which run few decode streams.
 pub const PREFILL_ROLE_FACTOR: u32 = 8;
 
-/// Divisor of [`TOKEN_BUDGET`] for engines in the decode role, which protect their streams.
+/// Divisor of [`TOKEN_BUDGET`] for engines in the decode role, which favour a low time between
+/// tokens.
 pub const DECODE_ROLE_DIVISOR: u32 = 4;
 
-/// Requests in one batch; beyond this the key-value reads outweigh the shared weights read.
+/// Maximum requests in one batch; beyond this, reading keys and values takes longer than reading
+/// the weights.
 pub const MAX_RUNNING: usize = 32;
 
-/// Requests that may wait before the engine refuses; two full batches.
+/// Maximum queued requests: two full batches.
 pub const MAX_WAITING: usize = 64;
 
-/// Moving one block of 8 MiB at 3 GB/s, a 25 Gbit/s link.
+/// Time to transfer one block of 8 MiB at 3 GB/s, the rate of a 25 Gbit/s link.
 pub const TRANSFER_BLOCK_NS: u64 = 2_800_000;
 
-/// Time after the start of leaving in which new work may still arrive.
+/// Grace period after the start of a departure in which new requests are still accepted.
 pub const LEAVING_GRACE: Duration = Duration::from_secs(2);
 
-/// How late and how lossy an engine tells about its cache.
+/// Delay and loss of an engine's cache events.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EventFaults {
-    /// Shortest time from a change to its publication.
+    /// Minimum delay from a change to its publication.
     pub delay_min: Duration,
-    /// Longest time from a change to its publication.
+    /// Maximum delay from a change to its publication.
     pub delay_max: Duration,
-    /// Share of events that are lost for good, 0 to 1.
+    /// Share of events that are never published, 0 to 1.
     pub loss: f64,
 }
 
 impl Default for EventFaults {
-    /// A collector that polls every 100 ms behind a queue, and one event in 200 lost.
+    /// Delays of a collector that polls every 100 ms behind a queue; one event in 200 is lost.
     fn default() -> Self {
         EventFaults {
             delay_min: Duration::from_millis(20),
@@ -82,39 +83,39 @@
     }
 }
 
-/// What one engine is made of.
+/// Configuration of one engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineConfig {
     /// Model loaded at start, with its weights; `None` starts empty.
     pub model: Option<(ModelName, WeightsVersion)>,
     /// Adapters loaded at start.
     pub adapters: Vec<AdapterName>,
-    /// Memory for keys and values, in blocks.
+    /// KV cache capacity, in blocks.
     pub cache_blocks: u32,
-    /// Prefill tokens in one iteration.
+    /// Maximum prefill tokens per iteration.
     pub token_budget: u32,
-    /// Requests in one batch.
+    /// Maximum requests in one batch.
     pub max_running: usize,
-    /// Requests that may wait.
+    /// Maximum queued requests.
     pub max_waiting: usize,
-    /// Cost of one prefill token, in nanoseconds.
+    /// Prefill time of one token, in nanoseconds.
     pub prefill_token_ns: u64,
-    /// Lateness and loss of cache events.
+    /// Delay and loss of cache events.
     pub events: EventFaults,
     /// Time between load samples.
     pub load_interval: Duration,
-    /// Age that a load sample has before it can be read.
+    /// Age at which a load sample becomes readable.
     pub load_lag: Duration,
-    /// Time after the start of leaving in which new work may still arrive.
+    /// Grace period after the start of a departure in which new requests are still accepted.
     pub leaving_grace: Duration,
-    /// Whether every token is reported or only the first one and the end.
+    /// Whether to emit an output for every token instead of only the first one and the end.
     pub report_every_token: bool,
-    /// Seed of the event faults.
+    /// Seed of the event delays and losses.
     pub seed: u64,
 }
 
 impl EngineConfig {
-    /// The reference machine serving `model` with `weights`.
+    /// Creates the configuration of the reference machine serving `model` with `weights`.
     pub fn reference(model: ModelName, weights: WeightsVersion, seed: u64) -> Self {
         EngineConfig {
             model: Some((model, weights)),
--- a/crates/emulators/src/engine/ended.rs
+++ b/crates/emulators/src/engine/ended_requests.rs
@@ -1,11 +1,11 @@
-//! Ids of requests that ended lately, for idempotent cancels and repeated ids.
+//! Ids of recently ended requests, for idempotent cancellation and detection of reused ids.
 
 use std::collections::{HashSet, VecDeque};
 
 use juniper_types::RequestId;
 
-/// Ended requests remembered; at 100 requests a second, over a minute's worth.
-const REMEMBERED: usize = 8_192;
+/// Maximum number of ids; covers over a minute at 100 requests per second.
+const CAPACITY: usize = 8_192;
 
 #[derive(Clone, Debug, Default)]
 pub(super) struct EndedRequests {
@@ -14,12 +14,12 @@
 }
 
 impl EndedRequests {
-    pub(super) fn note(&mut self, id: RequestId) {
+    pub(super) fn record(&mut self, id: RequestId) {
         if !self.ids.insert(id) {
             return;
         }
         self.order.push_back(id);
-        if self.order.len() > REMEMBERED
+        if self.order.len() > CAPACITY
             && let Some(oldest) = self.order.pop_front()
         {
             self.ids.remove(&oldest);
--- a/crates/emulators/src/engine/events.rs
+++ b/crates/emulators/src/engine/events.rs
@@ -1,4 +1,4 @@
-//! Cache events: numbered, published late, some lost for good.
+//! Cache event stream with sequence numbers, publication delay and simulated loss.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -10,13 +10,13 @@
 use super::cache::CacheChange;
 use super::config::EventFaults;
 
-/// Published events kept for readers that lag; older ones become a gap.
-const LOG_LENGTH: usize = 4_096;
+/// Maximum retained events; a reader that lags further sees a gap.
+const MAX_RETAINED_EVENTS: usize = 4_096;
 
-/// One change of an engine's cache.
+/// Change of an engine's cache.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CacheEvent {
-    /// Grows by one with every event of an incarnation, from 1.
+    /// Sequence number, consecutive from 1 within an incarnation.
     pub sequence: u64,
     /// Blocks stored, parents first.
     pub stored: Vec<BlockHash>,
@@ -24,35 +24,35 @@
     pub removed: Vec<BlockHash>,
 }
 
-/// A numbered change and when it is published; lost changes have no event.
+/// Change with its publication time; `event` is `None` for a lost one.
 #[derive(Clone, Debug)]
 struct Entry {
     sequence: u64,
-    visible: Timestamp,
+    published_at: Timestamp,
     event: Option<Arc<CacheEvent>>,
 }
 
-/// The event stream of one incarnation.
+/// Cache event stream of one incarnation.
 #[derive(Clone, Debug)]
 pub struct EventFeed {
     faults: EventFaults,
     random: ChaCha8Rng,
     sequence: u64,
-    last_visible: Timestamp,
+    last_published_at: Timestamp,
     log: VecDeque<Entry>,
-    taken: u64,
+    last_taken: u64,
 }
 
 impl EventFeed {
-    /// An empty stream with faults drawn from `seed`.
+    /// Creates an empty stream whose delays and losses are drawn from `seed`.
     pub fn new(faults: EventFaults, seed: u64) -> Self {
         EventFeed {
             faults,
             random: ChaCha8Rng::seed_from_u64(seed),
             sequence: 0,
-            last_visible: Timestamp::ZERO,
+            last_published_at: Timestamp::ZERO,
             log: VecDeque::new(),
-            taken: 0,
+            last_taken: 0,
         }
     }
 
@@ -61,23 +61,23 @@
         self.sequence
     }
 
-    /// Records `change` at `now`; it is published late, or lost.
+    /// Records `change` at `now`, to be published after a random delay or lost.
     pub fn record(&mut self, change: CacheChange, now: Timestamp) {
         self.sequence += 1;
         let span = self.faults.delay_max.saturating_sub(self.faults.delay_min);
         let extra = self.random.random_range(0..=span.as_micros() as u64);
         let due = now.after(self.faults.delay_min).0 + extra;
-        // Events are published in order, so a late one holds up those behind it.
-        self.last_visible = self.last_visible.max(Timestamp(due));
+        // Events are published in order, so a delayed event delays all later ones.
+        self.last_published_at = self.last_published_at.max(Timestamp(due));
         let lost = self.random.random_bool(self.faults.loss.clamp(0.0, 1.0));
         let event =
             CacheEvent { sequence: self.sequence, stored: change.stored, removed: change.removed };
         self.log.push_back(Entry {
             sequence: self.sequence,
-            visible: self.last_visible,
+            published_at: self.last_published_at,
             event: (!lost).then(|| Arc::new(event)),
         });
-        if self.log.len() > LOG_LENGTH {
+        if self.log.len() > MAX_RETAINED_EVENTS {
             self.log.pop_front();
         }
     }
@@ -86,32 +86,33 @@
         self.log.partition_point(|entry| entry.sequence <= after)
     }
 
-    /// Events above `after` that are published by `now`, in order.
+    /// Returns the events with sequence numbers above `after` that are published by `now`, in
+    /// order.
     pub fn after(&self, after: u64, now: Timestamp) -> Vec<Arc<CacheEvent>> {
         self.log
             .range(self.position_after(after)..)
-            .take_while(|entry| entry.visible <= now)
+            .take_while(|entry| entry.published_at <= now)
             .filter_map(|entry| entry.event.clone())
             .collect()
     }
 
-    /// Highest sequence number published by `now`, that of a lost event included:
-    /// without it a reader would not notice that the latest event was lost.
+    /// Highest sequence number published by `now`. Includes lost events, so that
+    /// a reader can detect the loss of the latest event.
     pub fn published(&self, now: Timestamp) -> u64 {
-        let visible = self.log.partition_point(|entry| entry.visible <= now);
-        let unpublished = self.log.len() - visible;
+        let published = self.log.partition_point(|entry| entry.published_at <= now);
+        let unpublished = self.log.len() - published;
         self.sequence - unpublished as u64
     }
 
-    /// Events published by `now` that no earlier call returned.
+    /// Returns the events published by `now` that no earlier call returned.
     pub fn take(&mut self, now: Timestamp) -> Vec<Arc<CacheEvent>> {
-        let events = self.after(self.taken, now);
-        self.taken = self.published(now);
+        let events = self.after(self.last_taken, now);
+        self.last_taken = self.published(now);
         events
     }
 
-    /// When the first event above `after` is published, if one is under way.
-    pub fn next_visible(&self, after: u64) -> Option<Timestamp> {
-        self.log.get(self.position_after(after)).map(|entry| entry.visible)
+    /// Publication time of the first retained event with a sequence number above `after`, if any.
+    pub fn next_publication(&self, after: u64) -> Option<Timestamp> {
+        self.log.get(self.position_after(after)).map(|entry| entry.published_at)
     }
 }
--- a/crates/emulators/src/engine/intake.rs
+++ b/crates/emulators/src/engine/intake.rs
@@ -1,4 +1,4 @@
-//! Intake of requests: what is taken, what is refused, what is cancelled.
+//! Acceptance, rejection and cancellation of requests.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -10,13 +10,13 @@
 use crate::witness::{BreachKind, Provenance};
 
 impl Engine {
-    /// Takes a request or says why not.
+    /// Accepts a request into the waiting queue.
     ///
     /// # Errors
-    /// Fails when the request is refused; it was not run then.
+    /// Fails when the request is rejected; a rejected request is never run.
     pub fn submit(&mut self, request: EngineRequest, now: Timestamp) -> Result<(), Refusal> {
         self.run_until(now);
-        if let Err(refusal) = self.check(&request, now) {
+        if let Err(refusal) = self.check_acceptable(&request, now) {
             self.counters.refused += 1;
             return Err(refusal);
         }
@@ -33,15 +33,15 @@
         self.arrivals += 1;
         let key = (Reverse(request.priority), self.arrivals);
         self.waiting.insert(key, Waiting { request, provenance });
-        self.proceed(now);
+        self.start_ready_work(now);
         Ok(())
     }
 
-    fn check(&mut self, request: &EngineRequest, now: Timestamp) -> Result<(), Refusal> {
+    fn check_acceptable(&mut self, request: &EngineRequest, now: Timestamp) -> Result<(), Refusal> {
         if self.down {
             return Err(Refusal::Down);
         }
-        if self.knows(request.id) {
+        if self.is_known_request(request.id) {
             self.witness.record(BreachKind::RepeatedRequestId, now, request.id.to_string());
             return Err(Refusal::DuplicateRequest);
         }
@@ -86,13 +86,13 @@
         }
     }
 
-    fn knows(&self, id: RequestId) -> bool {
+    fn is_known_request(&self, id: RequestId) -> bool {
         self.ended.contains(id)
             || self.running.iter().any(|running| running.request.id == id)
             || self.waiting.values().any(|waiting| waiting.request.id == id)
     }
 
-    /// Time to prefill everything that waits, as if nothing were cached.
+    /// Time to prefill all waiting requests without cache hits.
     fn queue_time(&self) -> Duration {
         Duration::from_nanos(self.waiting_prompt_tokens() * self.config.prefill_token_ns)
     }
@@ -101,14 +101,14 @@
         self.waiting.values().map(|waiting| u64::from(waiting.request.prompt_tokens)).sum()
     }
 
-    /// Stops a request and frees its memory; asking again changes nothing.
+    /// Cancels a request and releases its memory. Idempotent.
     pub fn cancel(&mut self, id: RequestId, now: Timestamp) -> CancelState {
         self.run_until(now);
-        if let Some(at) = self.running.iter().position(|running| running.request.id == id) {
-            let running = self.running.remove(at);
+        if let Some(index) = self.running.iter().position(|running| running.request.id == id) {
+            let running = self.running.remove(index);
             self.drop_request(&running.request, DropReason::Cancelled, true, now);
-            self.free(running);
-            self.proceed(now);
+            self.release_memory(running);
+            self.start_ready_work(now);
             return CancelState::Cancelled;
         }
         let key = self.waiting.iter().find(|(_, w)| w.request.id == id).map(|(key, _)| *key);
@@ -128,7 +128,7 @@
         at: Timestamp,
     ) {
         self.counters.dropped += 1;
-        self.ended.note(request.id);
+        self.ended.record(request.id);
         self.outbox.push(Output::Dropped { id: request.id, at, reason, run });
     }
 
--- a/crates/emulators/src/engine/load.rs
+++ b/crates/emulators/src/engine/load.rs
@@ -1,4 +1,4 @@
-//! Load reports: sampled at a steady pace and readable only when they have aged.
+//! Load reports, sampled at a fixed interval and readable after a lag.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -6,49 +6,49 @@
 use juniper_types::{AdapterName, Incarnation, ModelName, Timestamp, WeightsVersion};
 use serde::{Deserialize, Serialize};
 
-/// What an engine is used for.
+/// Scheduling role of an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Role {
-    /// Prefill and decode in one batch.
+    /// Balanced prefill and decode.
     #[default]
     Mixed,
-    /// Mostly prefill: large chunks, slow streams.
+    /// Mostly prefill: large prefill chunks, slow token streams.
     Prefill,
-    /// Mostly decode: small chunks, steady streams.
+    /// Mostly decode: small prefill chunks, steady token streams.
     Decode,
 }
 
-/// The load of an engine at one moment.
+/// Load of an engine at one point in time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Life of the engine that the report is of.
+    /// Incarnation that the report describes.
     pub incarnation: Incarnation,
     /// Age of the report when it was read, in milliseconds.
     pub age_ms: u64,
-    /// Requests in the batch.
+    /// Number of requests in the batch.
     pub running: u32,
-    /// Requests waiting.
+    /// Number of queued requests.
     pub waiting: u32,
-    /// Prompt tokens of the waiting requests, cached or not.
+    /// Prompt tokens of the queued requests, cached or not.
     pub waiting_prompt_tokens: u64,
-    /// Blocks cached.
+    /// Number of cached blocks.
     pub cache_blocks: u32,
-    /// Blocks that fit.
+    /// Cache capacity in blocks.
     pub cache_capacity: u32,
-    /// Model loaded, if any.
+    /// Served model, if any.
     pub model: Option<ModelName>,
-    /// Version of its weights; zero while no model is loaded.
+    /// Version of the model's weights; zero while no model is served.
     pub weights: WeightsVersion,
-    /// Adapters loaded.
+    /// Loaded adapters.
     pub adapters: Vec<AdapterName>,
-    /// Role of the engine.
+    /// Scheduling role.
     pub role: Role,
-    /// Whether the engine takes no new work.
+    /// Whether the engine is departing and accepts no new work after the grace period.
     pub leaving: bool,
 }
 
-/// Recent states of an engine, from which lagging samples are read.
+/// Recent load states of an engine, from which lagging samples are read.
 #[derive(Clone, Debug)]
 pub struct LoadHistory {
     interval: Duration,
@@ -57,12 +57,12 @@
 }
 
 impl LoadHistory {
-    /// Samples every `interval`, readable once `lag` old.
+    /// Creates a history sampled every `interval` and readable after `lag`.
     pub fn new(interval: Duration, lag: Duration) -> Self {
         LoadHistory { interval, lag, states: VecDeque::new() }
     }
 
-    /// Notes that the engine is in `state` from `now` on.
+    /// Records `state` as the load from `now` on.
     pub fn record(&mut self, state: LoadReport, now: Timestamp) {
         if self.states.back().is_some_and(|(at, _)| *at == now) {
             self.states.pop_back();
@@ -80,7 +80,7 @@
         Timestamp(readable / interval * interval)
     }
 
-    /// The latest readable sample, or `None` before the first state.
+    /// Returns the latest readable sample, or `None` before the first recorded state.
     pub fn read(&self, now: Timestamp) -> Option<LoadReport> {
         let sampled = self.sample_time(now);
         let older = self.states.partition_point(|(at, _)| *at <= sampled);
--- a/crates/emulators/src/engine/mod.rs
+++ b/crates/emulators/src/engine/mod.rs
@@ -1,13 +1,13 @@
 //! The engine model: continuous batching over a block cache, in virtual time.
 //!
 //! The model performs no I/O and reads no clock. A driver submits requests,
-//! asks for [`Engine::next_event_time`], calls [`Engine::advance`] and acts on
-//! the outputs. Calls must not go back in time.
+//! calls [`Engine::advance`] at [`Engine::next_event_time`] and acts on the
+//! outputs. Times must not decrease from call to call.
 
 mod batch;
 pub mod cache;
 pub mod config;
-mod ended;
+mod ended_requests;
 pub mod events;
 mod intake;
 pub mod load;
@@ -25,7 +25,7 @@
 use self::batch::Running;
 use self::cache::BlockCache;
 pub use self::config::{EngineConfig, EventFaults};
-use self::ended::EndedRequests;
+use self::ended_requests::EndedRequests;
 pub use self::events::CacheEvent;
 use self::events::EventFeed;
 use self::load::LoadHistory;
@@ -37,7 +37,7 @@
 use self::transfer::Transfer;
 use crate::witness::Witness;
 
-/// What an engine has done over all its lives.
+/// Counters of an engine over all incarnations.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counters {
     /// Requests accepted.
@@ -46,7 +46,7 @@
     pub refused: u64,
     /// Requests finished.
     pub finished: u64,
-    /// Requests that ended early.
+    /// Accepted requests that ended before their last token.
     pub dropped: u64,
     /// Prompt tokens of finished requests.
     pub prompt_tokens: u64,
@@ -58,7 +58,7 @@
     pub generated_tokens: u64,
 }
 
-/// Order in which requests wait: priority, then arrival.
+/// Key of the waiting queue: priority, then arrival.
 type WaitKey = (Reverse<u8>, u64);
 
 #[derive(Clone, Debug)]
@@ -67,7 +67,7 @@
     provenance: u32,
 }
 
-/// What the engine's memory holds.
+/// State of the loaded model.
 #[derive(Clone, Debug)]
 enum ModelState {
     Empty,
@@ -85,7 +85,7 @@
     },
 }
 
-/// One emulated engine.
+/// Model of one engine.
 #[derive(Clone, Debug)]
 pub struct Engine {
     config: EngineConfig,
@@ -113,7 +113,7 @@
 }
 
 impl Engine {
-    /// An engine that serves from `now` on with an empty cache.
+    /// Creates an engine that serves from `now` on with an empty cache.
     pub fn new(config: EngineConfig, incarnation: Incarnation, now: Timestamp) -> Self {
         let model = match config.model.clone() {
             Some((model, weights)) => ModelState::Serving { model, weights },
@@ -147,7 +147,7 @@
         engine
     }
 
-    /// The current life of the engine.
+    /// Current incarnation of the engine.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
@@ -157,7 +157,7 @@
         self.down
     }
 
-    /// Model and weights that are served now.
+    /// Model and weights that are currently served, if any.
     pub fn serving(&self) -> Option<(&ModelName, WeightsVersion)> {
         match &self.model {
             ModelState::Serving { model, weights } => Some((model, *weights)),
@@ -165,13 +165,13 @@
         }
     }
 
-    /// When the engine next changes state by itself; `None` while it is idle.
+    /// Time of the next state change without further calls; `None` while idle.
     pub fn next_event_time(&self) -> Option<Timestamp> {
         let transfer = self.transfers.iter().map(|transfer| transfer.ends_at).min();
         self.iteration_ends_at.into_iter().chain(transfer).min()
     }
 
-    /// Runs until `to` and returns everything put out since the last call, in order.
+    /// Advances the engine to `to` and returns the outputs since the last call, in order.
     pub fn advance(&mut self, to: Timestamp) -> Vec<Output> {
         self.run_until(to);
         std::mem::take(&mut self.outbox)
@@ -183,12 +183,12 @@
             if self.iteration_ends_at.is_some_and(|ends_at| ends_at <= now) {
                 self.finish_iteration(now);
             }
-            self.proceed(now);
+            self.start_ready_work(now);
         }
     }
 
-    /// Starts whatever can start at `now` and notes the new state.
-    fn proceed(&mut self, now: Timestamp) {
+    /// Starts the work that can start at `now` and records the new load.
+    fn start_ready_work(&mut self, now: Timestamp) {
         if self.running.is_empty() {
             self.iteration_ends_at = None;
         }
@@ -205,7 +205,7 @@
         }
     }
 
-    /// The process dies: everything in memory is lost.
+    /// Simulates a crash of the process, which loses everything in memory.
     pub fn crash(&mut self, now: Timestamp) {
         self.run_until(now);
         self.drop_waiting(DropReason::Crashed, now);
@@ -221,7 +221,8 @@
         self.down = true;
     }
 
-    /// The process starts again, empty, as `incarnation`, and fetches its configured weights.
+    /// Restarts the process as `incarnation` with an empty cache and requests its configured
+    /// weights.
     pub fn start(&mut self, incarnation: Incarnation, now: Timestamp) {
         self.incarnation = incarnation;
         self.down = false;
@@ -244,23 +245,23 @@
         self.events.take(now)
     }
 
-    /// The event stream of the current incarnation.
+    /// Cache event stream of the current incarnation.
     pub fn events(&self) -> &EventFeed {
         &self.events
     }
 
-    /// The whole cache and the sequence number of the change it reflects.
+    /// Returns the sequence number of the latest cache change and all cached blocks.
     pub fn snapshot(&self) -> (u64, Vec<BlockHash>) {
         (self.events.sequence(), self.cache.snapshot())
     }
 
-    /// How many leading blocks of `chain` are cached at this moment: the truth
-    /// that events tell late. For oracles and checks.
+    /// Number of leading blocks of `chain` that are cached, without the delay of
+    /// cache events. For oracles and checks.
     pub fn cached_prefix(&self, chain: &[BlockHash]) -> usize {
-        self.cache.matched(chain)
+        self.cache.cached_prefix(chain)
     }
 
-    /// The latest load report that can be read; it lags.
+    /// Returns the latest readable load report, which lags behind the current load.
     pub fn load_report(&self, now: Timestamp) -> Option<LoadReport> {
         if self.down { None } else { self.load.read(now) }
     }
@@ -270,7 +271,7 @@
         self.load.record(state, now);
     }
 
-    /// The load at this moment: the truth that reports tell late. For oracles and checks.
+    /// Returns the current load, without the lag of load reports. For oracles and checks.
     pub fn current_load(&self) -> LoadReport {
         let serving = self.serving();
         LoadReport {
@@ -289,12 +290,12 @@
         }
     }
 
-    /// Breaches seen so far.
+    /// Invariant violations detected so far.
     pub fn witness(&self) -> &Witness {
         &self.witness
     }
 
-    /// What the engine has done so far.
+    /// Counters over all incarnations.
     pub fn counters(&self) -> Counters {
         self.counters
     }
--- a/crates/emulators/src/engine/orders.rs
+++ b/crates/emulators/src/engine/orders.rs
@@ -1,11 +1,11 @@
-//! Fenced orders: who may change what an engine serves.
+//! Fenced orders that change what an engine serves.
 //!
-//! An order names the incarnation it is meant for and carries a fencing token
-//! and a sequence number. The token grows with every new holder of the right to
-//! give orders, the sequence number with every order of one holder. An engine
-//! refuses an older token (a former holder must not undo what its successor
-//! ordered) and an older sequence number (a delayed order must not undo a later
-//! one); the same pair again gets the first answer and changes nothing.
+//! An order names the target incarnation and carries a fencing token and a
+//! sequence number. The token increases with every new lease holder, the
+//! sequence number with every order of one holder. An engine rejects older
+//! tokens, so that a former holder can't revert its successor's orders, and
+//! older sequence numbers, so that a delayed order can't revert a later one. A
+//! repeated order gets the first answer again and has no effect.
 
 use std::collections::BTreeMap;
 
@@ -20,103 +20,103 @@
 /// Position of an order among all orders to an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct OrderNumber {
-    /// Fencing token of the holder.
+    /// Fencing token of the lease holder.
     pub token: u64,
-    /// Grows with every order of one holder, from 1.
+    /// Sequence number among the orders of one holder, from 1.
     pub sequence: u64,
 }
 
-/// What is ordered.
+/// Action of an order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "action")]
 pub enum OrderAction {
-    /// Load these weights in place of whatever is loaded.
+    /// Replace the loaded model, if any.
     LoadModel {
-        /// The model.
+        /// Model to load.
         model: ModelName,
-        /// Version of its weights.
+        /// Version of the weights.
         weights: WeightsVersion,
     },
     /// Unload the model and empty the cache.
     UnloadModel,
-    /// Load an adapter beside the model.
+    /// Load an adapter for the model.
     LoadAdapter {
-        /// The adapter.
+        /// Adapter name.
         adapter: AdapterName,
     },
     /// Unload an adapter.
     UnloadAdapter {
-        /// The adapter.
+        /// Adapter name.
         adapter: AdapterName,
     },
-    /// Change role.
+    /// Change the scheduling role.
     SetRole {
-        /// The new role.
+        /// New role.
         role: Role,
     },
-    /// Take no new work after the grace.
+    /// Depart: reject new work after the grace period.
     Leave,
-    /// Take new work again.
+    /// Cancel the departure and accept new work again.
     Return,
 }
 
-/// One order.
+/// Order to an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
     /// Fencing token and sequence number.
     #[serde(flatten)]
     pub number: OrderNumber,
-    /// Life of the engine that the order is meant for.
+    /// Incarnation that the order is meant for.
     pub incarnation: Incarnation,
-    /// What is ordered.
+    /// Action to apply.
     #[serde(flatten)]
     pub action: OrderAction,
 }
 
-/// What an order came to.
+/// Result of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderState {
-    /// It is in force.
+    /// The order is in effect.
     Applied,
-    /// Weights are being loaded; `GET /v1/load` shows when they serve.
+    /// The engine is loading weights; `GET /v1/load` shows when they are served.
     Loading,
 }
 
-/// Answer to an order that was taken.
+/// Answer to an accepted order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderAnswer {
     /// What the order came to.
     pub state: OrderState,
-    /// Whether the order had been taken before and this is the first answer again.
+    /// Whether the order was accepted before and this repeats the first answer.
     pub repeated: bool,
 }
 
-/// Why an order was refused; nothing changed.
+/// Reason for rejecting an order. A rejected order has no effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum OrderRefusal {
     /// The engine process is down.
     #[error("the engine is down")]
     Down,
-    /// A later order was taken before.
+    /// The engine has accepted a later order.
     #[error("an order with token {} and sequence {} was taken before", newest.token, newest.sequence)]
     Fenced {
-        /// The latest order taken.
+        /// Number of the latest accepted order.
         newest: OrderNumber,
     },
-    /// The order is for another life of the engine.
+    /// The order names another incarnation of the engine.
     #[error("the incarnation is {0}")]
     IncarnationMismatch(Incarnation),
 }
 
-/// The latest order that an engine has taken. It is kept across crashes.
+/// Latest order accepted by an engine, persisted across crashes.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Fence {
     newest: Option<(OrderNumber, Incarnation, OrderState)>,
 }
 
 impl Engine {
-    /// Takes `order`, unless a later one was taken before.
+    /// Applies `order` unless a later one was accepted before.
     ///
     /// # Errors
     /// Fails when the order is fenced off or meant for another incarnation.
@@ -136,30 +136,30 @@
                 return Err(OrderRefusal::Fenced { newest });
             }
         }
-        self.witness_order(order.number, now);
-        let state = self.apply(&order.action, now);
+        self.check_order_number(order.number, now);
+        let state = self.apply_action(&order.action, now);
         self.fence.newest = Some((order.number, order.incarnation, state));
-        self.proceed(now);
+        self.start_ready_work(now);
         Ok(OrderAnswer { state, repeated: false })
     }
 
-    /// Counts an order that took effect out of order, judged apart from the fence.
-    fn witness_order(&mut self, number: OrderNumber, now: Timestamp) {
-        let applied = self.applied_orders.last().copied();
+    /// Records a breach if an applied order is stale or repeated, independently of the fence.
+    fn check_order_number(&mut self, number: OrderNumber, now: Timestamp) {
+        let latest = self.applied_orders.last().copied();
         if self.applied_orders.contains(&number) {
             self.witness.record(BreachKind::RepeatedOrder, now, format!("{number:?}"));
-        } else if applied.is_some_and(|last| number.token < last.token) {
+        } else if latest.is_some_and(|last| number.token < last.token) {
             self.witness.record(BreachKind::StaleOrder, now, format!("{number:?}"));
         }
         self.applied_orders.push(number);
     }
 
-    /// Orders that took effect, in order, over all lives of the engine.
+    /// Numbers of all applied orders over all incarnations, in the order of application.
     pub fn applied_orders(&self) -> &[OrderNumber] {
         &self.applied_orders
     }
 
-    fn apply(&mut self, action: &OrderAction, now: Timestamp) -> OrderState {
+    fn apply_action(&mut self, action: &OrderAction, now: Timestamp) -> OrderState {
         match action {
             OrderAction::LoadModel { model, weights } => {
                 return self.switch_model(Some((model.clone(), *weights)), now);
@@ -185,10 +185,10 @@
     }
 
     fn drop_waiting_for(&mut self, adapter: &AdapterName, now: Timestamp) {
-        let (dropped, kept) = std::mem::take(&mut self.waiting)
+        let (dropped, remaining) = std::mem::take(&mut self.waiting)
             .into_iter()
             .partition(|(_, waiting)| waiting.request.scope.adapter.as_ref() == Some(adapter));
-        self.waiting = kept;
+        self.waiting = remaining;
         let dropped: BTreeMap<WaitKey, Waiting> = dropped;
         for waiting in dropped.values() {
             self.drop_request(&waiting.request, DropReason::WeightsSwitched, false, now);
@@ -210,7 +210,7 @@
         OrderState::Loading
     }
 
-    /// Once nothing runs on the old weights: empties the cache and fetches the new ones.
+    /// Empties the cache and requests the new weights once nothing runs on the old ones.
     pub(super) fn finish_draining(&mut self, now: Timestamp) {
         let ModelState::Draining { next } = &self.model else {
             return;
@@ -232,8 +232,8 @@
         };
     }
 
-    /// Tells the engine that weights it asked for have arrived. Weights that are
-    /// no longer wanted are ignored.
+    /// Completes the load of requested weights. Weights that are no longer
+    /// needed are ignored.
     pub fn complete_load(&mut self, load: &WeightLoad, now: Timestamp) {
         self.run_until(now);
         if self.down {
@@ -252,10 +252,10 @@
             }
             _ => {}
         }
-        self.proceed(now);
+        self.start_ready_work(now);
     }
 
-    /// Starts leaving: after the grace no new work is taken.
+    /// Starts the departure: new work is rejected after the grace period.
     pub fn leave(&mut self, now: Timestamp) {
         self.leaving_since.get_or_insert(now);
     }
--- a/crates/emulators/src/engine/request.rs
+++ b/crates/emulators/src/engine/request.rs
@@ -1,4 +1,4 @@
-//! Requests to an engine, refusals and what the engine puts out.
+//! Requests to an engine, rejection reasons and outputs.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,30 +8,30 @@
     WeightsVersion,
 };
 
-/// One request as the engine model sees it.
+/// Request to the engine model.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineRequest {
-    /// Unique for each attempt.
+    /// Request id, unique for each attempt.
     pub id: RequestId,
     /// Cache scope that the router planned with.
     pub scope: CacheScope,
-    /// Whose request it truly is; only the witness reads it.
+    /// Actual tenant of the request, read only by the witness.
     pub owner: TenantName,
-    /// Full blocks of the prompt.
+    /// Hashes of the prompt's full blocks.
     pub blocks: Arc<[BlockHash]>,
-    /// Tokens of the prompt, the unfinished last block included.
+    /// Tokens of the prompt, including a partial last block.
     pub prompt_tokens: u32,
-    /// Tokens to generate in all; zero only fills the cache.
+    /// Total number of tokens to generate; zero only fills the cache.
     pub output_tokens: u32,
-    /// Output tokens that the caller has already.
+    /// Output tokens that the caller has already received.
     pub resume_from: u32,
-    /// 0 (lowest) to 9.
+    /// Priority, from 0 (lowest) to 9.
     pub priority: u8,
-    /// When the answer must be complete.
+    /// Time by which the response must be complete.
     pub deadline: Option<Timestamp>,
-    /// Incarnation that the router planned with; `None` when it knows none.
+    /// Incarnation that the router planned with, if known.
     pub incarnation: Option<Incarnation>,
-    /// Leading blocks that the router believes cached; a hint.
+    /// Number of leading blocks that the router expects to be cached; a hint.
     pub expected_blocks: u32,
 }
 
@@ -42,22 +42,22 @@
     }
 }
 
-/// Why the engine did not take a request. The request was not run.
+/// Reason for rejecting a request. A rejected request is never run.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Refusal {
     /// The engine process is down.
     #[error("the engine is down")]
     Down,
-    /// No model, or another one, is loaded.
+    /// No model or a different model is loaded.
     #[error("model {0} is not loaded")]
     ModelNotLoaded(ModelName),
-    /// Weights are being switched.
+    /// The weights are being replaced.
     #[error("weights are being loaded")]
     Loading,
-    /// Other weights are loaded than the router planned with.
+    /// The loaded weights differ from those that the router planned with.
     #[error("the weights loaded are {0}")]
     WeightsMismatch(WeightsVersion),
-    /// The engine is in another incarnation than the router planned with.
+    /// The engine's incarnation differs from the one that the router planned with.
     #[error("the incarnation is {0}")]
     IncarnationMismatch(Incarnation),
     /// The adapter is not loaded.
@@ -66,39 +66,39 @@
     /// The queue is full.
     #[error("the queue is full")]
     Overloaded {
-        /// When the queue will have drained.
+        /// Estimated time until the queue has drained.
         retry_after: Duration,
     },
-    /// The engine takes no new work.
+    /// The engine is departing and accepts no new work.
     #[error("the engine is leaving")]
     Leaving,
-    /// The request needs more memory than there is.
+    /// The request exceeds the engine's total cache capacity.
     #[error("the request does not fit into the cache")]
     TooLong,
-    /// The id was used before.
+    /// The request id was used before.
     #[error("the request id is in use")]
     DuplicateRequest,
 }
 
-/// Why an accepted request ended before its last token.
+/// Reason why an accepted request ended before its last token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DropReason {
-    /// It could not be finished before its deadline.
+    /// The deadline could not be met.
     Deadline,
-    /// Its weights were unloaded while it waited.
+    /// The weights were unloaded while the request was queued.
     WeightsSwitched,
     /// The engine crashed.
     Crashed,
-    /// The caller cancelled it.
+    /// The caller cancelled the request.
     Cancelled,
 }
 
-/// What a cancellation came to.
+/// Result of a cancellation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CancelState {
-    /// The request was waiting or running and has been stopped.
+    /// The request was queued or running and has been stopped.
     Cancelled,
-    /// The request had ended.
+    /// The request had already ended.
     Finished,
     /// The engine does not know the request.
     Unknown,
@@ -115,76 +115,76 @@
     pub computed_tokens: u32,
 }
 
-/// What happened to a request or to the engine, and when.
+/// Event of a request or of the engine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// The request entered the batch.
     Started {
-        /// The request.
+        /// Request id.
         id: RequestId,
-        /// When.
+        /// Time of the event.
         at: Timestamp,
         /// Prompt tokens found in the cache.
         cached_tokens: u32,
     },
-    /// The first token that this attempt generates.
+    /// The first token of this attempt was generated.
     FirstToken {
-        /// The request.
+        /// Request id.
         id: RequestId,
-        /// When.
+        /// Time of the event.
         at: Timestamp,
-        /// Its number in the whole answer.
+        /// Index of the token in the whole output.
         index: u32,
     },
-    /// Further tokens.
+    /// Tokens after the first were generated.
     Tokens {
-        /// The request.
+        /// Request id.
         id: RequestId,
-        /// When.
+        /// Time of the event.
         at: Timestamp,
-        /// Number of the first of them in the whole answer.
+        /// Index of the first of these tokens in the whole output.
         index: u32,
-        /// How many.
+        /// Number of tokens.
         count: u32,
     },
-    /// The last token has been generated.
+    /// The last token was generated.
     Finished {
-        /// The request.
+        /// Request id.
         id: RequestId,
-        /// When.
+        /// Time of the event.
         at: Timestamp,
         /// Token counts.
         statistics: RequestStatistics,
     },
-    /// The request ended early.
+    /// The request ended before its last token.
     Dropped {
-        /// The request.
+        /// Request id.
         id: RequestId,
-        /// When.
+        /// Time of the event.
         at: Timestamp,
-        /// Why.
+        /// Reason.
         reason: DropReason,
         /// Whether it had entered the batch.
         run: bool,
     },
     /// Weights must be fetched; the driver calls [`super::Engine::complete_load`] when done.
     LoadNeeded {
-        /// When.
+        /// Time of the event.
         at: Timestamp,
-        /// What to fetch.
+        /// Weights to fetch.
         load: WeightLoad,
     },
-    /// An import has ended.
+    /// An import of cached blocks completed.
     Imported {
-        /// When.
+        /// Time of the event.
         at: Timestamp,
-        /// Blocks that are cached now and were not before.
+        /// Number of blocks added to the cache.
         blocks: u32,
     },
 }
 
 impl Output {
-    /// The request concerned, if any.
+    /// Id of the request that the output belongs to, if any.
     pub fn request(&self) -> Option<RequestId> {
         match self {
             Output::Started { id, .. }
@@ -200,14 +200,14 @@
 /// Weights that an engine fetches from the weight store.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum WeightLoad {
-    /// A base model.
+    /// Weights of a base model.
     Model(ModelName, WeightsVersion),
-    /// An adapter beside the model that is loaded.
+    /// An adapter for the loaded model.
     Adapter(AdapterName),
 }
 
 impl WeightLoad {
-    /// Bytes to fetch.
+    /// Size in bytes.
     pub fn bytes(&self) -> u64 {
         match self {
             WeightLoad::Model(..) => super::config::MODEL_BYTES,
--- a/crates/emulators/src/engine/transfer.rs
+++ b/crates/emulators/src/engine/transfer.rs
@@ -1,8 +1,8 @@
 //! Export and import of cached blocks.
 //!
-//! An entry holds the leading blocks of one prompt. It is bound to the scope
-//! that computed it; an engine imports it only into the same model, adapter and
-//! weights, and only for the tenant that it was asked to import for.
+//! An entry serves_scope the leading blocks of one prompt and is bound to the scope
+//! that computed them. An engine imports an entry only for the same tenant,
+//! model, adapter and weights.
 
 use juniper_types::{BlockHash, CacheScope, Incarnation, Timestamp};
 
@@ -12,43 +12,43 @@
 use super::{Engine, ModelState};
 use crate::witness::Provenance;
 
-/// Leading blocks of one prompt, as they travel between engines and the store.
+/// Leading blocks of one prompt, as transferred between engines and the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KvEntry {
-    /// Scope that the blocks were computed in.
+    /// Cache scope of the blocks.
     pub scope: CacheScope,
-    /// Life of the engine that computed them.
+    /// Incarnation of the exporting engine.
     pub incarnation: Incarnation,
-    /// The blocks, from the start of the prompt.
+    /// Hashes of the blocks, from the start of the prompt.
     pub blocks: Vec<BlockHash>,
-    /// Where the content truly came from; only the witness reads it.
+    /// Actual origin of the content, read only by the witness.
     pub provenance: Provenance,
     /// Checksum over the blocks.
     pub checksum: BlockHash,
 }
 
 impl KvEntry {
-    /// The checksum that `blocks` must have.
+    /// Computes the checksum of `blocks`.
     pub fn checksum_of(blocks: &[BlockHash]) -> BlockHash {
         blocks.iter().fold(BlockHash([0; 16]), |sum, block| sum.next(&block.0))
     }
 
-    /// Whether the entry is whole and undamaged.
-    pub fn is_sound(&self) -> bool {
+    /// Returns whether the checksum matches the blocks.
+    pub fn is_intact(&self) -> bool {
         self.checksum == KvEntry::checksum_of(&self.blocks)
     }
 }
 
-/// Why an import or export was refused; nothing changed.
+/// Reason for rejecting an import or export. A rejected transfer has no effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TransferRefusal {
     /// The engine process is down.
     #[error("the engine is down")]
     Down,
-    /// The engine is in another incarnation than the caller planned with.
+    /// The engine's incarnation differs from the one that the caller planned with.
     #[error("the incarnation is {0}")]
     IncarnationMismatch(Incarnation),
-    /// The entry belongs to another scope than the one asked for or loaded.
+    /// The requested scope differs from the entry's or from the one that the engine serves.
     #[error("the entry belongs to another scope")]
     ForeignScope,
     /// The entry's checksum does not match.
@@ -62,7 +62,7 @@
     NotCached,
 }
 
-/// An import under way.
+/// Import in progress.
 #[derive(Clone, Debug)]
 pub(super) struct Transfer {
     pub(super) ends_at: Timestamp,
@@ -72,10 +72,11 @@
 }
 
 impl Engine {
-    /// The cached run that `blocks` starts with, as an entry, and when it has left the engine.
+    /// Exports the cached leading blocks of `blocks`; returns the entry and the time when its
+    /// transfer completes.
     ///
     /// # Errors
-    /// Fails when the engine holds another scope or none of the blocks.
+    /// Fails when the engine serves another scope or has cached none of the blocks.
     pub fn export(
         &mut self,
         scope: &CacheScope,
@@ -86,7 +87,7 @@
         if self.down {
             return Err(TransferRefusal::Down);
         }
-        if !self.holds(scope) {
+        if !self.serves_scope(scope) {
             return Err(TransferRefusal::ForeignScope);
         }
         let slots = self.cache.acquire_prefix(blocks);
@@ -102,10 +103,11 @@
         Ok((KvEntry { scope: scope.clone(), incarnation, blocks, provenance, checksum }, ready_at))
     }
 
-    /// Starts importing `entry` for requests of `scope`; returns when it will be cached.
+    /// Starts importing `entry` for requests of `scope`; returns the time when the transfer
+    /// completes.
     ///
     /// # Errors
-    /// Fails when the entry is damaged, foreign or does not fit.
+    /// Fails when the entry is damaged, belongs to another scope or does not fit.
     pub fn import(
         &mut self,
         entry: &KvEntry,
@@ -120,10 +122,10 @@
         if incarnation != self.incarnation {
             return Err(TransferRefusal::IncarnationMismatch(self.incarnation));
         }
-        if !entry.is_sound() {
+        if !entry.is_intact() {
             return Err(TransferRefusal::Damaged);
         }
-        if entry.scope != *scope || !self.holds(scope) {
+        if entry.scope != *scope || !self.serves_scope(scope) {
             return Err(TransferRefusal::ForeignScope);
         }
         let slots = self.cache.acquire_prefix(&entry.blocks);
@@ -139,14 +141,15 @@
         Ok(ends_at)
     }
 
-    /// Queues a transfer on the engine's one link.
+    /// Queues a transfer of `blocks` blocks on the engine's link; returns the time when it
+    /// completes.
     fn occupy_link(&mut self, blocks: usize, now: Timestamp) -> Timestamp {
         let micros = blocks as u64 * TRANSFER_BLOCK_NS / 1_000;
         self.link_free_at = Timestamp(self.link_free_at.max(now).0 + micros);
         self.link_free_at
     }
 
-    fn holds(&self, scope: &CacheScope) -> bool {
+    fn serves_scope(&self, scope: &CacheScope) -> bool {
         let adapter_loaded = scope.adapter.as_ref().is_none_or(|name| self.adapters.contains(name));
         match &self.model {
             ModelState::Serving { model, weights } => {
--- a/crates/emulators/src/http/application.rs
+++ b/crates/emulators/src/http/application.rs
@@ -1,4 +1,4 @@
-//! The application server over HTTP.
+//! HTTP API of the application server.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -15,25 +15,25 @@
 use super::report::{WITNESS_PATH, WitnessReport};
 use crate::application::{Execution, ExecutionCount, Executions, Receipt, listing_text};
 
-/// Path of the record of executions.
+/// Path of the list of executions.
 pub const EXECUTIONS_PATH: &str = "/v1/emulator/executions";
 
-/// Idempotency key of a call that runs at most once.
+/// Header with the idempotency key of an at-most-once request.
 const KEY_HEADER: &str = "idempotency-key";
 
-/// Tenant of a call, set by the router.
+/// Header with the tenant, set by the router.
 const TENANT_HEADER: &str = "x-tenant";
 
-/// Largest body taken, in bytes.
+/// Maximum size of a request body, in bytes.
 const MAX_BODY_BYTES: usize = 16 << 20;
 
-/// Time that one call takes: a few reads and one write of a database.
+/// Default processing time of a request: a few reads and one write of a database.
 pub const WORK_TIME: Duration = Duration::from_millis(30);
 
 struct Application {
     executions: Mutex<Executions>,
     clock: Clock,
-    work: Duration,
+    work_time: Duration,
 }
 
 impl Application {
@@ -44,14 +44,14 @@
 
 type Shared = State<Arc<Application>>;
 
-/// The routes of an application server whose calls take `work`.
-pub fn router(executions: Executions, work: Duration) -> Router {
+/// Builds the routes of an application server that processes each request in `work_time`.
+pub fn router(executions: Executions, work_time: Duration) -> Router {
     let executions = Mutex::new(executions);
-    let application = Application { executions, clock: Clock::start(), work };
+    let application = Application { executions, clock: Clock::start(), work_time };
     Router::new()
         .route("/apply/{*path}", post(apply))
         .route("/board/{*path}", get(listing))
-        .route(EXECUTIONS_PATH, get(executed))
+        .route(EXECUTIONS_PATH, get(list_executions))
         .route(WITNESS_PATH, get(witness))
         .route("/healthz", get(|| async { "ok" }))
         .layer(DefaultBodyLimit::max(MAX_BODY_BYTES))
@@ -69,24 +69,24 @@
     let tenant: String = headers::parse(&header_map, TENANT_HEADER)?
         .ok_or(ApiError::MissingHeader(TENANT_HEADER))?;
     let receipt = Receipt::of(&tenant, &key, uri.path(), &body);
-    // The work goes on although the caller hangs up, as a real server's does.
-    let work = tokio::spawn(async move {
+    // Runs in a task of its own, so that the work continues when the caller disconnects.
+    let task = tokio::spawn(async move {
         let now = application.clock.now();
         let recorded = application.lock().record(Execution { tenant, key }, now);
         recorded.map_err(|_| ApiError::Journal)?;
-        tokio::time::sleep(application.work).await;
+        tokio::time::sleep(application.work_time).await;
         Ok::<(), ApiError>(())
     });
-    work.await.map_err(|_| ApiError::Interrupted)??;
+    task.await.map_err(|_| ApiError::Interrupted)??;
     Ok(Json(receipt))
 }
 
 async fn listing(State(application): Shared, uri: Uri) -> String {
-    tokio::time::sleep(application.work / 2).await;
+    tokio::time::sleep(application.work_time / 2).await;
     listing_text(uri.path())
 }
 
-async fn executed(State(application): Shared) -> Json<Vec<ExecutionCount>> {
+async fn list_executions(State(application): Shared) -> Json<Vec<ExecutionCount>> {
     Json(application.lock().counts())
 }
 
--- a/crates/emulators/src/http/chat.rs
+++ b/crates/emulators/src/http/chat.rs
@@ -1,42 +1,42 @@
-//! Chat completions on the wire: request body, stream chunks, usage.
+//! Wire format of chat completions: request body, stream chunks and usage.
 
 use serde::{Deserialize, Serialize};
 
-/// Output tokens generated when the body does not limit them.
+/// Number of output tokens if the body sets no limit.
 pub const DEFAULT_MAX_TOKENS: u32 = 64;
 
-/// Body of `POST /v1/chat/completions`; fields the emulator has no use for are ignored.
+/// Body of `POST /v1/chat/completions`; unused fields are ignored.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ChatBody {
-    /// Model that is to answer.
+    /// Requested model.
     pub model: String,
-    /// The prompt.
+    /// Messages of the prompt.
     pub messages: Vec<ChatMessage>,
-    /// Whether the answer is streamed.
+    /// Whether to stream the response.
     #[serde(default)]
     pub stream: bool,
     /// Output tokens to generate.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub max_tokens: Option<u32>,
-    /// Seed of the sampling.
+    /// Sampling seed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub seed: Option<u64>,
-    /// Who the caller says it is; callers of the lab name their tenant, and the witness reads it.
+    /// User named by the caller. Lab clients set their tenant, which the witness reads.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub user: Option<String>,
 }
 
-/// One message of a prompt.
+/// Message of a prompt or response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChatMessage {
-    /// Who speaks.
+    /// Role of the author.
     pub role: String,
-    /// What is said.
+    /// Text of the message.
     pub content: String,
 }
 
 impl ChatBody {
-    /// The prompt as the bytes that blocks are cut from.
+    /// Serializes the prompt to the bytes that block hashes are computed from.
     pub fn prompt(&self) -> Vec<u8> {
         let length = self.messages.iter().map(|m| m.role.len() + m.content.len() + 2).sum();
         let mut prompt = Vec::with_capacity(length);
@@ -55,93 +55,93 @@
     }
 }
 
-/// One server-sent event of a streamed answer.
+/// Server-sent event of a streamed response.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Chunk {
     /// Request id.
     pub id: String,
     /// Always `chat.completion.chunk`.
     pub object: String,
-    /// Model that answers.
+    /// Model that generated the response.
     pub model: String,
-    /// The one choice.
+    /// Exactly one choice.
     pub choices: Vec<ChunkChoice>,
-    /// Place of the chunk in the stream.
+    /// Position of the chunk in the stream.
     pub juniper: ChunkPlace,
-    /// Token counts, on the last chunk.
+    /// Token counts, only on the last chunk.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub usage: Option<Usage>,
 }
 
-/// The choice of a chunk.
+/// Choice of a chunk.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ChunkChoice {
     /// Always zero.
     pub index: u32,
-    /// What the chunk adds.
+    /// Addition to the response.
     pub delta: Delta,
-    /// Why the stream ends, on the last chunk.
+    /// Reason for the end of the stream, only on the last chunk.
     pub finish_reason: Option<String>,
 }
 
-/// What a chunk adds to the answer.
+/// Addition of one chunk to the response.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Delta {
-    /// Text added.
+    /// Added text, absent on the last chunk.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub content: Option<String>,
 }
 
-/// Place of a chunk in its stream.
+/// Position of a chunk in its stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChunkPlace {
-    /// Number of the first output token of the chunk.
+    /// Index of the chunk's first output token.
     pub index: u32,
-    /// Output tokens in the chunk.
+    /// Number of output tokens in the chunk.
     #[serde(default)]
     pub count: u32,
 }
 
-/// Token counts of a whole answer.
+/// Token counts of a complete response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Tokens of the prompt.
+    /// Prompt tokens.
     pub prompt_tokens: u32,
-    /// Tokens generated, those of earlier attempts included.
+    /// Output tokens, including those of earlier attempts.
     pub completion_tokens: u32,
-    /// More about the prompt.
+    /// Details of the prompt tokens.
     pub prompt_tokens_details: PromptTokensDetails,
 }
 
-/// Where the prompt's tokens came from.
+/// Details of the prompt tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PromptTokensDetails {
     /// Prompt tokens found in the cache.
     pub cached_tokens: u32,
 }
 
-/// A whole answer, for callers that don't stream.
+/// Response to a request without streaming.
 #[derive(Clone, Debug, Serialize)]
 pub struct Completion {
     /// Request id.
     pub id: String,
     /// Always `chat.completion`.
     pub object: &'static str,
-    /// Model that answers.
+    /// Model that generated the response.
     pub model: String,
-    /// The one choice.
+    /// Exactly one choice.
     pub choices: Vec<CompletionChoice>,
     /// Token counts.
     pub usage: Usage,
 }
 
-/// The choice of a whole answer.
+/// Choice of a response without streaming.
 #[derive(Clone, Debug, Serialize)]
 pub struct CompletionChoice {
     /// Always zero.
     pub index: u32,
-    /// The answer.
+    /// Generated message.
     pub message: ChatMessage,
-    /// Why the answer ends.
+    /// Reason for the end of the output.
     pub finish_reason: &'static str,
 }
--- a/crates/emulators/src/http/clock.rs
+++ b/crates/emulators/src/http/clock.rs
@@ -1,27 +1,27 @@
-//! Real time as the models see it.
+//! Monotonic clock that maps real time to the models' timestamps.
 
 use std::time::Instant;
 
 use juniper_types::Timestamp;
 
-/// Counts from the start of the emulator.
+/// Monotonic clock that starts at zero with the emulator.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     origin: Instant,
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Starts a clock at zero.
     pub fn start() -> Self {
         Clock { origin: Instant::now() }
     }
 
-    /// The present moment.
+    /// Time since the start of the clock.
     pub fn now(&self) -> Timestamp {
         Timestamp::ZERO.after(self.origin.elapsed())
     }
 
-    /// Waits until `at`.
+    /// Sleeps until `at`.
     pub async fn sleep_until(&self, at: Timestamp) {
         tokio::time::sleep(at.since(self.now())).await;
     }
--- a/crates/emulators/src/http/ending.rs
+++ b/crates/emulators/src/http/ending.rs
@@ -1,4 +1,6 @@
-//! A back end that a request ends: as a bug in a real engine would, for each engine that runs it.
+//! Crash injection: requests that contain a trigger text crash the back end.
+//!
+//! Emulates a bug in a real engine that the same request triggers on every engine.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,44 +12,49 @@
 use axum::middleware::{Next, from_fn};
 use axum::response::{IntoResponse, Response};
 
-/// Largest body that is looked at, in bytes: the emulators take no larger one.
+/// Maximum size of a request body, in bytes; not below the limits of the emulators.
 const MAX_BODY_BYTES: usize = 16 << 20;
 
-/// What follows the text in a request that ends the back end only after a while.
+/// Suffix of the trigger that delays the crash by [`CRASH_DELAY`].
 pub const LATE: &str = "-late";
 
-/// Time after which such a request ends the back end: its answer has begun by then.
-const LATE_BY: Duration = Duration::from_millis(100);
+/// Delay of a delayed crash, long enough for the response to have started.
+const CRASH_DELAY: Duration = Duration::from_millis(100);
 
-/// Ends the process or whatever stands for it; does not return in a real emulator.
-pub type End = Arc<dyn Fn() + Send + Sync>;
+/// Crashes the back end; ends the process in a real emulator.
+pub type CrashAction = Arc<dyn Fn() + Send + Sync>;
 
-/// The routes, but a request with `text` in its path or body calls `end`: before it is handed on,
-/// or, with [`LATE`] behind the text, a while later.
-pub fn ending_on(routes: Router, text: String, end: End) -> Router {
-    let text: Arc<str> = text.into();
+/// Wraps `routes` so that a request with `trigger` in its path or body calls `crash` before the
+/// request is handled or, if [`LATE`] follows the trigger, after [`CRASH_DELAY`].
+pub fn ending_on(routes: Router, trigger: String, crash: CrashAction) -> Router {
+    let trigger: Arc<str> = trigger.into();
     routes.layer(from_fn(move |request: Request, next: Next| {
-        let (text, end) = (Arc::clone(&text), Arc::clone(&end));
-        async move { run(request, next, &text, end).await }
+        let (trigger, crash) = (Arc::clone(&trigger), Arc::clone(&crash));
+        async move { handle_request(request, next, &trigger, crash).await }
     }))
 }
 
-async fn run(request: Request, next: Next, text: &str, end: End) -> Response {
+async fn handle_request(
+    request: Request,
+    next: Next,
+    trigger: &str,
+    crash: CrashAction,
+) -> Response {
     let (head, body) = request.into_parts();
     let Ok(body) = to_bytes(body, MAX_BODY_BYTES).await else {
         return StatusCode::PAYLOAD_TOO_LARGE.into_response();
     };
-    let late = format!("{text}{LATE}");
-    let has = |wanted: &str| {
-        head.uri.path().contains(wanted) || String::from_utf8_lossy(&body).contains(wanted)
+    let delayed = format!("{trigger}{LATE}");
+    let contains = |pattern: &str| {
+        head.uri.path().contains(pattern) || String::from_utf8_lossy(&body).contains(pattern)
     };
-    if has(&late) {
+    if contains(&delayed) {
         tokio::spawn(async move {
-            tokio::time::sleep(LATE_BY).await;
-            end();
+            tokio::time::sleep(CRASH_DELAY).await;
+            crash();
         });
-    } else if has(text) {
-        end();
+    } else if contains(trigger) {
+        crash();
     }
     next.run(Request::from_parts(head, Body::from(body))).await
 }
--- a/crates/emulators/src/http/engine/calls.rs
+++ b/crates/emulators/src/http/engine/api.rs
@@ -1,4 +1,4 @@
-//! The engine's calls besides chat completions and transfers.
+//! Cache events, load, cancellation, orders and witness reports of the engine.
 
 use std::time::Duration;
 
@@ -15,11 +15,11 @@
 use crate::http::error::ApiError;
 use crate::http::report::WitnessReport;
 
-/// Longest wait of an event poll.
+/// Maximum wait of an event poll.
 const MAX_WAIT: Duration = Duration::from_secs(30);
 
-/// Pause between looks at an engine that has no event under way.
-const IDLE_LOOK: Duration = Duration::from_millis(20);
+/// Poll interval while no event is due.
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 #[derive(Deserialize)]
 pub(super) struct EventQuery {
@@ -55,7 +55,7 @@
     }
 }
 
-/// `GET /v1/cache/events`: waits until there are events, or the time is up.
+/// `GET /v1/cache/events`: long poll for events after a sequence number.
 pub(super) async fn events(
     State(driver): Shared,
     query: Result<Query<EventQuery>, QueryRejection>,
@@ -65,32 +65,35 @@
     let wait = Duration::from_millis(query.wait_ms).min(MAX_WAIT);
     let until = clock.now().after(wait);
     loop {
-        let look = driver.with(|engine, now| look(engine, &query, now, now >= until));
-        match look {
-            Look::Answer(batch) => return Ok(Json(batch)),
-            Look::Wait(at) => clock.sleep_until(at.min(until)).await,
+        let result =
+            driver.with_engine(|engine, now| poll_events(engine, &query, now, now >= until));
+        match result {
+            PollResult::Answer(batch) => return Ok(Json(batch)),
+            PollResult::Wait(at) => clock.sleep_until(at.min(until)).await,
         }
     }
 }
 
-enum Look {
+enum PollResult {
     Answer(EventBatch),
     Wait(Timestamp),
 }
 
-fn look(engine: &Engine, query: &EventQuery, now: Timestamp, at_end: bool) -> Look {
+fn poll_events(engine: &Engine, query: &EventQuery, now: Timestamp, timed_out: bool) -> PollResult {
     let incarnation = engine.incarnation();
     let batch = |events| EventBatch { incarnation, first: query.after + 1, events };
     if incarnation.0 != query.incarnation {
-        return Look::Answer(batch(Vec::new()));
+        return PollResult::Answer(batch(Vec::new()));
     }
     let events = engine.events().after(query.after, now);
-    if !events.is_empty() || at_end {
-        return Look::Answer(batch(events.iter().map(|event| EventBody::of(event)).collect()));
+    if !events.is_empty() || timed_out {
+        return PollResult::Answer(batch(
+            events.iter().map(|event| EventBody::of(event)).collect(),
+        ));
     }
-    let idle = now.after(IDLE_LOOK);
-    let visible = engine.events().next_visible(query.after);
-    Look::Wait(visible.filter(|at| *at > now).map_or(idle, |at| at.min(idle)))
+    let next_poll = now.after(IDLE_POLL_INTERVAL);
+    let publication = engine.events().next_publication(query.after);
+    PollResult::Wait(publication.filter(|at| *at > now).map_or(next_poll, |at| at.min(next_poll)))
 }
 
 #[derive(Serialize)]
@@ -103,14 +106,14 @@
 /// `GET /v1/cache/snapshot`
 pub(super) async fn snapshot(State(driver): Shared) -> Json<SnapshotBody> {
     let (incarnation, (sequence, blocks)) =
-        driver.with(|engine, _| (engine.incarnation(), engine.snapshot()));
+        driver.with_engine(|engine, _| (engine.incarnation(), engine.snapshot()));
     let blocks = blocks.iter().map(ToString::to_string).collect();
     Json(SnapshotBody { incarnation, sequence, blocks })
 }
 
 /// `GET /v1/load`
 pub(super) async fn load(State(driver): Shared) -> Result<Json<LoadReport>, ApiError> {
-    driver.with(|engine, now| engine.load_report(now)).map(Json).ok_or(ApiError::Loading)
+    driver.with_engine(|engine, now| engine.load_report(now)).map(Json).ok_or(ApiError::Loading)
 }
 
 #[derive(Serialize)]
@@ -124,7 +127,7 @@
     Path(id): Path<String>,
 ) -> Result<Json<CancelBody>, ApiError> {
     let id: RequestId = id.parse().map_err(|_| ApiError::Parameter("request id"))?;
-    let state = match driver.with(|engine, now| engine.cancel(id, now)) {
+    let state = match driver.with_engine(|engine, now| engine.cancel(id, now)) {
         CancelState::Cancelled => "cancelled",
         CancelState::Finished => "finished",
         CancelState::Unknown => "unknown",
@@ -139,7 +142,7 @@
 ) -> Result<Json<OrderAnswer>, ApiError> {
     let order: Order =
         serde_json::from_slice(&body).map_err(|error| ApiError::Body(error.to_string()))?;
-    let answer = driver.with(|engine, now| engine.order(&order, now));
+    let answer = driver.with_engine(|engine, now| engine.order(&order, now));
     answer.map(Json).map_err(|refusal| match refusal {
         OrderRefusal::Down => ApiError::Loading,
         OrderRefusal::Fenced { newest } => ApiError::Fenced { newest: newest.token },
@@ -147,14 +150,14 @@
     })
 }
 
-/// `POST /v1/emulator/leave`: the machine is about to be taken away.
+/// `POST /v1/emulator/leave`: starts the departure of the engine.
 pub(super) async fn leave(State(driver): Shared) {
-    driver.with(|engine, now| engine.leave(now));
+    driver.with_engine(|engine, now| engine.leave(now));
 }
 
-/// What the engine has seen of broken invariants.
+/// `GET` on [`super::WITNESS_PATH`]: invariant violations detected by the engine.
 pub(super) async fn witness(State(driver): Shared) -> Json<WitnessReport> {
-    let report = driver.with(|engine, _| WitnessReport {
+    let report = driver.with_engine(|engine, _| WitnessReport {
         counters: Some(engine.counters()),
         ..WitnessReport::of(engine.witness())
     });
--- a/crates/emulators/src/http/engine/completion.rs
+++ b/crates/emulators/src/http/engine/completion.rs
@@ -28,13 +28,13 @@
 use crate::http::error::ApiError;
 use crate::http::headers;
 
-/// Priority of a request that names none.
+/// Priority of requests without a priority header.
 const DEFAULT_PRIORITY: u8 = 5;
 
 /// Highest priority.
 const MAX_PRIORITY: u8 = 9;
 
-/// Answers a chat completion once the request has entered the batch.
+/// Handles a chat completion; responds when the request has entered the batch.
 pub(super) async fn chat(
     State(driver): Shared,
     header_map: HeaderMap,
@@ -44,8 +44,8 @@
         serde_json::from_slice(&body).map_err(|error| ApiError::Body(error.to_string()))?;
     let prompt = body.prompt();
     let now = driver.clock().now();
-    let serving = driver.with(|engine, _| engine.serving().map(|(_, weights)| weights));
-    let request = plan(&header_map, &body, &prompt, serving)?;
+    let serving = driver.with_engine(|engine, _| engine.serving().map(|(_, weights)| weights));
+    let request = build_request(&header_map, &body, &prompt, serving)?;
     let deadline_ms: Option<u64> = headers::parse(&header_map, headers::DEADLINE_MS)?;
     let deadline = deadline_ms.map(|millis| now.after(Duration::from_millis(millis)));
     let request = EngineRequest { deadline, ..request };
@@ -60,18 +60,18 @@
         to: request.output_tokens,
     };
     let mut updates = driver.submit(request)?;
-    answer.cached_tokens = started(&mut updates).await?;
-    let incarnation = driver.with(|engine, _| engine.incarnation());
+    answer.cached_tokens = wait_for_start(&mut updates).await?;
+    let incarnation = driver.with_engine(|engine, _| engine.incarnation());
     let answer_headers = answer.headers(incarnation);
     let mut response = match body.stream {
-        true => stream(Arc::new(answer), updates),
-        false => whole(&answer, updates).await?,
+        true => stream_response(Arc::new(answer), updates),
+        false => complete_response(&answer, updates).await?,
     };
     response.headers_mut().extend(answer_headers);
     Ok(response)
 }
 
-fn plan(
+fn build_request(
     header_map: &HeaderMap,
     body: &ChatBody,
     prompt: &[u8],
@@ -92,7 +92,7 @@
     let priority: u8 = headers::parse(header_map, headers::PRIORITY)?.unwrap_or(DEFAULT_PRIORITY);
     Ok(EngineRequest {
         id: id.unwrap_or_else(|| RequestId(rand::random())),
-        owner: owner(body, &scope),
+        owner: actual_tenant(body, &scope),
         blocks: blocks.hashes.into(),
         prompt_tokens: blocks.tokens,
         output_tokens: body.output_tokens().max(resume_from),
@@ -105,15 +105,15 @@
     })
 }
 
-/// Whose request it truly is: callers of the lab say so in the body, which the
-/// router passes on as it came.
-fn owner(body: &ChatBody, scope: &CacheScope) -> TenantName {
-    let stated = body.user.as_ref().and_then(|name| TenantName::new(name).ok());
-    stated.unwrap_or_else(|| scope.tenant.clone())
+/// Returns the actual tenant of the request, which lab clients set in the body. The router forwards
+/// the body unchanged, so the value doesn't depend on the router.
+fn actual_tenant(body: &ChatBody, scope: &CacheScope) -> TenantName {
+    let named = body.user.as_ref().and_then(|name| TenantName::new(name).ok());
+    named.unwrap_or_else(|| scope.tenant.clone())
 }
 
-/// Waits until the request enters the batch; returns its cached prompt tokens.
-async fn started(updates: &mut mpsc::UnboundedReceiver<Update>) -> Result<u32, ApiError> {
+/// Waits until the request enters the batch; returns the number of its cached prompt tokens.
+async fn wait_for_start(updates: &mut mpsc::UnboundedReceiver<Update>) -> Result<u32, ApiError> {
     match updates.recv().await {
         Some(Update::Started { cached_tokens }) => Ok(cached_tokens),
         Some(Update::Dropped(reason)) => Err(reason.into()),
@@ -151,7 +151,7 @@
     }
 }
 
-/// What one request is answered with.
+/// Response to one request.
 struct Answer {
     id: RequestId,
     model: String,
@@ -181,7 +181,7 @@
         }
     }
 
-    /// The chunk with `count` tokens from `index` on, or without any the last one.
+    /// Builds the chunk with `count` tokens from `index` on; a count of zero gives the last chunk.
     fn chunk(&self, index: u32, count: u32) -> Chunk {
         let last = count == 0;
         let content = (!last).then(|| self.text.range(index, index + count));
@@ -214,7 +214,7 @@
         }
     }
 
-    /// The events that `update` adds to the stream.
+    /// Converts `update` to events of the stream.
     fn events(&self, update: Update) -> Vec<Event> {
         match update {
             Update::Started { .. } => Vec::new(),
@@ -224,7 +224,7 @@
             Update::Finished => {
                 vec![chunk_event(&self.chunk(self.to, 0)), Event::default().data("[DONE]")]
             }
-            // The stream ends without its last chunk, which the reader can't take for the end.
+            // The stream ends without its last chunk, so readers can tell that it is incomplete.
             Update::Dropped(_) => Vec::new(),
         }
     }
@@ -237,14 +237,14 @@
     }
 }
 
-fn stream(answer: Arc<Answer>, updates: mpsc::UnboundedReceiver<Update>) -> Response {
+fn stream_response(answer: Arc<Answer>, updates: mpsc::UnboundedReceiver<Update>) -> Response {
     let events = UnboundedReceiverStream::new(updates).flat_map(move |update| {
         futures_util::stream::iter(answer.events(update).into_iter().map(Ok::<_, Infallible>))
     });
     Sse::new(events).into_response()
 }
 
-async fn whole(
+async fn complete_response(
     answer: &Answer,
     mut updates: mpsc::UnboundedReceiver<Update>,
 ) -> Result<Response, ApiError> {
--- a/crates/emulators/src/http/engine/driver.rs
+++ b/crates/emulators/src/http/engine/driver.rs
@@ -1,8 +1,8 @@
-//! Drives the engine model in real time.
+//! Driver that runs the engine model in real time.
 //!
-//! The model is behind a lock that is held only for one step. One task sleeps
-//! until the model's next event, advances it and hands what it puts out to the
-//! requests concerned. A request whose receiver is gone is cancelled.
+//! A lock guards the model and is held only for one step. One task sleeps until
+//! the model's next event, advances it and forwards the outputs to the request
+//! handlers. A request whose handler has dropped its receiver is cancelled.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -14,33 +14,33 @@
 use crate::engine::{DropReason, Engine, EngineRequest, Output, Refusal, WeightLoad};
 use crate::http::clock::Clock;
 
-/// What happened to one request.
+/// Progress of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Update {
-    /// It entered the batch.
+    /// The request entered the batch.
     Started {
-        /// Prompt tokens found in the cache.
+        /// Number of prompt tokens found in the cache.
         cached_tokens: u32,
     },
     /// Output tokens were generated.
     Tokens {
-        /// Number of the first one.
+        /// Index of the first of these tokens.
         index: u32,
-        /// How many.
+        /// Number of tokens.
         count: u32,
     },
-    /// The answer is complete.
+    /// The last token was generated.
     Finished,
-    /// The request ended early.
+    /// The request ended before its last token.
     Dropped(DropReason),
 }
 
 struct State {
     engine: Engine,
-    streams: HashMap<RequestId, mpsc::UnboundedSender<Update>>,
+    subscribers: HashMap<RequestId, mpsc::UnboundedSender<Update>>,
 }
 
-/// An engine model in real time.
+/// Engine model driven by a real-time clock.
 pub(super) struct EngineDriver {
     state: Mutex<State>,
     wake: Notify,
@@ -49,11 +49,11 @@
 }
 
 impl EngineDriver {
-    /// Starts driving `engine` by `clock`.
+    /// Starts a task that drives `engine` by `clock`.
     pub(super) fn start(engine: Engine, clock: Clock, weights: WeightFetcher) -> Arc<Self> {
-        let state = Mutex::new(State { engine, streams: HashMap::new() });
+        let state = Mutex::new(State { engine, subscribers: HashMap::new() });
         let driver = Arc::new(EngineDriver { state, wake: Notify::new(), clock, weights });
-        tokio::spawn(drive(Arc::clone(&driver)));
+        tokio::spawn(run_driver(Arc::clone(&driver)));
         driver
     }
 
@@ -61,23 +61,23 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The emulator's clock.
+    /// Clock of the emulator.
     pub(super) fn clock(&self) -> Clock {
         self.clock
     }
 
-    /// Runs `call` on the model as of now.
-    pub(super) fn with<R>(&self, call: impl FnOnce(&mut Engine, Timestamp) -> R) -> R {
+    /// Calls `operation` with the model and the current time.
+    pub(super) fn with_engine<R>(&self, operation: impl FnOnce(&mut Engine, Timestamp) -> R) -> R {
         let now = self.clock.now();
-        let result = call(&mut self.lock().engine, now);
+        let result = operation(&mut self.lock().engine, now);
         self.wake.notify_one();
         result
     }
 
-    /// Submits a request and returns what happens to it.
+    /// Submits a request and returns the receiver of its updates.
     ///
     /// # Errors
-    /// Fails when the engine refuses the request; it was not run then.
+    /// Fails when the engine rejects the request; a rejected request is never run.
     pub(super) fn submit(
         &self,
         request: EngineRequest,
@@ -87,13 +87,13 @@
         let now = self.clock.now();
         let mut state = self.lock();
         state.engine.submit(request, now)?;
-        state.streams.insert(id, sender);
+        state.subscribers.insert(id, sender);
         drop(state);
         self.wake.notify_one();
         Ok(receiver)
     }
 
-    /// Advances the model to now; returns when it next changes by itself.
+    /// Advances the model to the current time; returns the time of its next event.
     fn step(self: &Arc<Self>) -> Option<Timestamp> {
         let now = self.clock.now();
         let mut state = self.lock();
@@ -104,26 +104,27 @@
             }
             for output in outputs {
                 if let Output::LoadNeeded { load, .. } = output {
-                    self.fetch(load);
-                } else if let Some(gone) = state.pass_on(&output) {
-                    state.engine.cancel(gone, now);
+                    self.spawn_fetch(load);
+                } else if let Some(abandoned) = state.forward_output(&output) {
+                    state.engine.cancel(abandoned, now);
                 }
             }
         }
     }
 
-    fn fetch(self: &Arc<Self>, load: WeightLoad) {
+    fn spawn_fetch(self: &Arc<Self>, load: WeightLoad) {
         let driver = Arc::clone(self);
         tokio::spawn(async move {
             driver.weights.fetch(&load).await;
-            driver.with(|engine, now| engine.complete_load(&load, now));
+            driver.with_engine(|engine, now| engine.complete_load(&load, now));
         });
     }
 }
 
 impl State {
-    /// Hands `output` to its request; returns the request if nobody waits for it.
-    fn pass_on(&mut self, output: &Output) -> Option<RequestId> {
+    /// Forwards `output` to the handler of its request; returns the request's id if the handler is
+    /// gone and the request must be cancelled.
+    fn forward_output(&mut self, output: &Output) -> Option<RequestId> {
         let id = output.request()?;
         let update = match output {
             Output::Started { cached_tokens, .. } => {
@@ -136,16 +137,16 @@
             Output::LoadNeeded { .. } | Output::Imported { .. } => return None,
         };
         let ended = matches!(update, Update::Finished | Update::Dropped(_));
-        let sender = self.streams.get(&id)?;
-        let is_gone = sender.send(update).is_err();
-        if ended || is_gone {
-            self.streams.remove(&id);
+        let sender = self.subscribers.get(&id)?;
+        let is_closed = sender.send(update).is_err();
+        if ended || is_closed {
+            self.subscribers.remove(&id);
         }
-        (is_gone && !ended).then_some(id)
+        (is_closed && !ended).then_some(id)
     }
 }
 
-async fn drive(driver: Arc<EngineDriver>) {
+async fn run_driver(driver: Arc<EngineDriver>) {
     loop {
         match driver.step() {
             None => driver.wake.notified().await,
--- a/crates/emulators/src/http/engine/transfers.rs
+++ b/crates/emulators/src/http/engine/transfers.rs
@@ -1,7 +1,7 @@
-//! Export and import of cached blocks over HTTP.
+//! HTTP API for the export and import of cached blocks.
 //!
-//! The keys and values themselves are not sent: an entry names its blocks, and
-//! the time that sending takes is part of the engine model.
+//! Entries carry block hashes instead of keys and values; the engine model
+//! simulates the transfer time.
 
 use axum::Json;
 use axum::body::Bytes;
@@ -16,50 +16,52 @@
 use crate::http::kept::{EntryBody, ScopeBody, parse_hashes};
 
 #[derive(Deserialize)]
-struct ExportCall {
+struct ExportRequest {
     scope: ScopeBody,
     blocks: Vec<String>,
 }
 
 #[derive(Deserialize)]
-struct ImportCall {
+struct ImportRequest {
     scope: ScopeBody,
     incarnation: u64,
     entry: EntryBody,
 }
 
 #[derive(Serialize)]
-pub(super) struct ImportAnswer {
+pub(super) struct ImportResponse {
     blocks: usize,
 }
 
-/// `POST /v1/cache/export`: the cached run that the blocks start with.
+/// `POST /v1/cache/export`: exports the cached leading blocks.
 pub(super) async fn export(
     State(driver): Shared,
     body: Bytes,
 ) -> Result<Json<EntryBody>, ApiError> {
-    let call: ExportCall = from_slice(&body).map_err(|error| ApiError::Body(error.to_string()))?;
-    let blocks = parse_hashes(&call.blocks)?;
-    let scope = call.scope.into_scope();
-    let exported = driver.with(|engine, now| engine.export(&scope, &blocks, now));
+    let request: ExportRequest =
+        from_slice(&body).map_err(|error| ApiError::Body(error.to_string()))?;
+    let blocks = parse_hashes(&request.blocks)?;
+    let scope = request.scope.into_scope();
+    let exported = driver.with_engine(|engine, now| engine.export(&scope, &blocks, now));
     let (entry, ready_at) = exported?;
     driver.clock().sleep_until(ready_at).await;
     Ok(Json(EntryBody::of(&entry)))
 }
 
-/// `POST /v1/cache/import`: answers once the blocks are cached.
+/// `POST /v1/cache/import`: imports blocks and responds when they are cached.
 pub(super) async fn import(
     State(driver): Shared,
     body: Bytes,
-) -> Result<Json<ImportAnswer>, ApiError> {
-    let call: ImportCall = from_slice(&body).map_err(|error| ApiError::Body(error.to_string()))?;
-    let scope = call.scope.into_scope();
-    let entry = call.entry.into_entry()?;
-    let incarnation = Incarnation(call.incarnation);
+) -> Result<Json<ImportResponse>, ApiError> {
+    let request: ImportRequest =
+        from_slice(&body).map_err(|error| ApiError::Body(error.to_string()))?;
+    let scope = request.scope.into_scope();
+    let entry = request.entry.into_entry()?;
+    let incarnation = Incarnation(request.incarnation);
     let ready_at: Timestamp =
-        driver.with(|engine, now| engine.import(&entry, &scope, incarnation, now))?;
+        driver.with_engine(|engine, now| engine.import(&entry, &scope, incarnation, now))?;
     driver.clock().sleep_until(ready_at).await;
-    Ok(Json(ImportAnswer { blocks: entry.blocks.len() }))
+    Ok(Json(ImportResponse { blocks: entry.blocks.len() }))
 }
 
 impl From<TransferRefusal> for ApiError {
--- a/crates/emulators/src/http/engine/weights.rs
+++ b/crates/emulators/src/http/engine/weights.rs
@@ -1,16 +1,16 @@
-//! Fetches the weights that an engine asks for.
+//! Client that fetches weights for an engine.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use crate::engine::WeightLoad;
-use crate::http::weights::LoadCall;
+use crate::http::weights::LoadRequest;
 use crate::weights::LOAD_BYTES_PER_SECOND;
 
-/// Pause before a failed fetch is tried again.
-const RETRY_PAUSE: Duration = Duration::from_secs(1);
+/// Delay before a failed fetch is retried.
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Where weights come from.
+/// Client of the weight store.
 #[derive(Clone, Debug)]
 pub(super) struct WeightFetcher {
     http: reqwest::Client,
@@ -18,12 +18,12 @@
 }
 
 impl WeightFetcher {
-    /// Fetches from the weight store at `store`, or without one at the full rate.
+    /// Creates a client of the weight store at `store`. Without one, loads run at the full rate.
     pub(super) fn new(store: Option<SocketAddr>) -> Self {
         WeightFetcher { http: reqwest::Client::new(), store }
     }
 
-    /// Returns once `load` has arrived.
+    /// Fetches `load`, retrying until it succeeds.
     pub(super) async fn fetch(&self, load: &WeightLoad) {
         let Some(store) = self.store else {
             let seconds = load.bytes() as f64 / LOAD_BYTES_PER_SECOND as f64;
@@ -31,12 +31,12 @@
         };
         let url = format!("http://{store}/v1/loads");
         loop {
-            let call = self.http.post(&url).json(&LoadCall { bytes: load.bytes() });
-            match call.send().await.and_then(reqwest::Response::error_for_status) {
+            let request = self.http.post(&url).json(&LoadRequest { bytes: load.bytes() });
+            match request.send().await.and_then(reqwest::Response::error_for_status) {
                 Ok(_) => return,
                 Err(error) => log::warn!("event=weight_fetch_failed reason=\"{error}\""),
             }
-            tokio::time::sleep(RETRY_PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 }
--- a/crates/emulators/src/http/error.rs
+++ b/crates/emulators/src/http/error.rs
@@ -1,92 +1,92 @@
-//! Errors of the back-end protocol as HTTP answers.
+//! Errors of the back-end protocol and their HTTP responses.
 
 use axum::Json;
 use axum::http::{HeaderValue, StatusCode, header};
 use axum::response::{IntoResponse, Response};
 use serde::Serialize;
 
-/// Why an emulator did not carry out a call.
+/// Error response of an emulator.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ApiError {
-    /// A header can't be read.
+    /// A header is malformed.
     #[error("header {0} can't be read")]
     Header(&'static str),
-    /// A header that the call needs is absent.
+    /// A required header is missing.
     #[error("header {0} is required")]
     MissingHeader(&'static str),
-    /// The body can't be read.
+    /// The body is malformed.
     #[error("the body can't be read: {0}")]
     Body(String),
-    /// A field of the path or the query can't be read.
+    /// A path or query parameter is malformed.
     #[error("parameter {0} can't be read")]
     Parameter(&'static str),
     /// The engine does not serve this model.
     #[error("model {0} is not loaded")]
     ModelNotLoaded(String),
-    /// The engine does not hold this adapter.
+    /// The engine has not loaded this adapter.
     #[error("adapter {0} is not loaded")]
     AdapterNotLoaded(String),
-    /// The engine holds other weights than the router planned with.
+    /// The loaded weights differ from those that the router planned with.
     #[error("the weights loaded are not those asked for")]
     WeightsMismatch,
-    /// The engine is in another incarnation than the router planned with.
+    /// The engine's incarnation differs from the one that the router planned with.
     #[error("the incarnation is not the one asked for")]
     IncarnationMismatch,
     /// The engine's queue is full.
     #[error("the queue is full")]
     Overloaded {
-        /// When to come back, in seconds.
+        /// Value of `retry-after`, in seconds.
         retry_after_seconds: u64,
     },
-    /// The back end takes no new work.
+    /// The back end is departing and accepts no new work.
     #[error("this back end is leaving")]
     Leaving,
-    /// The request can't be finished in its remaining time.
+    /// The request can't be completed before its deadline.
     #[error("the deadline can't be met")]
     Deadline,
-    /// The request can never fit into the engine.
+    /// The request exceeds the engine's total cache capacity.
     #[error("the prompt is longer than the cache")]
     PromptTooLong,
-    /// A request with the same id is running.
+    /// The request id was used before.
     #[error("a request with this id is known already")]
     DuplicateRequest,
-    /// A fencing token is older than one seen before.
+    /// The engine has accepted a later order.
     #[error("the fencing token is older than {newest}")]
     Fenced {
-        /// The newest token seen.
+        /// Fencing token of the latest accepted order.
         newest: u64,
     },
-    /// The entry does not match the scope, incarnation or weights of the engine.
+    /// The requested scope differs from the entry's or the engine's.
     #[error("the entry belongs to another scope, incarnation or weights")]
     ForeignEntry,
-    /// A kept entry fails its checksum.
+    /// The checksum of a KV cache entry doesn't match.
     #[error("the entry is damaged")]
     Damaged,
-    /// No such thing here.
+    /// The requested resource does not exist.
     #[error("not found")]
     NotFound,
-    /// The byte range lies outside the resource.
+    /// The byte range is malformed or outside the resource.
     #[error("the range can't be satisfied")]
     Range,
-    /// Weights are being loaded.
+    /// The weights are being loaded or the engine is down.
     #[error("weights are being loaded")]
     Loading,
-    /// The request was cancelled before it entered the batch.
+    /// The request was cancelled before work on it started.
     #[error("the request was cancelled")]
     Cancelled,
-    /// The request ended after its work had begun.
+    /// The request was interrupted after work on it may have started.
     #[error("the request was interrupted")]
     Interrupted,
-    /// No memory is free for an import.
+    /// No memory is available for the KV cache entry.
     #[error("no memory is free")]
     NoMemory,
-    /// The emulator's own files can't be written.
+    /// The execution journal can't be written.
     #[error("the record of executions can't be written")]
     Journal,
 }
 
 impl ApiError {
-    /// Stable code of the error.
+    /// Error code of the response body.
     pub fn code(&self) -> &'static str {
         match self {
             ApiError::Header(_) => "bad_header",
@@ -115,7 +115,7 @@
         }
     }
 
-    /// HTTP status of the error.
+    /// HTTP status of the response.
     pub fn status(&self) -> StatusCode {
         match self {
             ApiError::Header(_)
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Whether nothing of the request was run.
+    /// Returns whether the request is known not to have run.
     pub fn not_run(&self) -> bool {
         !matches!(self, ApiError::Interrupted)
     }
--- a/crates/emulators/src/http/headers.rs
+++ b/crates/emulators/src/http/headers.rs
@@ -1,34 +1,34 @@
-//! Headers of the back-end protocol and how they are read.
+//! Header names and header parsing of the back-end protocol.
 
 use axum::http::HeaderMap;
 
 use super::error::ApiError;
 
-/// Unique for each attempt of a request.
+/// Request id, unique for each attempt.
 pub const REQUEST_ID: &str = "x-request-id";
-/// Tenant: the first part of the cache scope.
+/// Tenant of the cache scope.
 pub const CACHE_TENANT: &str = "x-cache-tenant";
-/// Adapter of the cache scope; absent when none.
+/// Adapter of the cache scope, if any.
 pub const CACHE_ADAPTER: &str = "x-cache-adapter";
-/// Weights version that the router planned with.
+/// Version of the weights that the router planned with.
 pub const CACHE_WEIGHTS: &str = "x-cache-weights";
-/// Incarnation that the router planned with, and that answers.
+/// Incarnation that the router planned with; in a response, the incarnation that responds.
 pub const ENGINE_INCARNATION: &str = "x-engine-incarnation";
-/// Leading blocks that the router believes cached.
+/// Number of leading blocks that the router expects to be cached.
 pub const EXPECTED_BLOCKS: &str = "x-expected-blocks";
-/// Scheduling priority, 0 to 9.
+/// Scheduling priority, from 0 (lowest) to 9.
 pub const PRIORITY: &str = "x-priority";
-/// Remaining time of the request, in milliseconds.
+/// Time until the deadline of the request, in milliseconds.
 pub const DEADLINE_MS: &str = "x-deadline-ms";
-/// Output tokens that the caller has already.
+/// Number of output tokens that the caller has already received.
 pub const RESUME_FROM: &str = "x-resume-from";
-/// Prompt tokens found in the cache.
+/// Number of prompt tokens found in the cache.
 pub const CACHED_TOKENS: &str = "x-cached-tokens";
 
-/// The value of header `name`, parsed, or `None` when the header is absent.
+/// Parses the value of header `name`; returns `None` if the header is absent.
 ///
 /// # Errors
-/// Fails when the value can't be read as a `T`.
+/// Fails when the value can't be parsed as a `T`.
 pub fn parse<T: std::str::FromStr>(
     headers: &HeaderMap,
     name: &'static str,
--- a/crates/emulators/src/http/kept.rs
+++ b/crates/emulators/src/http/kept.rs
@@ -1,4 +1,4 @@
-//! The store of kept KV cache over HTTP.
+//! HTTP API of the store of exported KV cache entries.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -14,13 +14,13 @@
 
 use super::error::ApiError;
 use crate::engine::transfer::KvEntry;
-use crate::kept::KeptStore;
+use crate::kept::KvStore;
 use crate::witness::Provenance;
 
-/// Largest entry taken, in bytes of JSON: 65,536 blocks.
+/// Maximum size of an entry, in bytes of JSON; fits 65,536 blocks.
 const MAX_ENTRY_BYTES: usize = 4 << 20;
 
-/// A cache scope as JSON.
+/// JSON form of a cache scope.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ScopeBody {
     /// Tenant.
@@ -35,7 +35,7 @@
 }
 
 impl ScopeBody {
-    /// The JSON form of `scope`.
+    /// Converts `scope` to its JSON form.
     pub fn of(scope: &CacheScope) -> Self {
         ScopeBody {
             tenant: scope.tenant.clone(),
@@ -45,7 +45,7 @@
         }
     }
 
-    /// The scope.
+    /// Converts the JSON form to a scope.
     pub fn into_scope(self) -> CacheScope {
         CacheScope {
             tenant: self.tenant,
@@ -56,23 +56,23 @@
     }
 }
 
-/// An entry as JSON.
+/// JSON form of a KV cache entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryBody {
-    /// Scope that computed the blocks.
+    /// Cache scope of the blocks.
     pub scope: ScopeBody,
-    /// Life of the engine that computed them.
+    /// Incarnation of the exporting engine.
     pub incarnation: Incarnation,
-    /// The blocks, as hexadecimal digits.
+    /// Block hashes in hexadecimal digits.
     pub blocks: Vec<String>,
-    /// Where the content truly came from.
+    /// Actual origin of the content.
     pub provenance: ScopeBody,
     /// Checksum over the blocks.
     pub checksum: String,
 }
 
 impl EntryBody {
-    /// The JSON form of `entry`.
+    /// Converts `entry` to its JSON form.
     pub fn of(entry: &KvEntry) -> Self {
         let provenance = ScopeBody {
             tenant: entry.provenance.owner.clone(),
@@ -89,7 +89,7 @@
         }
     }
 
-    /// The entry; its checksum is not checked here.
+    /// Converts the JSON form to an entry without verifying the checksum.
     ///
     /// # Errors
     /// Fails when a hash is malformed.
@@ -114,7 +114,7 @@
     text.parse().map_err(|_| ApiError::Parameter("block hash"))
 }
 
-/// Reads block hashes.
+/// Parses block hashes.
 ///
 /// # Errors
 /// Fails when one is malformed.
@@ -122,36 +122,39 @@
     texts.iter().map(|text| parse_hash(text)).collect()
 }
 
-struct Store {
-    kept: Mutex<KeptStore>,
+struct SharedStore {
+    entries: Mutex<KvStore>,
 }
 
-impl Store {
-    fn lock(&self) -> MutexGuard<'_, KeptStore> {
-        self.kept.lock().unwrap_or_else(PoisonError::into_inner)
+impl SharedStore {
+    fn lock(&self) -> MutexGuard<'_, KvStore> {
+        self.entries.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 #[derive(Serialize)]
-struct StoreBody {
+struct StatusBody {
     blocks: u64,
 }
 
-/// The routes of a store for `capacity` blocks.
+/// Builds the routes of a store for `capacity` blocks.
 pub fn router(capacity: u64) -> Router {
     Router::new()
-        .route("/v1/entries", put(keep).get(status))
-        .route("/v1/entries/{block}", get(fetch))
+        .route("/v1/entries", put(put_entry).get(status))
+        .route("/v1/entries/{block}", get(get_entry))
         .route("/healthz", get(|| async { "ok" }))
         .layer(DefaultBodyLimit::max(MAX_ENTRY_BYTES))
-        .with_state(Arc::new(Store { kept: Mutex::new(KeptStore::new(capacity)) }))
+        .with_state(Arc::new(SharedStore { entries: Mutex::new(KvStore::new(capacity)) }))
 }
 
-async fn keep(State(store): State<Arc<Store>>, body: Bytes) -> Result<StatusCode, ApiError> {
+async fn put_entry(
+    State(store): State<Arc<SharedStore>>,
+    body: Bytes,
+) -> Result<StatusCode, ApiError> {
     let entry: EntryBody =
         serde_json::from_slice(&body).map_err(|error| ApiError::Body(error.to_string()))?;
     let entry = entry.into_entry()?;
-    if !entry.is_sound() {
+    if !entry.is_intact() {
         return Err(ApiError::Damaged);
     }
     match store.lock().put(entry) {
@@ -160,8 +163,8 @@
     }
 }
 
-async fn fetch(
-    State(store): State<Arc<Store>>,
+async fn get_entry(
+    State(store): State<Arc<SharedStore>>,
     Path(block): Path<String>,
 ) -> Result<Json<EntryBody>, ApiError> {
     let block = parse_hash(&block)?;
@@ -169,6 +172,6 @@
     entry.map(|entry| Json(EntryBody::of(&entry))).ok_or(ApiError::NotFound)
 }
 
-async fn status(State(store): State<Arc<Store>>) -> Json<StoreBody> {
-    Json(StoreBody { blocks: store.lock().blocks() })
+async fn status(State(store): State<Arc<SharedStore>>) -> Json<StatusBody> {
+    Json(StatusBody { blocks: store.lock().blocks() })
 }
--- a/crates/emulators/src/http/mod.rs
+++ b/crates/emulators/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! Emulated back ends in real time, behind the back-end protocol over HTTP.
+//! HTTP servers that run the back-end models in real time.
 
 pub mod application;
 pub mod chat;
--- a/crates/emulators/src/http/platform.rs
+++ b/crates/emulators/src/http/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's list of machines over HTTP.
+//! HTTP API of the platform's list of machines.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -24,12 +24,12 @@
     machines: Vec<Machine>,
 }
 
-/// The routes of a platform whose list lags by `lag`.
+/// Builds the routes of a platform whose list lags by `lag`.
 pub fn router(lag: Duration) -> Router {
     let platform = Platform { list: Mutex::new(PlatformList::new(lag)), clock: Clock::start() };
     Router::new()
         .route("/v1/machines", get(machines))
-        .route("/v1/emulator/machines", post(note))
+        .route("/v1/emulator/machines", post(record_machine))
         .route("/healthz", get(|| async { "ok" }))
         .with_state(Arc::new(platform))
 }
@@ -40,11 +40,14 @@
     Json(ListBody { as_of_ms: as_of.as_millis(), machines })
 }
 
-/// The lab tells what has become of a machine.
-async fn note(State(platform): State<Arc<Platform>>, body: Bytes) -> Result<(), ApiError> {
+/// `POST /v1/emulator/machines`: the lab reports a change of a machine.
+async fn record_machine(
+    State(platform): State<Arc<Platform>>,
+    body: Bytes,
+) -> Result<(), ApiError> {
     let machine: Machine =
         serde_json::from_slice(&body).map_err(|error| ApiError::Body(error.to_string()))?;
     let mut list = platform.list.lock().unwrap_or_else(PoisonError::into_inner);
-    list.note(machine, platform.clock.now());
+    list.record(machine, platform.clock.now());
     Ok(())
 }
--- a/crates/emulators/src/http/preview.rs
+++ b/crates/emulators/src/http/preview.rs
@@ -1,4 +1,4 @@
-//! The preview server over HTTP: byte ranges, sent at the pace of a player.
+//! HTTP API of the preview server, with byte ranges and rate-limited streaming.
 
 use std::convert::Infallible;
 use std::time::Duration;
@@ -15,13 +15,13 @@
 use super::error::ApiError;
 use crate::preview::preview_bytes;
 
-/// Bytes in one piece.
-const PIECE_BYTES: usize = 8 << 10;
+/// Size of a streamed chunk, in bytes.
+const CHUNK_BYTES: usize = 8 << 10;
 
-/// Time between pieces: 800 KB/s, far ahead of a player.
+/// Time between chunks: 800 KB/s, far above the playback rate.
 pub const PIECE_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The routes of a preview server that sends a piece every `interval`.
+/// Builds the routes of a preview server that sends a chunk every `interval`.
 pub fn router(interval: Duration) -> Router {
     Router::new()
         .route("/previews/{clip}", get(move |path, headers| preview(path, headers, interval)))
@@ -42,7 +42,7 @@
     }
     let rest = bytes.slice(start.unwrap_or(0)..);
     let length = rest.len();
-    let mut response = Response::new(Body::from_stream(paced(rest, interval)));
+    let mut response = Response::new(Body::from_stream(chunk_stream(rest, interval)));
     let headers = response.headers_mut();
     headers.insert(header::CONTENT_LENGTH, HeaderValue::from(length));
     headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("audio/mpeg"));
@@ -60,7 +60,7 @@
     Ok(response)
 }
 
-/// Reads `range: bytes=N-`.
+/// Parses `range: bytes=N-`.
 fn range_start(headers: &HeaderMap) -> Result<Option<usize>, ApiError> {
     let Some(value) = headers.get(header::RANGE) else {
         return Ok(None);
@@ -72,7 +72,7 @@
     start.map(Some).ok_or(ApiError::Range)
 }
 
-fn paced(
+fn chunk_stream(
     bytes: Bytes,
     interval: Duration,
 ) -> impl futures_util::Stream<Item = Result<Bytes, Infallible>> {
@@ -80,8 +80,8 @@
         if rest.is_empty() {
             return None;
         }
-        let piece = rest.split_to(rest.len().min(PIECE_BYTES));
+        let chunk = rest.split_to(rest.len().min(CHUNK_BYTES));
         tokio::time::sleep(interval).await;
-        Some((Ok(piece), rest))
+        Some((Ok(chunk), rest))
     })
 }
--- a/crates/emulators/src/http/report.rs
+++ b/crates/emulators/src/http/report.rs
@@ -1,4 +1,4 @@
-//! What an emulator says of the invariants that it watches.
+//! Report of the invariant violations that an emulator has detected.
 
 use std::collections::BTreeMap;
 
@@ -7,25 +7,25 @@
 use crate::engine::Counters;
 use crate::witness::{Breach, BreachKind, Witness};
 
-/// Path under which every emulator answers with a [`WitnessReport`].
+/// Path of the [`WitnessReport`] on every emulator.
 pub const WITNESS_PATH: &str = "/v1/emulator/witness";
 
-/// Breaches that one emulator has seen.
+/// Invariant violations detected by one emulator.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WitnessReport {
-    /// Breaches in all.
+    /// Total number of breaches.
     pub total: u64,
-    /// Breaches by kind.
+    /// Number of breaches by kind.
     pub counts: BTreeMap<BreachKind, u64>,
-    /// The first breaches, described.
+    /// Details of the first breaches.
     pub described: Vec<Breach>,
-    /// What the engine has done; absent for other back ends.
+    /// Counters of an engine; absent for other back ends.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub counters: Option<Counters>,
 }
 
 impl WitnessReport {
-    /// What `witness` has seen.
+    /// Creates a report of the breaches recorded by `witness`.
     pub fn of(witness: &Witness) -> Self {
         WitnessReport {
             total: witness.total(),
--- a/crates/emulators/src/http/weights.rs
+++ b/crates/emulators/src/http/weights.rs
@@ -1,4 +1,4 @@
-//! The weight store over HTTP.
+//! HTTP API of the weight store.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -15,32 +15,32 @@
 
 /// Body of `POST /v1/loads`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LoadCall {
-    /// Bytes to load.
+pub struct LoadRequest {
+    /// Number of bytes to load.
     pub bytes: u64,
 }
 
-/// Answer of `GET /v1/loads`.
+/// Response body of `GET /v1/loads`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadsBody {
-    /// Loads under way.
+    /// Number of loads in progress.
     pub active: usize,
 }
 
-struct Weights {
+struct SharedStore {
     store: Mutex<WeightStore>,
     clock: Clock,
 }
 
-impl Weights {
+impl SharedStore {
     fn lock(&self) -> MutexGuard<'_, WeightStore> {
         self.store.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// A load under way; it gives its share back when the caller hangs up.
+/// Load in progress, aborted on drop when the caller disconnects.
 struct Load {
-    weights: Arc<Weights>,
+    weights: Arc<SharedStore>,
     id: LoadId,
 }
 
@@ -51,36 +51,36 @@
     }
 }
 
-/// The routes of a weight store.
+/// Builds the routes of a weight store.
 pub fn router(store: WeightStore) -> Router {
-    let weights = Weights { store: Mutex::new(store), clock: Clock::start() };
+    let weights = SharedStore { store: Mutex::new(store), clock: Clock::start() };
     Router::new()
         .route("/v1/loads", post(load).get(loads))
         .route("/healthz", get(|| async { "ok" }))
         .with_state(Arc::new(weights))
 }
 
-/// Answers once the load has ended.
-async fn load(State(weights): State<Arc<Weights>>, body: Bytes) -> Result<(), ApiError> {
-    let call: LoadCall =
+/// Responds when the load has completed.
+async fn load(State(weights): State<Arc<SharedStore>>, body: Bytes) -> Result<(), ApiError> {
+    let request: LoadRequest =
         serde_json::from_slice(&body).map_err(|error| ApiError::Body(error.to_string()))?;
     let now = weights.clock.now();
-    let id = weights.lock().start(call.bytes, now);
+    let id = weights.lock().start(request.bytes, now);
     let load = Load { weights, id };
-    while let Some(at) = next_look(&load) {
+    while let Some(at) = next_check_time(&load) {
         load.weights.clock.sleep_until(at).await;
     }
     Ok(())
 }
 
-/// When to look at the load again; `None` once it has ended.
-fn next_look(load: &Load) -> Option<Timestamp> {
+/// Time of the next check of the load; `None` when it has completed.
+fn next_check_time(load: &Load) -> Option<Timestamp> {
     let now = load.weights.clock.now();
     let mut store = load.weights.lock();
     let running = store.is_running(load.id, now);
     store.next_end().filter(|_| running)
 }
 
-async fn loads(State(weights): State<Arc<Weights>>) -> Json<LoadsBody> {
+async fn loads(State(weights): State<Arc<SharedStore>>) -> Json<LoadsBody> {
     Json(LoadsBody { active: weights.lock().active() })
 }
--- a/crates/emulators/src/kept.rs
+++ b/crates/emulators/src/kept.rs
@@ -1,4 +1,4 @@
-//! The store of kept KV cache: entries by their last block, the least recently used goes first.
+//! Store of exported KV cache entries, keyed by their last block, with LRU eviction.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -6,68 +6,69 @@
 
 use crate::engine::transfer::KvEntry;
 
-/// Blocks that the store holds: 512 GiB of 8 MiB each, one machine's memory.
+/// Capacity in blocks of 8 MiB: 512 GiB, the memory of one machine.
 pub const STORE_BLOCKS: u64 = 65_536;
 
 #[derive(Clone, Debug)]
-struct Kept {
+struct StoredEntry {
     entry: KvEntry,
-    used: u64,
+    last_used: u64,
 }
 
-/// Kept entries, bounded by their blocks.
+/// Exported KV cache entries, limited by their total number of blocks.
 #[derive(Clone, Debug)]
-pub struct KeptStore {
+pub struct KvStore {
     capacity: u64,
     blocks: u64,
-    uses: u64,
-    entries: HashMap<BlockHash, Kept>,
-    by_use: BTreeMap<u64, BlockHash>,
+    clock: u64,
+    entries: HashMap<BlockHash, StoredEntry>,
+    lru: BTreeMap<u64, BlockHash>,
 }
 
-impl KeptStore {
-    /// An empty store for `capacity` blocks.
+impl KvStore {
+    /// Creates an empty store for `capacity` blocks.
     pub fn new(capacity: u64) -> Self {
-        KeptStore { capacity, blocks: 0, uses: 0, entries: HashMap::new(), by_use: BTreeMap::new() }
+        KvStore { capacity, blocks: 0, clock: 0, entries: HashMap::new(), lru: BTreeMap::new() }
     }
 
-    /// Blocks held.
+    /// Number of stored blocks.
     pub fn blocks(&self) -> u64 {
         self.blocks
     }
 
-    /// Keeps `entry` under its last block; false when it is empty or larger than the store.
+    /// Stores `entry` under its last block; returns `false` if the entry is empty or exceeds the
+    /// capacity.
     pub fn put(&mut self, entry: KvEntry) -> bool {
         let size = entry.blocks.len() as u64;
-        let Some(name) = entry.blocks.last().copied().filter(|_| size <= self.capacity) else {
+        let Some(key) = entry.blocks.last().copied().filter(|_| size <= self.capacity) else {
             return false;
         };
-        self.remove(&name);
+        self.remove(&key);
         while self.blocks + size > self.capacity {
-            let Some((_, oldest)) = self.by_use.pop_first() else { break };
+            let Some((_, oldest)) = self.lru.pop_first() else { break };
             self.remove(&oldest);
         }
-        self.uses += 1;
+        self.clock += 1;
         self.blocks += size;
-        self.by_use.insert(self.uses, name);
-        self.entries.insert(name, Kept { entry, used: self.uses });
+        self.lru.insert(self.clock, key);
+        self.entries.insert(key, StoredEntry { entry, last_used: self.clock });
         true
     }
 
-    /// The entry whose last block is `name`.
-    pub fn get(&mut self, name: &BlockHash) -> Option<KvEntry> {
-        let kept = self.entries.get_mut(name)?;
-        self.by_use.remove(&kept.used);
-        self.uses += 1;
-        kept.used = self.uses;
-        self.by_use.insert(self.uses, *name);
-        Some(kept.entry.clone())
+    /// Returns the entry whose last block is `key`.
+    pub fn get(&mut self, key: &BlockHash) -> Option<KvEntry> {
+        let stored = self.entries.get_mut(key)?;
+        self.lru.remove(&stored.last_used);
+        self.clock += 1;
+        stored.last_used = self.clock;
+        self.lru.insert(self.clock, *key);
+        Some(stored.entry.clone())
     }
 
-    fn remove(&mut self, name: &BlockHash) {
-        if let Some(kept) = self.entries.remove(name) {
-            self.by_use.remove(&kept.used);
-            self.blocks -= kept.entry.blocks.len() as u64;
+    fn remove(&mut self, key: &BlockHash) {
+        if let Some(stored) = self.entries.remove(key) {
+            self.lru.remove(&stored.last_used);
+            self.blocks -= stored.entry.blocks.len() as u64;
         }
     }
 }
--- a/crates/emulators/src/lib.rs
+++ b/crates/emulators/src/lib.rs
@@ -1,9 +1,9 @@
-//! Engines, stores and servers that the router is met with in the lab.
+//! Emulated engines, stores and servers for tests and the lab.
 //!
-//! Each kind of back end has one model. The models are pure: time is passed in
-//! and a random number generator is seeded, so the simulator drives them in
-//! virtual time. The [`http`] module drives the same models in real time and
-//! speaks the back-end protocol.
+//! Each kind of back end has one deterministic model: the caller passes the
+//! current time and random number generators are seeded, so the simulator can
+//! run the models in virtual time. The [`http`] module runs the same models in
+//! real time behind the back-end protocol.
 
 pub mod application;
 pub mod content;
--- a/crates/emulators/src/platform.rs
+++ b/crates/emulators/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's list of machines: true once, and late.
+//! Model of the platform's list of machines, which lags behind the actual state.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -7,64 +7,64 @@
 use juniper_types::{Timestamp, ZoneName};
 use serde::{Deserialize, Serialize};
 
-/// How far the list lags behind.
+/// Default lag of the list.
 pub const LIST_LAG: Duration = Duration::from_secs(5);
 
-/// Whether a machine stays.
+/// Lifecycle state of a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MachineState {
-    /// It stays.
+    /// In service.
     Live,
-    /// It is about to be taken away.
+    /// Announced for removal.
     Leaving,
-    /// It is gone; the list no longer has it.
+    /// Removed from the list.
     Gone,
 }
 
-/// One machine of the list.
+/// List entry of one machine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Machine {
-    /// Where it is reached.
+    /// Network address.
     pub address: SocketAddr,
-    /// Zone it stands in.
+    /// Zone of the machine.
     pub zone: ZoneName,
-    /// Whether it stays.
+    /// Lifecycle state.
     pub state: MachineState,
 }
 
-/// The list as it is now and as it is shown.
+/// Visible list and changes that are not visible yet.
 #[derive(Clone, Debug)]
 pub struct PlatformList {
     lag: Duration,
-    shown: BTreeMap<SocketAddr, Machine>,
+    visible: BTreeMap<SocketAddr, Machine>,
     pending: VecDeque<(Timestamp, Machine)>,
 }
 
 impl PlatformList {
-    /// An empty list that lags by `lag`.
+    /// Creates an empty list that lags by `lag`.
     pub fn new(lag: Duration) -> Self {
-        PlatformList { lag, shown: BTreeMap::new(), pending: VecDeque::new() }
+        PlatformList { lag, visible: BTreeMap::new(), pending: VecDeque::new() }
     }
 
-    /// Notes the state of a machine at `now`; the list shows it later.
-    pub fn note(&mut self, machine: Machine, now: Timestamp) {
+    /// Records the state of a machine at `now`; the list shows the change after the lag.
+    pub fn record(&mut self, machine: Machine, now: Timestamp) {
         self.pending.push_back((now.after(self.lag), machine));
     }
 
-    /// The list as it is shown at `now`, and the moment it is true of.
+    /// Returns the list visible at `now` and the time of the state that it shows.
     pub fn read(&mut self, now: Timestamp) -> (Timestamp, Vec<Machine>) {
         while self.pending.front().is_some_and(|(due, _)| *due <= now) {
             let Some((_, machine)) = self.pending.pop_front() else { break };
             match machine.state {
-                MachineState::Gone => self.shown.remove(&machine.address),
+                MachineState::Gone => self.visible.remove(&machine.address),
                 MachineState::Live | MachineState::Leaving => {
-                    self.shown.insert(machine.address, machine)
+                    self.visible.insert(machine.address, machine)
                 }
             };
         }
         let as_of = now.0.saturating_sub(self.lag.as_micros() as u64);
-        (Timestamp(as_of), self.shown.values().cloned().collect())
+        (Timestamp(as_of), self.visible.values().cloned().collect())
     }
 }
--- a/crates/emulators/src/trace/capacity.rs
+++ b/crates/emulators/src/trace/capacity.rs
@@ -1,18 +1,18 @@
-//! Engine time that a request costs, by the constants of the engine model.
+//! Engine time of a request, computed from the constants of the engine model.
 //!
-//! A busy engine runs one iteration after the other, each with
-//! [`TOKEN_BUDGET`] prefill tokens; decoding rides along and pays only for
-//! reading its context. The engine time of a request is therefore the share of
-//! the iterations that its uncached tokens fill, its attention, and the reads
-//! of its context for every output token.
+//! A fully loaded engine runs iterations of [`TOKEN_BUDGET`] prefill tokens
+//! back to back; decode tokens only add the time to read their context. The
+//! engine time of a request is therefore the sum of the prefill time of its
+//! uncached tokens, including their share of the fixed iteration time, the
+//! attention time, and the time to read its context for every output token.
 
 use crate::engine::config::{
     ATTENTION_PAIR_NS, ITERATION_OVERHEAD_NS, KV_READ_TOKEN_NS, PREFILL_TOKEN_NS, TOKEN_BUDGET,
     WEIGHTS_READ_NS,
 };
 
-/// Share of the shared prefix that a good router finds cached: what `load` is relative to.
-/// A router that finds less has to compute more and is overloaded at a lower `load`.
+/// Cache hit share of shared prefixes at which `load` 1.0 fully uses the fleet.
+/// With a lower hit share, the fleet is overloaded at a lower `load`.
 pub const REFERENCE_HIT_SHARE: f64 = 0.8;
 
 /// Engine time of one request, in seconds.
--- a/crates/emulators/src/trace/file.rs
+++ b/crates/emulators/src/trace/file.rs
@@ -1,73 +1,73 @@
-//! Reads, checks and writes trace files.
+//! Reading, validation and writing of trace files.
 
 use std::io::{self, BufRead, Read, Write};
 
 use super::record::{FORMAT, TraceHeader, TraceRecord, TraceRequest, VERSION};
 
-/// Longest line read, in bytes. A record with the most segments has under 2 KiB.
+/// Maximum length of a line, in bytes. A record with [`MAX_SEGMENTS`] segments has under 2 KiB.
 pub const MAX_LINE_BYTES: u64 = 16 << 10;
 
-/// Most records read: an hour at the peak of the largest deployment planned for.
+/// Maximum number of records: an hour at the peak rate of the largest planned deployment.
 pub const MAX_RECORDS: u64 = 13_000_000;
 
-/// Most segments in one prompt.
+/// Maximum number of segments in a prompt.
 pub const MAX_SEGMENTS: usize = 32;
 
-/// Longest prompt, in tokens.
+/// Maximum length of a prompt, in tokens.
 pub const MAX_PROMPT_TOKENS: u32 = 131_072;
 
-/// Shortest segment, in tokens: its message frame takes two.
+/// Minimum length of a segment, in tokens, including two for its message frame.
 pub const MIN_SEGMENT_TOKENS: u32 = 3;
 
-/// Most tokens generated for one request.
+/// Maximum number of output tokens of a request.
 pub const MAX_OUTPUT_TOKENS: u32 = 32_768;
 
-/// Largest body of a call that runs at most once, in bytes.
+/// Maximum body of an at-most-once request, in bytes.
 pub const MAX_BODY_BYTES: u32 = 1 << 20;
 
-/// Records for which memory is set aside before they are read.
+/// Maximum number of records to preallocate memory for before they are read.
 const PREALLOCATED_RECORDS: u64 = 10_000;
 
-/// A whole trace.
+/// Request trace.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Trace {
-    /// What it is of.
+    /// Header of the trace.
     pub header: TraceHeader,
-    /// Its requests in order of arrival.
+    /// Requests in order of arrival.
     pub records: Vec<TraceRecord>,
 }
 
-/// What is wrong with a line of a trace file.
+/// Validation error of one line of a trace file.
 #[derive(Debug, thiserror::Error)]
 pub enum TraceFault {
     /// The line is longer than [`MAX_LINE_BYTES`].
     #[error("the line has more than {MAX_LINE_BYTES} bytes")]
     LineTooLong,
-    /// The line is not the JSON expected.
+    /// The line is not the expected JSON.
     #[error("the line can't be read: {0}")]
     Json(#[from] serde_json::Error),
-    /// The first line names another format.
+    /// The header names another format.
     #[error("the format is {0:?}, not {FORMAT:?}")]
     Format(String),
-    /// The file has another version.
+    /// The header names an unsupported version.
     #[error("the version is {0}, this build reads {VERSION}")]
     Version(u32),
     /// The load is not a positive number.
     #[error("the load {0} is not a positive number")]
     Load(f64),
-    /// The header announces too many records.
+    /// The header announces more than [`MAX_RECORDS`] records.
     #[error("{0} records are more than {MAX_RECORDS}")]
     TooManyRecords(u64),
-    /// A record arrives before the one above it.
+    /// A record arrives before the previous one.
     #[error("the record arrives before the one above it")]
     Order,
-    /// A record arrives after the trace's end.
+    /// A record arrives after the end of the trace.
     #[error("the record arrives after the end of the trace")]
     AfterEnd,
-    /// A record names a zone that the header doesn't.
+    /// A record names a zone that is not in the header.
     #[error("zone {0} is not in the header")]
     Zone(String),
-    /// A record names a tenant that the header doesn't.
+    /// A record names a tenant that is not in the header.
     #[error("tenant {0} is not in the header")]
     Tenant(String),
     /// A prompt has no segments or too many.
@@ -88,12 +88,12 @@
     /// The body is too large.
     #[error("a body has at most {MAX_BODY_BYTES} bytes, this one has {0}")]
     BodyBytes(u32),
-    /// The file ends before its last record, or goes on after it.
+    /// The number of records differs from the header.
     #[error("the header announces {announced} records, the file has {found}")]
     Count {
-        /// Records that the header announces.
+        /// Number of records that the header announces.
         announced: u64,
-        /// Records found.
+        /// Number of records in the file.
         found: u64,
     },
     /// The file has no header.
@@ -101,26 +101,26 @@
     Empty,
 }
 
-/// Why a trace can't be read or written.
+/// Error of reading or writing a trace.
 #[derive(Debug, thiserror::Error)]
 pub enum TraceError {
-    /// The system failed to read or write.
+    /// I/O error.
     #[error("the trace can't be read or written")]
     Io(#[from] io::Error),
-    /// A line is faulty.
+    /// A line is invalid.
     #[error("line {line}: {fault}")]
     Line {
-        /// Number of the line, from one.
+        /// Line number, from one.
         line: u64,
-        /// What is wrong.
+        /// Validation error of the line.
         fault: TraceFault,
     },
 }
 
-/// Reads and checks a whole trace. Memory is bounded by what the file holds.
+/// Reads and validates a whole trace. Memory use is bounded by the size of the file.
 ///
 /// # Errors
-/// Fails at the first faulty line, or when reading fails.
+/// Fails at the first invalid line, or when reading fails.
 pub fn read_trace<R: BufRead>(source: R) -> Result<Trace, TraceError> {
     let mut lines = Lines { source, line: 0, buffer: Vec::new() };
     let Some(first) = lines.next_line()? else {
@@ -130,24 +130,25 @@
     let mut records = Vec::with_capacity(header.records.min(PREALLOCATED_RECORDS) as usize);
     let mut earliest = 0;
     while let Some(text) = lines.next_line()? {
-        let record = read_record(text, &header, earliest).map_err(|fault| lines.fault(fault))?;
+        let record =
+            read_record(text, &header, earliest).map_err(|fault| lines.line_error(fault))?;
         earliest = record.at_us;
         records.push(record);
         if records.len() as u64 > header.records {
-            return Err(lines.fault(count_fault(&header, &records)));
+            return Err(lines.line_error(count_mismatch(&header, &records)));
         }
     }
     if records.len() as u64 != header.records {
-        return Err(lines.fault(count_fault(&header, &records)));
+        return Err(lines.line_error(count_mismatch(&header, &records)));
     }
     Ok(Trace { header, records })
 }
 
-fn count_fault(header: &TraceHeader, records: &[TraceRecord]) -> TraceFault {
+fn count_mismatch(header: &TraceHeader, records: &[TraceRecord]) -> TraceFault {
     TraceFault::Count { announced: header.records, found: records.len() as u64 }
 }
 
-/// Lines of bounded length, counted.
+/// Reader of numbered lines of limited length.
 struct Lines<R> {
     source: R,
     line: u64,
@@ -161,12 +162,12 @@
         let mut limited = self.source.by_ref().take(MAX_LINE_BYTES + 1);
         let read = limited.read_until(b'\n', &mut self.buffer)?;
         if read as u64 > MAX_LINE_BYTES {
-            return Err(self.fault(TraceFault::LineTooLong));
+            return Err(self.line_error(TraceFault::LineTooLong));
         }
         Ok((read > 0).then_some(self.buffer.as_slice()))
     }
 
-    fn fault(&self, fault: TraceFault) -> TraceError {
+    fn line_error(&self, fault: TraceFault) -> TraceError {
         TraceError::Line { line: self.line, fault }
     }
 }
@@ -240,7 +241,7 @@
     }
 }
 
-/// Writes `trace`, one JSON document a line.
+/// Writes `trace` as JSON lines.
 ///
 /// # Errors
 /// Fails when writing fails.
--- a/crates/emulators/src/trace/generate.rs
+++ b/crates/emulators/src/trace/generate.rs
@@ -1,8 +1,8 @@
-//! Generates a trace from a seed.
+//! Generation of traces from a seed.
 //!
-//! Arrivals are open loop: a Poisson process that does not wait for answers,
-//! and on top of it bursts in which one inner prefix is asked for again and
-//! again. Popularity is skewed and shifts while the trace goes on.
+//! Arrivals are open loop: a Poisson process plus bursts of requests that share
+//! one inner prefix. The popularity of prefixes is skewed and shifts during the
+//! trace.
 
 use juniper_types::{NameError, ServiceName};
 use rand::{RngExt, SeedableRng};
@@ -10,7 +10,7 @@
 
 use super::capacity::{REFERENCE_HIT_SHARE, engine_seconds};
 use super::file::Trace;
-use super::popularity::{Prefixes, SegmentNumbers, draw};
+use super::popularity::{Prefixes, SegmentIds, draw};
 use super::profile::{Lengths, Profile, ProfileNames, ProfileShape};
 use super::record::{FORMAT, TraceHeader, TraceRecord, TraceRequest, VERSION};
 
@@ -32,29 +32,29 @@
 /// Priority of light chats.
 const LIGHT_PRIORITY: u8 = 4;
 
-/// Bodies of calls that run at most once, in bytes.
+/// Range of body sizes of at-most-once requests, in bytes.
 const BODY_BYTES: Lengths = Lengths { min: 200, max: 4_000 };
 
-/// Clips that previews are played of.
+/// Number of clips that previews are requested for.
 const CLIPS: u64 = 500;
 
-/// Share of a tenant's callers that stand in the tenant's own zone.
+/// Share of a tenant's requests that come from the tenant's home zone.
 const HOME_ZONE_SHARE: f64 = 0.7;
 
-/// What to generate.
+/// Options of trace generation.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TraceOptions {
-    /// Deployment.
+    /// Deployment to generate a trace for.
     pub profile: Profile,
-    /// Seed: the same one gives the same trace.
+    /// Seed; equal options generate equal traces.
     pub seed: u64,
-    /// Offered load as a share of what the fleet can serve; see [`super::capacity`].
+    /// Offered load as a share of the fleet's capacity; see [`super::capacity`].
     pub load: f64,
-    /// Time in which the requests arrive, in milliseconds.
+    /// Duration of the arrivals, in milliseconds.
     pub duration_ms: u64,
 }
 
-/// Requests a second that put `load` on all engines of the profile's fleet.
+/// Computes the request rate, in requests per second, that puts `load` on the profile's fleet.
 pub fn arrival_rate(shape: &ProfileShape, load: f64) -> f64 {
     let middle = |lengths: Lengths| f64::from(lengths.min + lengths.max) / 2.0;
     let outer = middle(shape.root_tokens) + middle(shape.group_tokens);
@@ -68,10 +68,10 @@
     load * f64::from(shape.engines) / mean
 }
 
-/// The trace that `options` describe.
+/// Generates the trace described by `options`.
 ///
 /// # Errors
-/// Never for the profiles of this build: their names are checked constants.
+/// Fails when a profile has an invalid name, which the built-in profiles don't have.
 pub fn generate(options: TraceOptions) -> Result<Trace, NameError> {
     let names = options.profile.names()?;
     let mut generator = Generator::new(options, names);
@@ -94,15 +94,15 @@
     Ok(Trace { header, records })
 }
 
-/// One arrival before its content is drawn.
+/// Arrival time of a request.
 #[derive(Clone, Copy, Debug)]
 struct Arrival {
     at_us: u64,
-    /// Set for an arrival of a burst.
+    /// Index of the burst that the arrival belongs to, if any.
     burst: Option<usize>,
 }
 
-/// The inner prefix that a burst asks for.
+/// Tenant and inner prefix of a request.
 #[derive(Clone, Copy, Debug)]
 struct Target {
     tenant: usize,
@@ -114,28 +114,28 @@
     shape: &'static ProfileShape,
     names: ProfileNames,
     random: ChaCha8Rng,
-    numbers: SegmentNumbers,
+    segment_ids: SegmentIds,
     tenants: Vec<Prefixes>,
-    calls: u64,
+    at_most_once_requests: u64,
 }
 
 impl Generator {
     fn new(options: TraceOptions, names: ProfileNames) -> Self {
         let shape = options.profile.shape();
         let mut random = ChaCha8Rng::seed_from_u64(options.seed);
-        let mut numbers = SegmentNumbers::default();
+        let mut segment_ids = SegmentIds::default();
         let largest = shape.tenant_weights[0];
         let mut tenants: Vec<Prefixes> = shape
             .tenant_weights
             .iter()
-            .map(|weight| Prefixes::new(shape, weight / largest, &mut numbers, &mut random))
+            .map(|weight| Prefixes::new(shape, weight / largest, &mut segment_ids, &mut random))
             .collect();
-        // All tenants use the platform's own instructions, so that a router which
-        // forgets the tenant would find another tenant's blocks.
+        // All tenants share one outer prefix, so that a router which ignores the
+        // tenant would hit another tenant's blocks.
         if let Some(root) = tenants.first().map(Prefixes::root) {
             tenants.iter_mut().for_each(|tenant| tenant.set_root(root));
         }
-        Generator { options, shape, names, random, numbers, tenants, calls: 0 }
+        Generator { options, shape, names, random, segment_ids, tenants, at_most_once_requests: 0 }
     }
 
     fn records(&mut self) -> Vec<TraceRecord> {
@@ -145,12 +145,12 @@
         let mut records = Vec::with_capacity(arrivals.len());
         for arrival in arrivals {
             while next_shift <= arrival.at_us {
-                self.shift();
+                self.shift_popularity();
                 next_shift += SHIFT_INTERVAL_US;
             }
             let target = match arrival.burst {
                 Some(burst) => self.burst_target(&mut targets, burst),
-                None => self.any_target(),
+                None => self.pick_target(),
             };
             records.push(self.record(arrival, target));
         }
@@ -161,21 +161,21 @@
         let rate = arrival_rate(self.shape, self.options.load) / 1e6;
         let end = self.options.duration_ms.saturating_mul(1_000);
         let mut arrivals = Vec::new();
-        self.poisson(rate * (1.0 - BURST_SHARE), 0, end, None, &mut arrivals);
+        self.add_poisson_arrivals(rate * (1.0 - BURST_SHARE), 0, end, None, &mut arrivals);
         let burst_rate = rate * BURST_SHARE * BURST_INTERVAL_US as f64 / BURST_LENGTH_US as f64;
         let starts = (0..end).step_by(BURST_INTERVAL_US as usize);
         for (burst, interval) in starts.enumerate() {
             let slack = BURST_INTERVAL_US - BURST_LENGTH_US;
             let start = interval + self.random.random_range(0..slack);
             let stop = (start + BURST_LENGTH_US).min(end);
-            self.poisson(burst_rate, start, stop, Some(burst), &mut arrivals);
+            self.add_poisson_arrivals(burst_rate, start, stop, Some(burst), &mut arrivals);
         }
         arrivals.sort_by_key(|arrival| arrival.at_us);
         arrivals
     }
 
-    /// Adds the arrivals of a Poisson process with `rate` arrivals a microsecond.
-    fn poisson(
+    /// Adds the arrivals of a Poisson process with `rate` arrivals per microsecond.
+    fn add_poisson_arrivals(
         &mut self,
         rate: f64,
         start: u64,
@@ -194,9 +194,9 @@
         }
     }
 
-    fn shift(&mut self) {
+    fn shift_popularity(&mut self) {
         for tenant in &mut self.tenants {
-            tenant.shift(&mut self.numbers, &mut self.random);
+            tenant.shift_popularity(&mut self.segment_ids, &mut self.random);
         }
     }
 
@@ -211,13 +211,13 @@
         0
     }
 
-    fn any_target(&mut self) -> Target {
+    fn pick_target(&mut self) -> Target {
         let tenant = self.pick_tenant();
-        let leaf = self.tenants[tenant].pick(&mut self.random);
+        let leaf = self.tenants[tenant].pick_by_popularity(&mut self.random);
         Target { tenant, leaf }
     }
 
-    /// The one target of a burst: any inner prefix may become the talk of the hour.
+    /// Returns the target shared by all requests of a burst, chosen regardless of popularity.
     fn burst_target(&mut self, targets: &mut Vec<Option<Target>>, burst: usize) -> Target {
         if targets.len() <= burst {
             targets.resize(burst + 1, None);
@@ -226,7 +226,7 @@
             return target;
         }
         let tenant = self.pick_tenant();
-        let leaf = self.tenants[tenant].pick_any(&mut self.random);
+        let leaf = self.tenants[tenant].pick_uniformly(&mut self.random);
         let target = Target { tenant, leaf };
         targets[burst] = Some(target);
         target
@@ -235,8 +235,9 @@
     fn record(&mut self, arrival: Arrival, target: Target) -> TraceRecord {
         let (service, request) = self.request(target);
         let zones = self.names.zones.len();
-        let at_home = self.random.random::<f64>() < HOME_ZONE_SHARE;
-        let zone = if at_home { target.tenant % zones } else { self.random.random_range(0..zones) };
+        let in_home_zone = self.random.random::<f64>() < HOME_ZONE_SHARE;
+        let zone =
+            if in_home_zone { target.tenant % zones } else { self.random.random_range(0..zones) };
         TraceRecord {
             at_us: arrival.at_us,
             zone: self.names.zones[zone].clone(),
@@ -249,22 +250,22 @@
     fn request(&mut self, target: Target) -> (ServiceName, TraceRequest) {
         let mix = self.shape.mix;
         let mut point = self.random.random::<f64>();
-        let mut within = |share: f64| {
+        let mut falls_in = |share: f64| {
             point -= share;
             point < 0.0
         };
-        if within(mix.heavy_chat) {
+        if falls_in(mix.heavy_chat) {
             return (self.names.heavy.clone(), self.heavy_chat(target));
         }
-        if within(mix.light_chat) {
+        if falls_in(mix.light_chat) {
             return (self.names.light.clone(), self.light_chat(target));
         }
-        if within(mix.at_most_once) {
+        if falls_in(mix.at_most_once) {
             return (self.names.at_most_once.clone(), self.at_most_once());
         }
-        let request = match within(mix.listing) {
+        let request = match falls_in(mix.listing) {
             true => TraceRequest::Listing {
-                resource: self.tenants[target.tenant].resource(target.leaf),
+                resource: self.tenants[target.tenant].resource_id(target.leaf),
             },
             false => TraceRequest::Preview { clip: self.random.random_range(0..CLIPS) },
         };
@@ -272,22 +273,22 @@
     }
 
     fn heavy_chat(&mut self, target: Target) -> TraceRequest {
-        let mut prompt = self.tenants[target.tenant].whole(target.leaf);
-        prompt.push(self.numbers.allocate(self.shape.heavy_tokens, &mut self.random));
+        let mut prompt = self.tenants[target.tenant].full_prefix(target.leaf);
+        prompt.push(self.segment_ids.allocate(self.shape.heavy_tokens, &mut self.random));
         let output_tokens = draw(self.shape.heavy_output, &mut self.random);
         TraceRequest::Chat { prompt, output_tokens, priority: HEAVY_PRIORITY }
     }
 
     fn light_chat(&mut self, target: Target) -> TraceRequest {
-        let mut prompt = self.tenants[target.tenant].outer(target.leaf);
-        prompt.push(self.numbers.allocate(self.shape.light_tokens, &mut self.random));
+        let mut prompt = self.tenants[target.tenant].outer_prefixes(target.leaf);
+        prompt.push(self.segment_ids.allocate(self.shape.light_tokens, &mut self.random));
         let output_tokens = draw(self.shape.light_output, &mut self.random);
         TraceRequest::Chat { prompt, output_tokens, priority: LIGHT_PRIORITY }
     }
 
     fn at_most_once(&mut self) -> TraceRequest {
-        self.calls += 1;
+        self.at_most_once_requests += 1;
         let body_bytes = draw(BODY_BYTES, &mut self.random);
-        TraceRequest::AtMostOnce { number: self.calls, body_bytes }
+        TraceRequest::AtMostOnce { number: self.at_most_once_requests, body_bytes }
     }
 }
--- a/crates/emulators/src/trace/mod.rs
+++ b/crates/emulators/src/trace/mod.rs
@@ -1,10 +1,10 @@
-//! Request traces: generated from a seed, written, read and checked.
+//! Request traces: generation from a seed, writing, reading and validation.
 //!
 //! A trace holds the requests of one deployment in order of arrival. Prompts
-//! are stored as segments (a number and a length), and the text of a segment
-//! is a pure function of the trace's seed and its number, so a trace is small
-//! and still gives the exact bytes of every prompt. The format is described
-//! in `docs/trace-format.md`.
+//! are stored as segments (an id and a length). The text of a segment is
+//! derived from the trace's seed and the segment's id, so a small trace
+//! determines the exact bytes of every prompt. The format is described in
+//! `docs/trace-format.md`.
 
 pub mod capacity;
 pub mod file;
--- a/crates/emulators/src/trace/profile.rs
+++ b/crates/emulators/src/trace/profile.rs
@@ -1,15 +1,14 @@
-//! The two deployments that traces are generated for, and their sizes.
+//! Profiles of the two deployments that traces are generated for.
 //!
-//! Zones, engines and tenants are the deployments' own. Segment lengths are
-//! those of the texts they describe at four bytes a token. Counts of prefixes
-//! are chosen so that the prompts in use need a few times the memory of one
-//! engine's cache and about that of the whole fleet: then it matters where a
-//! request goes.
+//! Zones, engines and tenants are those of the deployments. Segment lengths
+//! follow the described texts at four bytes per token. The prefixes in use need
+//! several times the cache of one engine and about the cache of the whole
+//! fleet, so cache hits depend on the placement of requests.
 
 use juniper_types::{ModelName, NameError, ServiceName, TenantName, ZoneName};
 use serde::{Deserialize, Serialize};
 
-/// A deployment.
+/// Deployment that a trace is generated for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Profile {
@@ -19,7 +18,7 @@
     Pryderi,
 }
 
-/// A text names no profile.
+/// Error of parsing an unknown profile name.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a profile is granite-ledger or pryderi, not {0:?}")]
 pub struct UnknownProfile(pub String);
@@ -36,23 +35,23 @@
     }
 }
 
-/// Lengths of one level of nested prefixes.
+/// Range of lengths, both ends included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lengths {
-    /// Shortest, in tokens.
+    /// Minimum length, in tokens or bytes.
     pub min: u32,
-    /// Longest, in tokens.
+    /// Maximum length, in tokens or bytes.
     pub max: u32,
 }
 
-/// Share of each kind of request; they add up to one.
+/// Share of each kind of request; the shares add up to one.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Mix {
-    /// Verdicts or cue matches: the whole nested prefix and a text of their own.
+    /// Verdicts or cue matches: the full nested prefix and a text unique to the request.
     pub heavy_chat: f64,
-    /// Tag calls: the prefix without its innermost level, and a short text.
+    /// Tagging: the prefix without its inner level and a short text unique to the request.
     pub light_chat: f64,
-    /// Applications or licence checks.
+    /// At-most-once requests: applications or licence checks.
     pub at_most_once: f64,
     /// Listings.
     pub listing: f64,
@@ -60,49 +59,49 @@
     pub preview: f64,
 }
 
-/// Everything that a trace of a profile is drawn from.
+/// Parameters of the traces of a profile.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProfileShape {
-    /// The deployment's zones.
+    /// Zones of the deployment.
     pub zones: [&'static str; 3],
-    /// Engines of the fleet, spread evenly over the zones.
+    /// Number of engines, spread evenly over the zones.
     pub engines: u32,
-    /// Cache of one engine, in blocks. Granite Ledger: 24,576 tokens, at some
-    /// 2,000 computed tokens a second replaced in about 12 s.
+    /// Cache capacity of one engine, in blocks.
     pub cache_blocks: u32,
-    /// Relative traffic of the eight tenants, a few of them large.
+    /// Share of the traffic of each of the eight tenants, in descending order.
     pub tenant_weights: [f64; 8],
-    /// Middle prefixes (employers, catalogues) of the largest tenant; others have a share by weight.
+    /// Number of middle prefixes (employers, catalogues) of the largest tenant; scaled by weight
+    /// for the others.
     pub groups: u32,
-    /// Inner prefixes (postings, briefs) under one middle prefix.
+    /// Number of inner prefixes (postings, briefs) per middle prefix.
     pub leaves_per_group: u32,
-    /// Outer prefix: a board's or client's instructions.
+    /// Length of the outer prefix: a board's or client's instructions.
     pub root_tokens: Lengths,
-    /// Middle prefix.
+    /// Length of a middle prefix.
     pub group_tokens: Lengths,
-    /// Inner prefix.
+    /// Length of an inner prefix.
     pub leaf_tokens: Lengths,
-    /// Own text of a heavy chat: a resume, or a question.
+    /// Length of the unique text of a heavy chat: a resume or a question.
     pub heavy_tokens: Lengths,
-    /// Own text of a light chat: a paragraph, or the notes on a clip.
+    /// Length of the unique text of a light chat: a paragraph or the notes on a clip.
     pub light_tokens: Lengths,
-    /// Answer of a heavy chat.
+    /// Output length of a heavy chat.
     pub heavy_output: Lengths,
-    /// Answer of a light chat.
+    /// Output length of a light chat.
     pub light_output: Lengths,
-    /// Share of each kind of request.
+    /// Shares of the kinds of requests.
     pub mix: Mix,
-    /// Service of heavy chats.
+    /// Service for heavy chats.
     pub heavy_service: &'static str,
-    /// Service of light chats.
+    /// Service for light chats.
     pub light_service: &'static str,
-    /// Service of calls that run at most once.
+    /// Service for at-most-once requests.
     pub at_most_once_service: &'static str,
-    /// Service of listings or previews.
+    /// Service for listings or previews.
     pub plain_service: &'static str,
 }
 
-/// Tenants' relative traffic: three large ones carry two thirds.
+/// Traffic shares of the tenants; the three largest have about two thirds.
 const TENANT_WEIGHTS: [f64; 8] = [0.30, 0.22, 0.16, 0.10, 0.08, 0.06, 0.05, 0.03];
 
 const GRANITE_LEDGER: ProfileShape = ProfileShape {
@@ -160,7 +159,7 @@
 };
 
 impl Profile {
-    /// The profile's name on the command line and in files.
+    /// Name of the profile on the command line and in files.
     pub fn as_str(self) -> &'static str {
         match self {
             Profile::GraniteLedger => "granite-ledger",
@@ -168,7 +167,7 @@
         }
     }
 
-    /// What traces of the profile are drawn from.
+    /// Trace parameters of the profile.
     pub fn shape(self) -> &'static ProfileShape {
         match self {
             Profile::GraniteLedger => &GRANITE_LEDGER,
@@ -176,10 +175,10 @@
         }
     }
 
-    /// The names that a trace of the profile uses.
+    /// Returns the validated names of the profile.
     ///
     /// # Errors
-    /// Never, as the names are constants; the checked constructors say so in their types.
+    /// Fails when a name is invalid, which the built-in names aren't.
     pub fn names(self) -> Result<ProfileNames, NameError> {
         let shape = self.shape();
         let tenants = (1..=shape.tenant_weights.len())
@@ -197,21 +196,21 @@
     }
 }
 
-/// Checked names of a profile.
+/// Validated names of a profile.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ProfileNames {
-    /// Model served.
+    /// Model that the engines serve.
     pub model: ModelName,
-    /// Zones.
+    /// Zones of the deployment.
     pub zones: Vec<ZoneName>,
     /// Tenants, the largest first.
     pub tenants: Vec<TenantName>,
-    /// Service of heavy chats.
+    /// Service for heavy chats.
     pub heavy: ServiceName,
-    /// Service of light chats.
+    /// Service for light chats.
     pub light: ServiceName,
-    /// Service of calls that run at most once.
+    /// Service for at-most-once requests.
     pub at_most_once: ServiceName,
-    /// Service of listings or previews.
+    /// Service for listings or previews.
     pub plain: ServiceName,
 }
--- a/crates/emulators/src/trace/record.rs
+++ b/crates/emulators/src/trace/record.rs
@@ -1,4 +1,4 @@
-//! What a trace file holds: one header and one record for each request.
+//! Content of a trace file: a header and one record per request.
 
 use juniper_types::{ModelName, ServiceName, TenantName, ZoneName};
 use serde::{Deserialize, Serialize};
@@ -8,10 +8,10 @@
 /// Value of [`TraceHeader::format`].
 pub const FORMAT: &str = "juniper-trace";
 
-/// Version of the format that this build reads and writes.
+/// Supported version of the format.
 pub const VERSION: u32 = 1;
 
-/// First line of a trace.
+/// Header, the first line of a trace.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TraceHeader {
@@ -19,35 +19,35 @@
     pub format: String,
     /// Always [`VERSION`].
     pub version: u32,
-    /// Deployment that the trace is of.
+    /// Deployment that the trace was generated for.
     pub profile: Profile,
     /// Seed that the trace was generated from; segment texts depend on it.
     pub seed: u64,
-    /// Offered load as a share of what the fleet can serve.
+    /// Offered load as a share of the fleet's capacity.
     pub load: f64,
-    /// Time in which the requests arrive, in milliseconds.
+    /// Duration of the arrivals, in milliseconds.
     pub duration_ms: u64,
     /// Model that the engines serve.
     pub model: ModelName,
-    /// Engines of the fleet that the load is meant for.
+    /// Number of engines that `load` refers to.
     pub engines: u32,
-    /// Cache of one engine, in blocks.
+    /// Cache capacity of one engine, in blocks.
     pub cache_blocks: u32,
-    /// Zones that callers and engines stand in.
+    /// Zones of the callers and engines.
     pub zones: Vec<ZoneName>,
     /// Tenants, the largest first.
     pub tenants: Vec<TenantName>,
-    /// Records that follow.
+    /// Number of records that follow.
     pub records: u64,
 }
 
-/// A piece of prompt text; written as `[id, tokens]`.
+/// Segment of a prompt, serialized as `[id, tokens]`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(from = "(u64, u32)", into = "(u64, u32)")]
 pub struct Segment {
-    /// Number that, with the trace's seed, determines the text.
+    /// Id that, with the trace's seed, determines the text.
     pub id: u64,
-    /// Length of the text, its message frame included.
+    /// Length in tokens, including the message frame.
     pub tokens: u32,
 }
 
@@ -63,56 +63,56 @@
     }
 }
 
-/// One request of a trace.
+/// Record of one request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TraceRecord {
-    /// When it arrives, in microseconds since the start of the trace.
+    /// Arrival time, in microseconds since the start of the trace.
     pub at_us: u64,
-    /// Zone that the caller stands in.
+    /// Zone of the caller.
     pub zone: ZoneName,
-    /// Whose request it is.
+    /// Tenant of the request.
     pub tenant: TenantName,
-    /// Service that it asks for.
+    /// Requested service.
     pub service: ServiceName,
-    /// What it asks for.
+    /// Kind and parameters of the request.
     pub request: TraceRequest,
 }
 
-/// What a request asks for.
+/// Kind and parameters of a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case", deny_unknown_fields)]
 pub enum TraceRequest {
     /// A chat completion.
     Chat {
-        /// The prompt, from the widest shared prefix to the request's own text.
+        /// Prompt segments, from the outer prefix to the request's unique text.
         prompt: Vec<Segment>,
-        /// Tokens to generate.
+        /// Number of output tokens.
         output_tokens: u32,
-        /// 0 (lowest) to 9.
+        /// Priority, from 0 (lowest) to 9.
         priority: u8,
     },
-    /// A call that runs at most once: an application or a licence check.
+    /// An at-most-once request: an application or a licence check.
     AtMostOnce {
-        /// Number that makes the call unique within the trace.
+        /// Number that is unique within the trace.
         number: u64,
-        /// Length of the body, in bytes.
+        /// Size of the body, in bytes.
         body_bytes: u32,
     },
-    /// A listing that may be repeated.
+    /// A listing, which may be retried.
     Listing {
-        /// What is listed.
+        /// Id of the listed resource.
         resource: u64,
     },
-    /// A preview stream.
+    /// A preview, streamed.
     Preview {
-        /// Which clip.
+        /// Number of the clip.
         clip: u64,
     },
 }
 
 impl TraceRequest {
-    /// The prompt of a chat; empty for every other kind.
+    /// Prompt of a chat; empty for other kinds.
     pub fn prompt(&self) -> &[Segment] {
         match self {
             TraceRequest::Chat { prompt, .. } => prompt,
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Tokens of the prompt of a chat.
+    /// Number of prompt tokens of a chat; zero for other kinds.
     pub fn prompt_tokens(&self) -> u32 {
         self.prompt().iter().fold(0, |sum, segment| sum.saturating_add(segment.tokens))
     }
--- a/crates/emulators/src/weights.rs
+++ b/crates/emulators/src/weights.rs
@@ -1,42 +1,43 @@
-//! The weight store: loads share its rate beyond a number of loads at once.
+//! Model of the weight store, whose bandwidth is shared by concurrent loads.
 
 use std::collections::BTreeMap;
 
 use juniper_types::Timestamp;
 
-/// Fastest that one load runs, in bytes a second: 16 Gbit/s of a machine's link.
+/// Maximum rate of one load, in bytes per second: 16 Gbit/s of a machine's link.
 pub const LOAD_BYTES_PER_SECOND: u64 = 2_000_000_000;
 
-/// Loads at once that the store serves at the full rate (Granite Ledger; Pryderi has two).
+/// Concurrent loads that the store serves at the full rate (Granite Ledger; Pryderi has two).
 pub const FULL_RATE_LOADS: u32 = 3;
 
-/// Number of a load.
+/// Id of a load within one store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LoadId(pub u64);
 
-/// Loads under way. Each has the full rate while there are few, an equal share otherwise.
+/// Loads in progress. Each runs at the full rate up to the limit of concurrent loads, at an equal
+/// share of the total bandwidth beyond that.
 #[derive(Clone, Debug)]
 pub struct WeightStore {
     bytes_per_second: f64,
     full_rate_loads: u32,
-    last: Timestamp,
+    updated_at: Timestamp,
     started: u64,
     remaining: BTreeMap<LoadId, f64>,
 }
 
 impl WeightStore {
-    /// A store that serves `full_rate_loads` loads at `bytes_per_second` each.
+    /// Creates a store that serves `full_rate_loads` loads at `bytes_per_second` each.
     pub fn new(bytes_per_second: u64, full_rate_loads: u32) -> Self {
         WeightStore {
             bytes_per_second: bytes_per_second as f64,
             full_rate_loads: full_rate_loads.max(1),
-            last: Timestamp::ZERO,
+            updated_at: Timestamp::ZERO,
             started: 0,
             remaining: BTreeMap::new(),
         }
     }
 
-    /// Bytes a second that each load gets at this moment.
+    /// Current rate of each load, in bytes per second.
     fn rate(&self) -> f64 {
         let active = self.remaining.len().max(1) as f64;
         self.bytes_per_second * (f64::from(self.full_rate_loads) / active).min(1.0)
@@ -51,44 +52,46 @@
         id
     }
 
-    /// Gives up a load, so that it no longer takes its share.
+    /// Aborts a load and releases its share of the bandwidth.
     pub fn abandon(&mut self, id: LoadId, now: Timestamp) {
         self.advance(now);
         self.remaining.remove(&id);
     }
 
-    /// Whether the load has not ended by `now`.
+    /// Returns whether the load is still in progress at `now`.
     pub fn is_running(&mut self, id: LoadId, now: Timestamp) -> bool {
         self.advance(now);
         self.remaining.contains_key(&id)
     }
 
-    /// When the next load ends if no other starts; `None` while there are none.
+    /// Time when the next load completes if no other starts; `None` without loads.
     pub fn next_end(&self) -> Option<Timestamp> {
-        let least = self.remaining.values().copied().fold(f64::INFINITY, f64::min);
-        let micros = (least / self.rate() * 1e6).ceil();
-        micros.is_finite().then(|| Timestamp(self.last.0 + micros as u64))
+        let shortest = self.remaining.values().copied().fold(f64::INFINITY, f64::min);
+        let micros = (shortest / self.rate() * 1e6).ceil();
+        micros.is_finite().then(|| Timestamp(self.updated_at.0 + micros as u64))
     }
 
-    /// Loads under way.
+    /// Number of loads in progress.
     pub fn active(&self) -> usize {
         self.remaining.len()
     }
 
-    /// Runs all loads until `now`; those that end on the way leave their share to the rest.
+    /// Advances all loads to `now`; a load that completes releases its share to the others.
     fn advance(&mut self, now: Timestamp) {
         while let Some(end) = self.next_end().filter(|end| *end <= now) {
-            self.run_until(end);
-            // Rounding leaves at most a microsecond's worth.
-            let rest = self.bytes_per_second / 1e6;
-            self.remaining.retain(|_, bytes| *bytes > rest);
+            self.transfer_until(end);
+            // Completion times are rounded up to microseconds, so less than this may remain.
+            let tolerance = self.bytes_per_second / 1e6;
+            self.remaining.retain(|_, bytes| *bytes > tolerance);
         }
-        self.run_until(now);
+        self.transfer_until(now);
     }
 
-    fn run_until(&mut self, at: Timestamp) {
-        let bytes = self.rate() * at.since(self.last).as_secs_f64();
-        self.remaining.values_mut().for_each(|left| *left = (*left - bytes).max(0.0));
-        self.last = self.last.max(at);
+    fn transfer_until(&mut self, at: Timestamp) {
+        let bytes = self.rate() * at.since(self.updated_at).as_secs_f64();
+        self.remaining
+            .values_mut()
+            .for_each(|remaining| *remaining = (*remaining - bytes).max(0.0));
+        self.updated_at = self.updated_at.max(at);
     }
 }
--- a/crates/emulators/src/witness.rs
+++ b/crates/emulators/src/witness.rs
@@ -1,64 +1,64 @@
-//! The witness: an emulator's own count of broken invariants.
+//! Detection of invariant violations inside an emulator.
 //!
-//! The witness knows what the router can't be trusted to say: whose request it
-//! truly is and where each cached block truly came from. It outlives crashes of
-//! the emulated process.
+//! The witness tracks the actual tenant of each request and the origin of each
+//! cached block, independently of what the router claims. The records survive
+//! crashes of the emulated process.
 
 use std::collections::{BTreeMap, HashMap};
 
 use juniper_types::{AdapterName, ModelName, TenantName, Timestamp, WeightsVersion};
 use serde::{Deserialize, Serialize};
 
-/// Breaches described one by one; the counts go on beyond this.
+/// Maximum number of breaches stored with details; later ones are only counted.
 const DESCRIBED_BREACHES: usize = 100;
 
-/// Which invariant was broken.
+/// Kind of violated invariant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum BreachKind {
     /// A request used a cached block of another tenant.
     ForeignTenant,
-    /// A request used a cached block of other weights, model or adapter.
+    /// A request used a cached block computed with other weights or another model or adapter.
     ForeignWeights,
-    /// A request was planned on blocks of an incarnation that it did not name.
+    /// A request expected cached blocks without naming the incarnation that holds them.
     UnnamedIncarnation,
-    /// Work was sent to an engine that had been leaving for longer than the grace.
+    /// A request arrived at a departing engine after the grace period.
     WorkAfterLeaving,
-    /// An order took effect under an older fencing token than an earlier one.
+    /// An order was applied with an older fencing token than an order applied before.
     StaleOrder,
-    /// An order took effect twice.
+    /// An order was applied twice.
     RepeatedOrder,
-    /// A request that may run once ran again.
+    /// An at-most-once request was executed again.
     RepeatedExecution,
-    /// A request id was used for two attempts.
+    /// Two attempts used the same request id.
     RepeatedRequestId,
 }
 
-/// One broken invariant.
+/// One violation of an invariant.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Breach {
-    /// When, in milliseconds since the emulator's origin.
+    /// Time of the violation, in milliseconds since the start of the emulator.
     pub at_ms: u64,
-    /// Which invariant.
+    /// Violated invariant.
     pub kind: BreachKind,
-    /// What was seen.
+    /// Details for diagnosis.
     pub detail: String,
 }
 
-/// Where the content of a cached block came from.
+/// Origin of the content of a cached block.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Provenance {
-    /// Tenant whose prompt filled it.
+    /// Tenant whose prompt produced the block.
     pub owner: TenantName,
-    /// Model that computed it.
+    /// Model that computed the block.
     pub model: ModelName,
-    /// Adapter that was active.
+    /// Adapter that was active, if any.
     pub adapter: Option<AdapterName>,
-    /// Weights that computed it.
+    /// Version of the weights that computed the block.
     pub weights: WeightsVersion,
 }
 
-/// Breaches that one emulator has seen.
+/// Breaches detected by one emulator.
 #[derive(Clone, Debug, Default)]
 pub struct Witness {
     counts: BTreeMap<BreachKind, u64>,
@@ -76,22 +76,22 @@
         }
     }
 
-    /// Breaches by kind; kinds without any are absent.
+    /// Number of breaches by kind; kinds without breaches are absent.
     pub fn counts(&self) -> &BTreeMap<BreachKind, u64> {
         &self.counts
     }
 
-    /// Breaches in all.
+    /// Total number of breaches.
     pub fn total(&self) -> u64 {
         self.counts.values().sum()
     }
 
-    /// The first breaches, described.
+    /// Details of the first breaches.
     pub fn described(&self) -> &[Breach] {
         &self.described
     }
 
-    /// A small number that stands for `provenance`.
+    /// Returns the id of `provenance`, allocating one on first use.
     pub fn provenance_id(&mut self, provenance: &Provenance) -> u32 {
         if let Some(id) = self.provenance_ids.get(provenance) {
             return *id;
@@ -102,23 +102,23 @@
         id
     }
 
-    /// The provenance that `id` stands for.
+    /// Returns the provenance with `id`.
     pub fn provenance(&self, id: u32) -> &Provenance {
         &self.provenances[id as usize]
     }
 
-    /// Checks that a request with provenance `mine` may use a block with provenance `found`.
-    pub fn check_reuse(&mut self, mine: u32, found: u32, at: Timestamp) {
-        if mine == found {
+    /// Checks that a request with provenance `request` may reuse a block with provenance `block`.
+    pub fn check_reuse(&mut self, request: u32, block: u32, at: Timestamp) {
+        if request == block {
             return;
         }
-        let (wanted, held) = (self.provenance(mine), self.provenance(found));
-        let kind = if wanted.owner == held.owner {
+        let (expected, actual) = (self.provenance(request), self.provenance(block));
+        let kind = if expected.owner == actual.owner {
             BreachKind::ForeignWeights
         } else {
             BreachKind::ForeignTenant
         };
-        let detail = format!("wanted={wanted:?} held={held:?}");
+        let detail = format!("wanted={expected:?} held={actual:?}");
         self.record(kind, at, detail);
     }
 }
--- a/crates/emulators/tests/common/mod.rs
+++ b/crates/emulators/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Builders that the engine tests share.
+//! Shared helpers of the engine tests.
 
 use std::sync::Arc;
 
@@ -27,7 +27,7 @@
     }
 }
 
-/// A chain of blocks in which every number stands for one block's content.
+/// Builds a chain of block hashes; each number determines the content of one block.
 pub fn chain(scope: &CacheScope, contents: &[u32]) -> Arc<[BlockHash]> {
     let mut previous = scope.seed();
     let link = |content: &u32| {
@@ -37,7 +37,7 @@
     contents.iter().map(link).collect()
 }
 
-/// A request of tenant `acme` whose prompt ends a token after its last block.
+/// Builds a request of tenant `acme` whose prompt ends one token after its last full block.
 pub fn request(id: u128, contents: &[u32], output_tokens: u32) -> EngineRequest {
     let scope = scope("acme");
     EngineRequest {
@@ -61,8 +61,8 @@
     config
 }
 
-/// Faults that neither delay nor lose events.
-pub fn prompt_events() -> EventFaults {
+/// Event settings without delay or loss.
+pub fn no_event_faults() -> EventFaults {
     EventFaults {
         delay_min: std::time::Duration::ZERO,
         delay_max: std::time::Duration::ZERO,
@@ -72,11 +72,11 @@
 
 pub fn engine(cache_blocks: u32) -> Engine {
     let mut config = config(cache_blocks);
-    config.events = prompt_events();
+    config.events = no_event_faults();
     Engine::new(config, INCARNATION, Timestamp::ZERO)
 }
 
-/// Runs until the engine is idle; returns the outputs and the time.
+/// Runs until the engine is idle; returns the outputs and the end time.
 pub fn run_to_idle(engine: &mut Engine) -> (Vec<Output>, Timestamp) {
     let mut outputs = Vec::new();
     let mut now = Timestamp::ZERO;
@@ -88,7 +88,7 @@
     (outputs, now)
 }
 
-/// Output token numbers of one request, in order.
+/// Indexes of the output tokens of one request, in the order of generation.
 pub fn indexes(outputs: &[Output], wanted: RequestId) -> Vec<u32> {
     let mut indexes = Vec::new();
     for output in outputs {
@@ -103,7 +103,7 @@
     indexes
 }
 
-/// Checks `property` on cases that are the same in every run.
+/// Checks `property` with a fixed seed.
 pub fn check<P: Testable>(property: P) {
     let generator = Gen::from_size_and_seed(GENERATOR_SIZE, GENERATOR_SEED);
     QuickCheck::new().rng(generator).quickcheck(property);
--- a/crates/emulators/tests/engine.rs
+++ b/crates/emulators/tests/engine.rs
@@ -1,4 +1,4 @@
-//! The engine model: batching, cache, faults and refusals.
+//! Tests of the engine model: batching, cache, crashes and rejections.
 
 mod common;
 
@@ -20,23 +20,23 @@
 }
 
 fn statistics(outputs: &[Output], wanted: u128) -> RequestStatistics {
-    let of = |output: &Output| match output {
+    let select = |output: &Output| match output {
         Output::Finished { id, statistics, .. } if id.0 == wanted => Some(*statistics),
         _ => None,
     };
-    outputs.iter().find_map(of).expect("finished")
+    outputs.iter().find_map(select).expect("finished")
 }
 
 fn first_token_at(outputs: &[Output], wanted: u128) -> Timestamp {
-    let of = |output: &Output| match output {
+    let select = |output: &Output| match output {
         Output::FirstToken { id, at, .. } if id.0 == wanted => Some(*at),
         _ => None,
     };
-    outputs.iter().find_map(of).expect("first token")
+    outputs.iter().find_map(select).expect("first token")
 }
 
 #[test]
-fn a_shared_prefix_is_reused_and_saves_time() {
+fn cached_prefix_shortens_prefill() {
     let mut engine = engine(256);
     engine.submit(request(1, &[1, 2, 3, 4, 5, 6, 7, 8], 2), at(0)).unwrap();
     let (cold, end) = run_to_idle(&mut engine);
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_full_batch_shares_iterations() {
+fn batched_requests_share_iterations() {
     let mut engine = engine(1_024);
     for id in 0..8 {
         engine.submit(request(id, &[id as u32], 50), at(0)).unwrap();
@@ -61,12 +61,12 @@
     for id in 0..8 {
         assert_eq!(indexes(&outputs, RequestId(id)), (0..50).collect::<Vec<u32>>());
     }
-    // One after the other they would take at least 8 x 50 weight reads of 16 ms.
+    // Run one after the other, the requests would take at least 8 x 50 weight reads of 16 ms.
     assert!(end < at(8 * 50 * 16 / 4), "{end:?}");
 }
 
 #[test]
-fn a_higher_priority_enters_the_batch_first() {
+fn higher_priority_is_admitted_first() {
     let mut config = config(1_024);
     config.max_running = 1;
     let mut engine = Engine::new(config, INCARNATION, at(0));
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn cancelling_frees_memory_and_is_idempotent() {
+fn cancel_releases_memory_and_is_idempotent() {
     let mut engine = engine(16);
     engine.submit(request(1, &[1, 2, 3, 4], 400), at(0)).unwrap();
     engine.submit(request(2, &[5, 6, 7, 8, 9, 10, 11, 12], 1), at(0)).unwrap();
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_resumed_stream_goes_on_where_it_stopped() {
+fn resumed_request_continues_at_its_next_token() {
     let mut engine = engine(64);
     let mut resumed = request(1, &[1, 2], 10);
     resumed.resume_from = 6;
@@ -110,18 +110,18 @@
 }
 
 #[test]
-fn work_that_cannot_meet_its_deadline_is_dropped_at_once() {
+fn request_with_unmeetable_deadline_is_dropped_immediately() {
     let mut engine = engine(64);
-    let mut hopeless = request(1, &[1], 1_000);
-    hopeless.deadline = Some(at(500));
-    engine.submit(hopeless, at(0)).unwrap();
+    let mut unmeetable = request(1, &[1], 1_000);
+    unmeetable.deadline = Some(at(500));
+    engine.submit(unmeetable, at(0)).unwrap();
     let expected =
         Output::Dropped { id: RequestId(1), at: at(0), reason: DropReason::Deadline, run: false };
     assert_eq!(engine.advance(at(0)), [expected]);
 }
 
 #[test]
-fn a_full_queue_refuses_and_says_when_to_come_back() {
+fn full_queue_rejects_with_retry_after() {
     let mut config = config(1_024);
     config.max_running = 1;
     config.max_waiting = 2;
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn a_crash_empties_the_engine_and_changes_its_incarnation() {
+fn crash_clears_cache_and_restart_changes_incarnation() {
     let mut engine = engine(64);
     engine.submit(request(1, &[1, 2], 100), at(0)).unwrap();
     engine.advance(at(200));
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn leaving_ends_the_intake_after_the_grace_and_counts_late_work() {
+fn departing_engine_rejects_work_after_grace_and_records_breach() {
     let mut engine = engine(64);
     engine.leave(at(0));
     engine.submit(request(1, &[1], 200), at(2_000)).unwrap();
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn an_order_takes_effect_once_and_an_older_one_not_at_all() {
+fn repeated_order_is_idempotent_and_older_order_is_fenced() {
     let mut engine = engine(64);
     let leave = order(5, 1, OrderAction::Leave);
     assert!(!engine.order(&leave, at(0)).unwrap().repeated);
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn an_order_for_an_earlier_life_is_refused() {
+fn order_for_earlier_incarnation_is_rejected() {
     let mut engine = engine(64);
     engine.crash(at(0));
     engine.start(Incarnation(8), at(1));
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn switching_weights_drains_empties_the_cache_and_refuses_old_plans() {
+fn switching_weights_drains_clears_cache_and_rejects_old_version() {
     let mut engine = engine(64);
     engine.submit(request(1, &[1, 2], 5), at(0)).unwrap();
     let switch = OrderAction::LoadModel { model: model(), weights: WeightsVersion(2) };
@@ -212,19 +212,19 @@
 }
 
 #[test]
-fn the_witness_notices_reuse_across_tenants() {
+fn cache_reuse_across_tenants_is_a_breach() {
     let mut engine = engine(64);
     engine.submit(request(1, &[1, 2, 3], 1), at(0)).unwrap();
     let (_, end) = run_to_idle(&mut engine);
-    // What a router would send whose block hashes left the tenant out.
-    let mut crossed = request(2, &[1, 2, 3], 1);
-    crossed.owner = TenantName::new("other").unwrap();
-    engine.submit(crossed, end).unwrap();
+    // Simulates a router that computes block hashes without the tenant.
+    let mut foreign = request(2, &[1, 2, 3], 1);
+    foreign.owner = TenantName::new("other").unwrap();
+    engine.submit(foreign, end).unwrap();
     assert!(engine.witness().counts()[&BreachKind::ForeignTenant] > 0);
 }
 
 #[test]
-fn a_hint_without_an_incarnation_is_a_breach() {
+fn expected_blocks_without_incarnation_is_a_breach() {
     let mut engine = engine(64);
     let mut unnamed = request(1, &[1], 1);
     unnamed.incarnation = None;
@@ -234,7 +234,7 @@
 }
 
 #[test]
-fn blocks_travel_only_within_their_scope_and_undamaged() {
+fn import_rejects_foreign_scope_damage_and_stale_incarnation() {
     let mut source = engine(64);
     source.submit(request(1, &[1, 2, 3], 1), at(0)).unwrap();
     let (_, end) = run_to_idle(&mut source);
@@ -262,7 +262,7 @@
 }
 
 #[test]
-fn load_reports_lag() {
+fn load_reports_lag_behind_current_load() {
     let mut engine = engine(64);
     engine.submit(request(1, &[1], 200), at(300)).unwrap();
     assert_eq!(engine.load_report(at(310)).unwrap().running, 0);
@@ -272,7 +272,7 @@
     assert!(report.age_ms >= 250, "{report:?}");
 }
 
-/// A mixed load drawn from small numbers: prompts share prefixes, some are cancelled.
+/// Runs a scripted mix of requests that share prefixes; some are cancelled.
 fn drive(engine: &mut Engine, script: &[(u8, u8, u8)]) -> Vec<Output> {
     let mut outputs = Vec::new();
     let mut now = at(0);
@@ -291,7 +291,7 @@
 }
 
 #[test]
-fn events_without_loss_rebuild_the_snapshot() {
+fn lossless_events_reproduce_the_snapshot() {
     fn property(script: Vec<(u8, u8, u8)>) -> bool {
         let mut engine = engine(24);
         drive(&mut engine, &script);
@@ -315,7 +315,7 @@
 }
 
 #[test]
-fn every_request_ends_exactly_once_and_in_order() {
+fn every_request_ends_exactly_once_with_tokens_in_order() {
     fn property(script: Vec<(u8, u8, u8)>) -> bool {
         let mut engine = engine(24);
         let outputs = drive(&mut engine, &script);
@@ -337,7 +337,7 @@
 }
 
 #[test]
-fn lost_events_show_as_gaps() {
+fn lost_events_are_visible_as_sequence_gaps() {
     fn property(script: Vec<(u8, u8, u8)>, seed: u64) -> bool {
         let mut config = config(24);
         config.events.loss = 0.3;
@@ -356,7 +356,7 @@
 }
 
 #[test]
-fn the_same_script_gives_the_same_outputs() {
+fn outputs_are_deterministic() {
     fn property(script: Vec<(u8, u8, u8)>) -> bool {
         drive(&mut engine(24), &script) == drive(&mut engine(24), &script)
     }
