--- a/crates/emulators/tests/http.rs
+++ b/crates/emulators/tests/http.rs
@@ -1,4 +1,4 @@
-//! The emulators over HTTP, asked as the router asks them.
+//! Tests of the emulators' HTTP APIs with requests like the router's.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 use reqwest::{Client, RequestBuilder, Response, StatusCode};
 use serde_json::{Value, json};
 
-/// Longest wait for what must come about soon.
+/// Timeout for conditions that are expected shortly.
 const PATIENCE: Duration = Duration::from_secs(30);
 
 async fn serve(routes: axum::Router) -> SocketAddr {
@@ -76,7 +76,7 @@
 }
 
 #[tokio::test]
-async fn a_prompt_is_cached_for_its_tenant_alone() {
+async fn cached_prompt_is_reused_only_for_its_tenant() {
     let engine = engine(5).await;
     let first = chat(engine, "acme", 4, false).send().await.unwrap();
     assert_eq!(cached_tokens(&first), 0);
@@ -93,7 +93,7 @@
 }
 
 #[tokio::test]
-async fn events_and_snapshot_tell_what_is_cached() {
+async fn events_and_snapshot_list_cached_blocks() {
     let engine = engine(5).await;
     chat(engine, "acme", 1, false).send().await.unwrap().bytes().await.unwrap();
     let scope = CacheScope {
@@ -125,7 +125,7 @@
 }
 
 #[tokio::test]
-async fn refusals_say_truthfully_that_nothing_ran() {
+async fn rejections_report_that_the_request_did_not_run() {
     let engine = engine(5).await;
     let request = || chat(engine, "acme", 4, true);
     let cases = [
@@ -144,7 +144,7 @@
 }
 
 #[tokio::test]
-async fn a_cancelled_stream_has_no_proper_end() {
+async fn cancelled_stream_ends_without_last_chunk() {
     let engine = engine(5).await;
     let mut response =
         chat(engine, "acme", 10_000, true).header("x-request-id", "ab").send().await.unwrap();
@@ -158,7 +158,7 @@
 }
 
 #[tokio::test]
-async fn a_caller_that_hangs_up_frees_the_engine() {
+async fn client_disconnect_cancels_the_request() {
     let engine = engine(5).await;
     let mut response = chat(engine, "acme", 10_000, true).send().await.unwrap();
     response.chunk().await.unwrap().unwrap();
@@ -172,7 +172,7 @@
 }
 
 #[tokio::test]
-async fn orders_are_fenced_and_leaving_is_reported() {
+async fn stale_orders_are_fenced_and_departure_is_reported() {
     let engine = engine(5).await;
     let order = |token: u64, action: &str| json!({ "token": token, "sequence": 1, "incarnation": 5, "action": action });
     let first = post(engine, "/v1/orders", order(2, "leave")).await;
@@ -189,13 +189,13 @@
 }
 
 #[tokio::test]
-async fn blocks_travel_through_the_store_to_another_engine() {
+async fn blocks_transfer_through_the_store_to_another_engine() {
     let (from, to) = (engine(5).await, engine(6).await);
     let store = serve(kept::router(1_000)).await;
     chat(from, "acme", 1, false).send().await.unwrap().bytes().await.unwrap();
     let blocks = get(from, "/v1/cache/snapshot").await["blocks"].clone();
     let scope = json!({ "tenant": "acme", "model": "base", "weights": 1 });
-    // A snapshot is in no order; the chain is computed as the router does.
+    // A snapshot is unordered, so the chain is computed as in the router.
     let chain: Vec<String> = {
         let tenant = TenantName::new("acme").unwrap();
         let model = ModelName::new("base").unwrap();
@@ -226,7 +226,7 @@
 }
 
 #[tokio::test]
-async fn the_application_server_counts_every_execution() {
+async fn application_server_counts_every_execution() {
     let server = serve(application::router(Executions::default(), Duration::ZERO)).await;
     let call = || {
         Client::new()
@@ -247,7 +247,7 @@
 }
 
 #[tokio::test]
-async fn previews_resume_at_any_byte() {
+async fn preview_range_request_resumes_at_byte_offset() {
     let server = serve(preview::router(Duration::ZERO)).await;
     let wanted = preview_bytes(9);
     let url = format!("http://{server}/previews/9");
@@ -270,7 +270,7 @@
 }
 
 #[tokio::test]
-async fn an_abandoned_weight_load_gives_its_share_back() {
+async fn aborted_weight_load_releases_its_bandwidth() {
     let store = serve(weights::router(WeightStore::new(1_000, 1))).await;
     let active = || async { get(store, "/v1/loads").await["active"].clone() };
     let load = tokio::spawn(post(store, "/v1/loads", json!({ "bytes": 1_000_000 })));
@@ -287,7 +287,7 @@
 }
 
 #[tokio::test]
-async fn the_platform_list_shows_machines_late() {
+async fn platform_list_shows_machines_after_the_lag() {
     let platform = serve(platform::router(Duration::from_millis(200))).await;
     let machine = json!({ "address": "10.0.0.1:80", "zone": "hartford", "state": "leaving" });
     post(platform, "/v1/emulator/machines", machine.clone()).await.error_for_status().unwrap();
--- a/crates/emulators/tests/servers.rs
+++ b/crates/emulators/tests/servers.rs
@@ -1,10 +1,10 @@
-//! The models of the stores, of the platform's list and of the record of executions.
+//! Tests of the models of the stores, the platform's list and the execution log.
 
 use std::time::Duration;
 
 use juniper_emulators::application::{Execution, Executions, Receipt};
 use juniper_emulators::engine::transfer::KvEntry;
-use juniper_emulators::kept::KeptStore;
+use juniper_emulators::kept::KvStore;
 use juniper_emulators::platform::{Machine, MachineState, PlatformList};
 use juniper_emulators::preview::preview_bytes;
 use juniper_emulators::weights::WeightStore;
@@ -18,43 +18,43 @@
 }
 
 #[test]
-fn loads_slow_down_beyond_the_full_rate() {
+fn loads_beyond_the_limit_share_bandwidth() {
     let mut store = WeightStore::new(100, 2);
     let first = store.start(1_000, at(0));
     let second = store.start(1_000, at(0));
     assert_eq!(store.next_end(), Some(at(10)));
     let late: Vec<_> = (0..2).map(|_| store.start(1_000, at(5))).collect();
-    // 500 bytes are left of each early load, at half the rate.
+    // Each early load has 500 bytes left and runs at half the rate.
     assert_eq!(store.next_end(), Some(at(15)));
     assert!(store.is_running(first, at(14)));
     assert!(!store.is_running(first, at(15)) && !store.is_running(second, at(15)));
-    // 500 bytes are left of each late load, at the full rate again.
+    // Each late load has 500 bytes left and runs at the full rate again.
     assert!(late.iter().all(|id| store.is_running(*id, at(19))));
     assert!(late.iter().all(|id| !store.is_running(*id, Timestamp(20_000_001))));
     assert_eq!((store.active(), store.next_end()), (0, None));
 }
 
 #[test]
-fn an_abandoned_load_gives_its_share_back() {
+fn abandoned_load_releases_its_bandwidth() {
     let mut store = WeightStore::new(100, 1);
-    let kept = store.start(1_000, at(0));
+    let remaining = store.start(1_000, at(0));
     let abandoned = store.start(1_000, at(0));
     store.abandon(abandoned, at(10));
-    assert!(store.is_running(kept, at(14)));
-    assert!(!store.is_running(kept, at(15)));
+    assert!(store.is_running(remaining, at(14)));
+    assert!(!store.is_running(remaining, at(15)));
 }
 
 #[test]
-fn the_platform_list_lags() {
+fn platform_list_shows_changes_after_the_lag() {
     let mut list = PlatformList::new(Duration::from_secs(5));
     let machine = |state| Machine {
         address: "10.0.0.1:80".parse().unwrap(),
         zone: ZoneName::new("hartford").unwrap(),
         state,
     };
-    list.note(machine(MachineState::Live), at(0));
-    list.note(machine(MachineState::Leaving), at(3));
-    list.note(machine(MachineState::Gone), at(10));
+    list.record(machine(MachineState::Live), at(0));
+    list.record(machine(MachineState::Leaving), at(3));
+    list.record(machine(MachineState::Gone), at(10));
     let state = |list: &mut PlatformList, now| list.read(at(now)).1.first().map(|m| m.state);
     assert_eq!(state(&mut list, 4), None);
     assert_eq!(state(&mut list, 5), Some(MachineState::Live));
@@ -68,36 +68,36 @@
 }
 
 #[test]
-fn executions_outlive_a_kill_and_doubles_are_counted() {
-    let folder = tempfile();
+fn executions_survive_a_kill_and_repeats_are_counted() {
+    let folder = temp_folder();
     let journal = folder.join("journal");
-    let mut record = Executions::open(&journal).unwrap();
-    record.record(execution("1-a"), at(0)).unwrap();
-    record.record(execution("1-b"), at(0)).unwrap();
-    assert_eq!(record.witness().total(), 0);
-    drop(record);
-    // A kill in the middle of a line.
+    let mut executions = Executions::open(&journal).unwrap();
+    executions.record(execution("1-a"), at(0)).unwrap();
+    executions.record(execution("1-b"), at(0)).unwrap();
+    assert_eq!(executions.witness().total(), 0);
+    drop(executions);
+    // Simulates a kill while a line is being written.
     let mut bytes = std::fs::read(&journal).unwrap();
     bytes.extend_from_slice(b"{\"tenant\":\"ac");
     std::fs::write(&journal, bytes).unwrap();
 
-    let mut record = Executions::open(&journal).unwrap();
-    assert_eq!(record.counts().len(), 2);
-    record.record(execution("1-a"), at(1)).unwrap();
-    assert_eq!(record.witness().counts().get(&BreachKind::RepeatedExecution), Some(&1));
+    let mut executions = Executions::open(&journal).unwrap();
+    assert_eq!(executions.counts().len(), 2);
+    executions.record(execution("1-a"), at(1)).unwrap();
+    assert_eq!(executions.witness().counts().get(&BreachKind::RepeatedExecution), Some(&1));
     let again = Executions::open(&journal).unwrap().counts();
     assert_eq!(again.iter().map(|count| count.count).collect::<Vec<_>>(), [2, 1]);
     std::fs::remove_dir_all(folder).unwrap();
 }
 
-fn tempfile() -> std::path::PathBuf {
+fn temp_folder() -> std::path::PathBuf {
     let folder = std::env::temp_dir().join(format!("juniper-servers-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     folder
 }
 
 #[test]
-fn receipts_and_previews_depend_on_everything_that_was_asked() {
+fn receipts_and_previews_depend_on_the_request() {
     let receipt = Receipt::of("acme", "1-a", "/apply/x", b"body");
     assert_eq!(receipt, Receipt::of("acme", "1-a", "/apply/x", b"body"));
     assert_ne!(receipt, Receipt::of("acme", "1-a", "/apply/x", b"other"));
@@ -127,16 +127,16 @@
 }
 
 #[test]
-fn the_store_forgets_what_was_used_least_recently() {
-    let mut store = KeptStore::new(5);
+fn store_evicts_the_least_recently_used_entry() {
+    let mut store = KvStore::new(5);
     let (first, second, third) = (entry(&[1, 2]), entry(&[3, 4]), entry(&[5, 6]));
-    let name = |entry: &KvEntry| *entry.blocks.last().unwrap();
+    let key = |entry: &KvEntry| *entry.blocks.last().unwrap();
     assert!(store.put(first.clone()) && store.put(second.clone()));
-    assert_eq!(store.get(&name(&first)), Some(first.clone()));
+    assert_eq!(store.get(&key(&first)), Some(first.clone()));
     assert!(store.put(third.clone()));
-    assert_eq!(store.get(&name(&second)), None);
-    assert_eq!(store.get(&name(&first)), Some(first));
-    assert_eq!(store.get(&name(&third)), Some(third));
+    assert_eq!(store.get(&key(&second)), None);
+    assert_eq!(store.get(&key(&first)), Some(first));
+    assert_eq!(store.get(&key(&third)), Some(third));
     assert_eq!(store.blocks(), 4);
     assert!(!store.put(entry(&[1, 2, 3, 4, 5, 6])));
 }
--- a/crates/emulators/tests/trace.rs
+++ b/crates/emulators/tests/trace.rs
@@ -1,5 +1,5 @@
-//! Traces: the same seed gives the same trace, files survive a round trip, and
-//! damaged ones are refused with a typed error.
+//! Tests of traces: deterministic generation, round trips through files and
+//! typed errors for damaged files.
 
 use std::collections::HashSet;
 
@@ -14,7 +14,7 @@
     TraceOptions { profile, seed, load: 0.6, duration_ms: 20_000 }
 }
 
-fn written(trace: &Trace) -> Vec<u8> {
+fn serialize(trace: &Trace) -> Vec<u8> {
     let mut bytes = Vec::new();
     write_trace(trace, &mut bytes).expect("writing to memory");
     bytes
@@ -25,23 +25,23 @@
     CacheScope { tenant: tenant.clone(), model, adapter: None, weights: WeightsVersion(1) }
 }
 
-/// Cases that are the same in every run.
+/// QuickCheck runner with a fixed seed.
 fn seeded() -> QuickCheck {
     QuickCheck::new().rng(Gen::from_size_and_seed(100, 20_261))
 }
 
 #[test]
-fn the_same_seed_gives_the_same_bytes_and_another_seed_does_not() {
+fn traces_depend_only_on_options_and_seed() {
     for profile in [Profile::GraniteLedger, Profile::Pryderi] {
-        let first = written(&generate(options(profile, 7)).expect("names"));
-        assert_eq!(first, written(&generate(options(profile, 7)).expect("names")));
-        assert_ne!(first, written(&generate(options(profile, 8)).expect("names")));
-        assert_eq!(first, written(&read_trace(first.as_slice()).expect("a sound trace")));
+        let first = serialize(&generate(options(profile, 7)).expect("names"));
+        assert_eq!(first, serialize(&generate(options(profile, 7)).expect("names")));
+        assert_ne!(first, serialize(&generate(options(profile, 8)).expect("names")));
+        assert_eq!(first, serialize(&read_trace(first.as_slice()).expect("a valid trace")));
     }
 }
 
 #[test]
-fn prompts_are_nested_and_exactly_as_long_as_their_segments() {
+fn prompts_share_prefixes_and_match_segment_lengths() {
     let trace = generate(options(Profile::GraniteLedger, 1)).expect("names");
     let mut texts = PromptTexts::new(trace.header.seed);
     let mut seen = HashSet::new();
@@ -80,14 +80,15 @@
 fn fault_of(text: &str) -> TraceFault {
     match read_trace(text.as_bytes()) {
         Err(TraceError::Line { fault, .. }) => fault,
-        other => panic!("expected a faulty line, not {other:?}"),
+        other => panic!("expected an invalid line, not {other:?}"),
     }
 }
 
 #[test]
-fn faulty_files_are_refused_with_their_fault() {
-    let sound = String::from_utf8(written(&generate(options(Profile::Pryderi, 2)).expect("names")))
-        .expect("text");
+fn invalid_files_are_rejected_with_their_error() {
+    let valid =
+        String::from_utf8(serialize(&generate(options(Profile::Pryderi, 2)).expect("names")))
+            .expect("text");
     assert!(matches!(fault_of(""), TraceFault::Empty));
     let cases = [
         ("\"version\":1", "\"version\":2"),
@@ -96,8 +97,8 @@
         ("\"load\":0.6", "\"load\":-1.0"),
     ];
     for (from, to) in cases {
-        let text = sound.replacen(from, to, 1);
-        assert_ne!(text, sound, "{from} does not occur");
+        let text = valid.replacen(from, to, 1);
+        assert_ne!(text, valid, "{from} does not occur");
         let fault = fault_of(&text);
         let expected = match from {
             "\"version\":1" => matches!(fault, TraceFault::Version(2)),
@@ -107,22 +108,22 @@
         };
         assert!(expected, "{from}: {fault:?}");
     }
-    let cut = &sound[..sound.len() / 2];
+    let cut = &valid[..valid.len() / 2];
     assert!(matches!(fault_of(cut), TraceFault::Json(_) | TraceFault::Count { .. }));
-    let long = format!("{}{}", sound, "x".repeat(1 << 20));
+    let long = format!("{}{}", valid, "x".repeat(1 << 20));
     assert!(matches!(fault_of(&long), TraceFault::LineTooLong | TraceFault::Count { .. }));
 }
 
 #[test]
 fn damaged_bytes_never_panic() {
-    fn property(place: usize, byte: u8, cut: usize) -> bool {
+    fn property(position: usize, byte: u8, cut: usize) -> bool {
         let trace =
             generate(TraceOptions { duration_ms: 1_000, ..options(Profile::Pryderi, cut as u64) });
-        let mut bytes = written(&trace.expect("names"));
+        let mut bytes = serialize(&trace.expect("names"));
         bytes.truncate(bytes.len() - 1 - cut % 200);
-        let place = place % bytes.len();
-        bytes[place] = byte;
-        // Cut in its last line, the file never passes, whatever the changed byte.
+        let position = position % bytes.len();
+        bytes[position] = byte;
+        // The last line is truncated, so the file is invalid whatever byte is changed.
         read_trace(bytes.as_slice()).is_err()
     }
     seeded().tests(200).quickcheck(property as fn(usize, u8, usize) -> bool);
