--- a/crates/emulators/src/engine/config.rs
+++ b/crates/emulators/src/engine/config.rs
@@ -59,7 +59,7 @@
 pub const TRANSFER_BLOCK_NS: u64 = 2_800_000;
 
 /// Grace period after the start of a departure in which new requests are still accepted.
-pub const LEAVING_GRACE: Duration = Duration::from_secs(2);
+pub const DEPARTURE_GRACE: Duration = Duration::from_secs(2);
 
 /// Delay and loss of an engine's cache events.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -107,7 +107,7 @@
     /// Age at which a load sample becomes readable.
     pub load_lag: Duration,
     /// Grace period after the start of a departure in which new requests are still accepted.
-    pub leaving_grace: Duration,
+    pub departure_grace: Duration,
     /// Whether to emit an output for every token instead of only the first one and the end.
     pub report_every_token: bool,
     /// Seed of the event delays and losses.
@@ -128,7 +128,7 @@
             events: EventFaults::default(),
             load_interval: Duration::from_millis(250),
             load_lag: Duration::from_millis(250),
-            leaving_grace: LEAVING_GRACE,
+            departure_grace: DEPARTURE_GRACE,
             report_every_token: true,
             seed,
         }
--- a/crates/emulators/src/engine/intake.rs
+++ b/crates/emulators/src/engine/intake.rs
@@ -48,8 +48,8 @@
         if request.incarnation.is_some_and(|planned| planned != self.incarnation) {
             return Err(Refusal::IncarnationMismatch(self.incarnation));
         }
-        if let Some(since) = self.leaving_since
-            && now.since(since) > self.config.leaving_grace
+        if let Some(since) = self.departing_since
+            && now.since(since) > self.config.departure_grace
         {
             self.witness.record(BreachKind::WorkAfterLeaving, now, request.id.to_string());
             return Err(Refusal::Leaving);
--- a/crates/emulators/src/engine/mod.rs
+++ b/crates/emulators/src/engine/mod.rs
@@ -94,7 +94,7 @@
     model: ModelState,
     adapters: Vec<AdapterName>,
     role: Role,
-    leaving_since: Option<Timestamp>,
+    departing_since: Option<Timestamp>,
     cache: BlockCache,
     waiting: BTreeMap<WaitKey, Waiting>,
     arrivals: u64,
@@ -125,7 +125,7 @@
             model,
             adapters: config.adapters.clone(),
             role: Role::default(),
-            leaving_since: None,
+            departing_since: None,
             cache: BlockCache::new(config.cache_blocks),
             waiting: BTreeMap::new(),
             arrivals: 0,
@@ -226,7 +226,7 @@
     pub fn start(&mut self, incarnation: Incarnation, now: Timestamp) {
         self.incarnation = incarnation;
         self.down = false;
-        self.leaving_since = None;
+        self.departing_since = None;
         self.role = Role::default();
         self.link_free_at = now;
         self.events = EventFeed::new(self.config.events, self.config.seed ^ incarnation.0);
@@ -286,7 +286,7 @@
             weights: serving.map_or(WeightsVersion(0), |(_, weights)| weights),
             adapters: self.adapters.clone(),
             role: self.role,
-            leaving: self.leaving_since.is_some(),
+            leaving: self.departing_since.is_some(),
         }
     }
 
--- a/crates/emulators/src/engine/orders.rs
+++ b/crates/emulators/src/engine/orders.rs
@@ -179,7 +179,7 @@
             }
             OrderAction::SetRole { role } => self.role = *role,
             OrderAction::Leave => self.leave(now),
-            OrderAction::Return => self.leaving_since = None,
+            OrderAction::Return => self.departing_since = None,
         }
         OrderState::Applied
     }
@@ -257,6 +257,6 @@
 
     /// Starts the departure: new work is rejected after the grace period.
     pub fn leave(&mut self, now: Timestamp) {
-        self.leaving_since.get_or_insert(now);
+        self.departing_since.get_or_insert(now);
     }
 }
--- a/crates/emulators/src/http/ending.rs
+++ b/crates/emulators/src/http/ending.rs
@@ -16,7 +16,7 @@
 const MAX_BODY_BYTES: usize = 16 << 20;
 
 /// Suffix of the trigger that delays the crash by [`CRASH_DELAY`].
-pub const LATE: &str = "-late";
+pub const DELAYED_SUFFIX: &str = "-late";
 
 /// Delay of a delayed crash, long enough for the response to have started.
 const CRASH_DELAY: Duration = Duration::from_millis(100);
@@ -25,7 +25,7 @@
 pub type CrashAction = Arc<dyn Fn() + Send + Sync>;
 
 /// Wraps `routes` so that a request with `trigger` in its path or body calls `crash` before the
-/// request is handled or, if [`LATE`] follows the trigger, after [`CRASH_DELAY`].
+/// request is handled or, if [`DELAYED_SUFFIX`] follows the trigger, after [`CRASH_DELAY`].
 pub fn ending_on(routes: Router, trigger: String, crash: CrashAction) -> Router {
     let trigger: Arc<str> = trigger.into();
     routes.layer(from_fn(move |request: Request, next: Next| {
@@ -44,7 +44,7 @@
     let Ok(body) = to_bytes(body, MAX_BODY_BYTES).await else {
         return StatusCode::PAYLOAD_TOO_LARGE.into_response();
     };
-    let delayed = format!("{trigger}{LATE}");
+    let delayed = format!("{trigger}{DELAYED_SUFFIX}");
     let contains = |pattern: &str| {
         head.uri.path().contains(pattern) || String::from_utf8_lossy(&body).contains(pattern)
     };
--- a/crates/emulators/src/trace/file.rs
+++ b/crates/emulators/src/trace/file.rs
@@ -39,7 +39,7 @@
 
 /// Validation error of one line of a trace file.
 #[derive(Debug, thiserror::Error)]
-pub enum TraceFault {
+pub enum TraceLineError {
     /// The line is longer than [`MAX_LINE_BYTES`].
     #[error("the line has more than {MAX_LINE_BYTES} bytes")]
     LineTooLong,
@@ -108,12 +108,12 @@
     #[error("the trace can't be read or written")]
     Io(#[from] io::Error),
     /// A line is invalid.
-    #[error("line {line}: {fault}")]
+    #[error("line {line}: {error}")]
     Line {
         /// Line number, from one.
         line: u64,
         /// Validation error of the line.
-        fault: TraceFault,
+        error: TraceLineError,
     },
 }
 
@@ -124,14 +124,14 @@
 pub fn read_trace<R: BufRead>(source: R) -> Result<Trace, TraceError> {
     let mut lines = Lines { source, line: 0, buffer: Vec::new() };
     let Some(first) = lines.next_line()? else {
-        return Err(TraceError::Line { line: 1, fault: TraceFault::Empty });
+        return Err(TraceError::Line { line: 1, error: TraceLineError::Empty });
     };
-    let header = read_header(first).map_err(|fault| TraceError::Line { line: 1, fault })?;
+    let header = read_header(first).map_err(|error| TraceError::Line { line: 1, error })?;
     let mut records = Vec::with_capacity(header.records.min(PREALLOCATED_RECORDS) as usize);
     let mut earliest = 0;
     while let Some(text) = lines.next_line()? {
         let record =
-            read_record(text, &header, earliest).map_err(|fault| lines.line_error(fault))?;
+            read_record(text, &header, earliest).map_err(|error| lines.line_error(error))?;
         earliest = record.at_us;
         records.push(record);
         if records.len() as u64 > header.records {
@@ -144,8 +144,8 @@
     Ok(Trace { header, records })
 }
 
-fn count_mismatch(header: &TraceHeader, records: &[TraceRecord]) -> TraceFault {
-    TraceFault::Count { announced: header.records, found: records.len() as u64 }
+fn count_mismatch(header: &TraceHeader, records: &[TraceRecord]) -> TraceLineError {
+    TraceLineError::Count { announced: header.records, found: records.len() as u64 }
 }
 
 /// Reader of numbered lines of limited length.
@@ -162,29 +162,29 @@
         let mut limited = self.source.by_ref().take(MAX_LINE_BYTES + 1);
         let read = limited.read_until(b'\n', &mut self.buffer)?;
         if read as u64 > MAX_LINE_BYTES {
-            return Err(self.line_error(TraceFault::LineTooLong));
+            return Err(self.line_error(TraceLineError::LineTooLong));
         }
         Ok((read > 0).then_some(self.buffer.as_slice()))
     }
 
-    fn line_error(&self, fault: TraceFault) -> TraceError {
-        TraceError::Line { line: self.line, fault }
+    fn line_error(&self, error: TraceLineError) -> TraceError {
+        TraceError::Line { line: self.line, error }
     }
 }
 
-fn read_header(text: &[u8]) -> Result<TraceHeader, TraceFault> {
+fn read_header(text: &[u8]) -> Result<TraceHeader, TraceLineError> {
     let header: TraceHeader = serde_json::from_slice(text)?;
     if header.format != FORMAT {
-        return Err(TraceFault::Format(header.format));
+        return Err(TraceLineError::Format(header.format));
     }
     if header.version != VERSION {
-        return Err(TraceFault::Version(header.version));
+        return Err(TraceLineError::Version(header.version));
     }
     if !header.load.is_finite() || header.load <= 0.0 {
-        return Err(TraceFault::Load(header.load));
+        return Err(TraceLineError::Load(header.load));
     }
     if header.records > MAX_RECORDS {
-        return Err(TraceFault::TooManyRecords(header.records));
+        return Err(TraceLineError::TooManyRecords(header.records));
     }
     Ok(header)
 }
@@ -193,47 +193,47 @@
     text: &[u8],
     header: &TraceHeader,
     earliest: u64,
-) -> Result<TraceRecord, TraceFault> {
+) -> Result<TraceRecord, TraceLineError> {
     let record: TraceRecord = serde_json::from_slice(text)?;
     if record.at_us < earliest {
-        return Err(TraceFault::Order);
+        return Err(TraceLineError::Order);
     }
     if record.at_us > header.duration_ms.saturating_mul(1_000) {
-        return Err(TraceFault::AfterEnd);
+        return Err(TraceLineError::AfterEnd);
     }
     if !header.zones.contains(&record.zone) {
-        return Err(TraceFault::Zone(record.zone.to_string()));
+        return Err(TraceLineError::Zone(record.zone.to_string()));
     }
     if !header.tenants.contains(&record.tenant) {
-        return Err(TraceFault::Tenant(record.tenant.to_string()));
+        return Err(TraceLineError::Tenant(record.tenant.to_string()));
     }
     check_request(&record.request)?;
     Ok(record)
 }
 
-fn check_request(request: &TraceRequest) -> Result<(), TraceFault> {
+fn check_request(request: &TraceRequest) -> Result<(), TraceLineError> {
     match request {
         TraceRequest::Chat { prompt, output_tokens, priority } => {
             if prompt.is_empty() || prompt.len() > MAX_SEGMENTS {
-                return Err(TraceFault::Segments(prompt.len()));
+                return Err(TraceLineError::Segments(prompt.len()));
             }
             if let Some(short) = prompt.iter().find(|part| part.tokens < MIN_SEGMENT_TOKENS) {
-                return Err(TraceFault::SegmentTokens(short.tokens));
+                return Err(TraceLineError::SegmentTokens(short.tokens));
             }
             let tokens = request.prompt_tokens();
             if tokens > MAX_PROMPT_TOKENS {
-                return Err(TraceFault::PromptTokens(tokens));
+                return Err(TraceLineError::PromptTokens(tokens));
             }
             if !(1..=MAX_OUTPUT_TOKENS).contains(output_tokens) {
-                return Err(TraceFault::OutputTokens(*output_tokens));
+                return Err(TraceLineError::OutputTokens(*output_tokens));
             }
             if *priority > 9 {
-                return Err(TraceFault::Priority(*priority));
+                return Err(TraceLineError::Priority(*priority));
             }
             Ok(())
         }
         TraceRequest::AtMostOnce { body_bytes, .. } if *body_bytes > MAX_BODY_BYTES => {
-            Err(TraceFault::BodyBytes(*body_bytes))
+            Err(TraceLineError::BodyBytes(*body_bytes))
         }
         TraceRequest::AtMostOnce { .. }
         | TraceRequest::Listing { .. }
@@ -260,7 +260,7 @@
     target: &mut W,
 ) -> Result<(), TraceError> {
     let mut text = serde_json::to_vec(value)
-        .map_err(|error| TraceError::Line { line, fault: TraceFault::Json(error) })?;
+        .map_err(|error| TraceError::Line { line, error: TraceLineError::Json(error) })?;
     text.push(b'\n');
     target.write_all(&text)?;
     Ok(())
--- a/crates/emulators/src/trace/mod.rs
+++ b/crates/emulators/src/trace/mod.rs
@@ -14,7 +14,7 @@
 pub mod prompt;
 pub mod record;
 
-pub use self::file::{Trace, TraceError, TraceFault, read_trace, write_trace};
+pub use self::file::{Trace, TraceError, TraceLineError, read_trace, write_trace};
 pub use self::generate::{TraceOptions, generate};
 pub use self::profile::{Profile, ProfileShape};
 pub use self::prompt::PromptTexts;
--- a/crates/emulators/tests/trace.rs
+++ b/crates/emulators/tests/trace.rs
@@ -4,7 +4,7 @@
 use std::collections::HashSet;
 
 use juniper_emulators::trace::{
-    Profile, PromptTexts, Trace, TraceError, TraceFault, TraceOptions, TraceRequest, generate,
+    Profile, PromptTexts, Trace, TraceError, TraceLineError, TraceOptions, TraceRequest, generate,
     read_trace, write_trace,
 };
 use juniper_types::{CacheScope, ModelName, TenantName, WeightsVersion};
@@ -77,9 +77,9 @@
     }
 }
 
-fn fault_of(text: &str) -> TraceFault {
+fn line_error_of(text: &str) -> TraceLineError {
     match read_trace(text.as_bytes()) {
-        Err(TraceError::Line { fault, .. }) => fault,
+        Err(TraceError::Line { error, .. }) => error,
         other => panic!("expected an invalid line, not {other:?}"),
     }
 }
@@ -89,7 +89,7 @@
     let valid =
         String::from_utf8(serialize(&generate(options(Profile::Pryderi, 2)).expect("names")))
             .expect("text");
-    assert!(matches!(fault_of(""), TraceFault::Empty));
+    assert!(matches!(line_error_of(""), TraceLineError::Empty));
     let cases = [
         ("\"version\":1", "\"version\":2"),
         ("juniper-trace", "another"),
@@ -99,19 +99,22 @@
     for (from, to) in cases {
         let text = valid.replacen(from, to, 1);
         assert_ne!(text, valid, "{from} does not occur");
-        let fault = fault_of(&text);
+        let error = line_error_of(&text);
         let expected = match from {
-            "\"version\":1" => matches!(fault, TraceFault::Version(2)),
-            "juniper-trace" => matches!(fault, TraceFault::Format(_)),
-            "\"records\":" => matches!(fault, TraceFault::Count { .. }),
-            _ => matches!(fault, TraceFault::Load(_)),
+            "\"version\":1" => matches!(error, TraceLineError::Version(2)),
+            "juniper-trace" => matches!(error, TraceLineError::Format(_)),
+            "\"records\":" => matches!(error, TraceLineError::Count { .. }),
+            _ => matches!(error, TraceLineError::Load(_)),
         };
-        assert!(expected, "{from}: {fault:?}");
+        assert!(expected, "{from}: {error:?}");
     }
     let cut = &valid[..valid.len() / 2];
-    assert!(matches!(fault_of(cut), TraceFault::Json(_) | TraceFault::Count { .. }));
+    assert!(matches!(line_error_of(cut), TraceLineError::Json(_) | TraceLineError::Count { .. }));
     let long = format!("{}{}", valid, "x".repeat(1 << 20));
-    assert!(matches!(fault_of(&long), TraceFault::LineTooLong | TraceFault::Count { .. }));
+    assert!(matches!(
+        line_error_of(&long),
+        TraceLineError::LineTooLong | TraceLineError::Count { .. }
+    ));
 }
 
 #[test]
