--- a/crates/emulators/src/http/mod.rs
+++ b/crates/emulators/src/http/mod.rs
@@ -3,7 +3,7 @@
 pub mod application;
 pub mod chat;
 mod clock;
-pub mod ending;
+pub mod crash_injection;
 pub mod engine;
 pub mod error;
 pub mod headers;
--- a/crates/lab/src/emulate/serve.rs
+++ b/crates/lab/src/emulate/serve.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use axum::Router;
-use juniper_emulators::http::ending;
+use juniper_emulators::http::crash_injection;
 
 /// Why an emulator can't serve.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
@@ -41,7 +41,7 @@
         log::warn!("event=ended_by_a_request");
         std::process::exit(ENDED_STATUS);
     };
-    ending::ending_on(routes, text, Arc::new(end))
+    crash_injection::ending_on(routes, text, Arc::new(end))
 }
 
 /// Serves the routes that `routes` makes within the runtime on `address`, and
