--- a/crates/emulators/src/http/crash_injection.rs
+++ b/crates/emulators/src/http/crash_injection.rs
@@ -26,7 +26,7 @@
 
 /// Wraps `routes` so that a request with `trigger` in its path or body calls `crash` before the
 /// request is handled or, if [`DELAYED_SUFFIX`] follows the trigger, after [`CRASH_DELAY`].
-pub fn ending_on(routes: Router, trigger: String, crash: CrashAction) -> Router {
+pub fn crash_on_trigger(routes: Router, trigger: String, crash: CrashAction) -> Router {
     let trigger: Arc<str> = trigger.into();
     routes.layer(from_fn(move |request: Request, next: Next| {
         let (trigger, crash) = (Arc::clone(&trigger), Arc::clone(&crash));
--- a/crates/lab/src/emulate/serve.rs
+++ b/crates/lab/src/emulate/serve.rs
@@ -41,7 +41,7 @@
         log::warn!("event=ended_by_a_request");
         std::process::exit(ENDED_STATUS);
     };
-    crash_injection::ending_on(routes, text, Arc::new(end))
+    crash_injection::crash_on_trigger(routes, text, Arc::new(end))
 }
 
 /// Serves the routes that `routes` makes within the runtime on `address`, and
