--- a/crates/emulators/src/http/kept.rs
+++ b/crates/emulators/src/http/kept.rs
@@ -14,7 +14,7 @@
 
 use super::error::ApiError;
 use crate::engine::transfer::KvEntry;
-use crate::kept::KvStore;
+use crate::kv_store::KvStore;
 use crate::witness::Provenance;
 
 /// Maximum size of an entry, in bytes of JSON; fits 65,536 blocks.
--- a/crates/emulators/src/lib.rs
+++ b/crates/emulators/src/lib.rs
@@ -9,7 +9,7 @@
 pub mod content;
 pub mod engine;
 pub mod http;
-pub mod kept;
+pub mod kv_store;
 pub mod platform;
 pub mod preview;
 pub mod trace;
--- a/crates/emulators/tests/servers.rs
+++ b/crates/emulators/tests/servers.rs
@@ -4,7 +4,7 @@
 
 use juniper_emulators::application::{Execution, Executions, Receipt};
 use juniper_emulators::engine::transfer::KvEntry;
-use juniper_emulators::kept::KvStore;
+use juniper_emulators::kv_store::KvStore;
 use juniper_emulators::platform::{Machine, MachineState, PlatformList};
 use juniper_emulators::preview::preview_bytes;
 use juniper_emulators::weights::WeightStore;
--- a/crates/lab/src/emulate/servers.rs
+++ b/crates/lab/src/emulate/servers.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use juniper_emulators::application::Executions;
-use juniper_emulators::kept::STORE_BLOCKS;
+use juniper_emulators::kv_store::STORE_BLOCKS;
 use juniper_emulators::platform::LIST_LAG;
 use juniper_emulators::weights::{FULL_RATE_LOADS, LOAD_BYTES_PER_SECOND, WeightStore};
 use juniper_emulators::{http, http::application::WORK_TIME, http::preview::PIECE_INTERVAL};
