--- a/crates/emulators/src/http/engine/transfers.rs
+++ b/crates/emulators/src/http/engine/transfers.rs
@@ -13,7 +13,7 @@
 use super::Shared;
 use crate::engine::transfer::TransferRefusal;
 use crate::http::error::ApiError;
-use crate::http::kept::{EntryBody, ScopeBody, parse_hashes};
+use crate::http::kv_store::{EntryBody, ScopeBody, parse_hashes};
 
 #[derive(Deserialize)]
 struct ExportRequest {
--- a/crates/emulators/src/http/mod.rs
+++ b/crates/emulators/src/http/mod.rs
@@ -7,7 +7,7 @@
 pub mod engine;
 pub mod error;
 pub mod headers;
-pub mod kept;
+pub mod kv_store;
 pub mod platform;
 pub mod preview;
 pub mod report;
--- a/crates/emulators/tests/http.rs
+++ b/crates/emulators/tests/http.rs
@@ -7,7 +7,7 @@
 use juniper_emulators::content::GeneratedText;
 use juniper_emulators::engine::{EngineConfig, EventFaults};
 use juniper_emulators::http::engine::{EngineOptions, router};
-use juniper_emulators::http::{application, kept, platform, preview, weights};
+use juniper_emulators::http::{application, kv_store, platform, preview, weights};
 use juniper_emulators::preview::preview_bytes;
 use juniper_emulators::weights::WeightStore;
 use juniper_types::{CacheScope, Incarnation, ModelName, PromptBlocks, TenantName, WeightsVersion};
@@ -191,7 +191,7 @@
 #[tokio::test]
 async fn blocks_transfer_through_the_store_to_another_engine() {
     let (from, to) = (engine(5).await, engine(6).await);
-    let store = serve(kept::router(1_000)).await;
+    let store = serve(kv_store::router(1_000)).await;
     chat(from, "acme", 1, false).send().await.unwrap().bytes().await.unwrap();
     let blocks = get(from, "/v1/cache/snapshot").await["blocks"].clone();
     let scope = json!({ "tenant": "acme", "model": "base", "weights": 1 });
--- a/crates/lab/src/emulate/servers.rs
+++ b/crates/lab/src/emulate/servers.rs
@@ -96,7 +96,7 @@
         }
         Ok(name == "blocks")
     })?;
-    serve(listen, || http::kept::router(blocks))
+    serve(listen, || http::kv_store::router(blocks))
 }
 
 /// `juniper-lab emulate platform`.
