--- a/crates/emulators/src/engine/events.rs
+++ b/crates/emulators/src/engine/events.rs
@@ -88,7 +88,7 @@
 
     /// Returns the events with sequence numbers above `after` that are published by `now`, in
     /// order.
-    pub fn after(&self, after: u64, now: Timestamp) -> Vec<Arc<CacheEvent>> {
+    pub fn events_after(&self, after: u64, now: Timestamp) -> Vec<Arc<CacheEvent>> {
         self.log
             .range(self.position_after(after)..)
             .take_while(|entry| entry.published_at <= now)
@@ -106,7 +106,7 @@
 
     /// Returns the events published by `now` that no earlier call returned.
     pub fn take(&mut self, now: Timestamp) -> Vec<Arc<CacheEvent>> {
-        let events = self.after(self.last_taken, now);
+        let events = self.events_after(self.last_taken, now);
         self.last_taken = self.published(now);
         events
     }
--- a/crates/emulators/src/http/engine/api.rs
+++ b/crates/emulators/src/http/engine/api.rs
@@ -85,7 +85,7 @@
     if incarnation.0 != query.incarnation {
         return PollResult::Answer(batch(Vec::new()));
     }
-    let events = engine.events().after(query.after, now);
+    let events = engine.events().events_after(query.after, now);
     if !events.is_empty() || timed_out {
         return PollResult::Answer(batch(
             events.iter().map(|event| EventBody::of(event)).collect(),
--- a/crates/lab/src/experiment/world.rs
+++ b/crates/lab/src/experiment/world.rs
@@ -310,7 +310,7 @@
             EventsWanted::Nothing => return,
             EventsWanted::Snapshot => false,
             EventsWanted::After(incarnation, after) if incarnation == state.incarnation() => {
-                let events = state.events().after(after, now);
+                let events = state.events().events_after(after, now);
                 self.policy.events(router, engine, incarnation, &events)
             }
             EventsWanted::After(..) => false,
--- a/crates/lab/src/prove/decisions/router.rs
+++ b/crates/lab/src/prove/decisions/router.rs
@@ -111,7 +111,7 @@
         };
         let mut events: Vec<CacheEvent> = engine
             .events()
-            .after(after, now)
+            .events_after(after, now)
             .iter()
             .map(|event| CacheEvent {
                 sequence: event.sequence,
