--- a/crates/emulators/src/engine/events.rs
+++ b/crates/emulators/src/engine/events.rs
@@ -98,7 +98,7 @@
 
     /// Highest sequence number published by `now`. Includes lost events, so that
     /// a reader can detect the loss of the latest event.
-    pub fn published(&self, now: Timestamp) -> u64 {
+    pub fn last_published(&self, now: Timestamp) -> u64 {
         let published = self.log.partition_point(|entry| entry.published_at <= now);
         let unpublished = self.log.len() - published;
         self.sequence - unpublished as u64
@@ -107,7 +107,7 @@
     /// Returns the events published by `now` that no earlier call returned.
     pub fn take(&mut self, now: Timestamp) -> Vec<Arc<CacheEvent>> {
         let events = self.events_after(self.last_taken, now);
-        self.last_taken = self.published(now);
+        self.last_taken = self.last_published(now);
         events
     }
 
--- a/crates/emulators/tests/engine.rs
+++ b/crates/emulators/tests/engine.rs
@@ -346,10 +346,10 @@
         drive(&mut engine, &script);
         let end = at(u64::MAX / 1_000);
         let events = engine.take_events(end);
-        let lost = engine.events().published(end) - events.len() as u64;
+        let lost = engine.events().last_published(end) - events.len() as u64;
         let numbers: Vec<u64> = events.iter().map(|event| event.sequence).collect();
         numbers.is_sorted()
-            && engine.events().published(end) == engine.snapshot().0
+            && engine.events().last_published(end) == engine.snapshot().0
             && (lost == 0) == (numbers.len() as u64 == engine.snapshot().0)
     }
     check(property as fn(Vec<(u8, u8, u8)>, u64) -> bool);
--- a/crates/lab/src/prove/decisions/router.rs
+++ b/crates/lab/src/prove/decisions/router.rs
@@ -125,7 +125,7 @@
         let last = events.last().map_or(after, |event| event.sequence);
         let outcome = self.index.apply_events(id, engine.incarnation(), &events);
         let gap = !matches!(outcome, Ok(EventOutcome::Applied));
-        let behind = last < engine.events().published(now);
+        let behind = last < engine.events().last_published(now);
         if gap || (behind && self.planted != Some(PlantedFault::GapIgnored)) {
             self.take_snapshot(id, engine);
         }
