--- a/crates/emulators/src/http/preview.rs
+++ b/crates/emulators/src/http/preview.rs
@@ -19,7 +19,7 @@
 const CHUNK_BYTES: usize = 8 << 10;
 
 /// Time between chunks: 800 KB/s, far above the playback rate.
-pub const PIECE_INTERVAL: Duration = Duration::from_millis(10);
+pub const CHUNK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Builds the routes of a preview server that sends a chunk every `interval`.
 pub fn router(interval: Duration) -> Router {
--- a/crates/lab/src/emulate/servers.rs
+++ b/crates/lab/src/emulate/servers.rs
@@ -9,7 +9,7 @@
 use juniper_emulators::kv_store::STORE_BLOCKS;
 use juniper_emulators::platform::LIST_LAG;
 use juniper_emulators::weights::{FULL_RATE_LOADS, LOAD_BYTES_PER_SECOND, WeightStore};
-use juniper_emulators::{http, http::application::WORK_TIME, http::preview::PIECE_INTERVAL};
+use juniper_emulators::{http, http::application::WORK_TIME, http::preview::CHUNK_INTERVAL};
 use lexopt::Arg;
 
 use super::serve::{ServeError, ending_on, serve};
@@ -71,7 +71,7 @@
 /// # Errors
 /// Fails when the arguments are faulty or the address can't be served.
 pub fn preview(parser: &mut lexopt::Parser) -> miette::Result<ExitCode> {
-    let mut interval = PIECE_INTERVAL;
+    let mut interval = CHUNK_INTERVAL;
     let mut ends_on = None;
     let listen = read_options(parser, |parser, name| {
         match name {
