--- a/crates/control/tests/daemons/seeded.rs
+++ b/crates/control/tests/daemons/seeded.rs
@@ -159,7 +159,8 @@
     let mut settings = replicas.remove(0).stop().await;
     let old = PathBuf::from(&settings.data_folder);
     wipe(&old);
-    settings.discovery = PeerDiscovery::Seeded { seeds: deployment.seeds.clone(), founds: false };
+    settings.discovery =
+        PeerDiscovery::Seeded { seeds: deployment.seeds.clone(), bootstrap: false };
     let listeners = reopen_listeners(&settings).await;
     let rejoined = Seeded::start(settings, listeners);
     wait_for("the replica votes again", || rejoined.is_voter() && rejoined.voters() == 3).await;
--- a/crates/router/src/engines.rs
+++ b/crates/router/src/engines.rs
@@ -113,7 +113,7 @@
             }
         };
         // After a timeout the request is sent anyway and computes the prefix itself.
-        let _ = timeout(at_most, computed).await;
+        let _ = timeout(max_wait, computed).await;
         self.engines.lock().table.is_usable(self.decision.engine)
     }
 }
@@ -170,7 +170,7 @@
             }
             let descriptor = EngineDescriptor { engine: back_end.id, zone: zone.clone() };
             state.table.insert(&descriptor);
-            state.table.set_leaving(back_end.id, LeavingSource::Settings, back_end.leaving);
+            state.table.set_leaving(back_end.id, DepartureSource::Settings, back_end.leaving);
             configured.push(back_end.id);
         }
         let removed: Vec<EngineId> = state
@@ -244,7 +244,7 @@
     ///
     /// # Errors
     /// The reason why the retry is denied.
-    pub fn take_retry(&self, question: &RetryQuestion) -> Result<(), RetryDenied> {
+    pub fn take_retry(&self, question: &RetryContext) -> Result<(), RetryDenied> {
         let now = self.now();
         self.lock().retries.decide(question, now)
     }
@@ -253,7 +253,7 @@
     pub fn apply_load_report(&self, engine: EngineId, load: &EngineLoad) {
         let now = self.now();
         let mut state = self.lock();
-        state.table.report(engine, load, now);
+        state.table.apply_load_report(engine, load, now);
         // A new incarnation invalidates the entries of the previous one even before its first event.
         if let Err(error) = state.index.start_incarnation(engine, load.incarnation) {
             log::error!("event=index_full engine={engine} reason=\"{error}\"");
@@ -268,7 +268,7 @@
     }
 
     /// Sets whether `source` reports the engine as leaving.
-    pub fn set_leaving(&self, engine: EngineId, source: LeavingSource, leaving: bool) {
+    pub fn set_leaving(&self, engine: EngineId, source: DepartureSource, leaving: bool) {
         self.lock().table.set_leaving(engine, source, leaving);
     }
 
--- a/crates/router/src/relay/attempt.rs
+++ b/crates/router/src/relay/attempt.rs
@@ -125,7 +125,7 @@
     let body: EngineErrorBody = response.json().await.unwrap_or_default();
     cancel.armed = !body.error.not_run;
     if body.error.code == LEAVING_CODE {
-        state.plane.engines.set_leaving(engine, LeavingSource::Engine, true);
+        state.plane.engines.set_leaving(engine, DepartureSource::Engine, true);
     }
     if body.error.not_run {
         return Err(AttemptError::NotRun(body.error.code));
--- a/crates/router/src/relay/opening.rs
+++ b/crates/router/src/relay/opening.rs
@@ -104,7 +104,7 @@
         progress.next_index
     );
     let partly_answered = progress.next_index > job.resume_from;
-    let question = RetryQuestion {
+    let question = RetryContext {
         kind: TrafficKind::Chat,
         outcome: if partly_answered { AttemptOutcome::PartlyAnswered } else { outcome },
         // Generation is deterministic, so an answer can be resumed from any token.
--- a/crates/router/src/router_state.rs
+++ b/crates/router/src/router_state.rs
@@ -5,7 +5,7 @@
 
 use juniper_clock::BootInstant;
 use juniper_routing::admission::AdmissionRequest;
-use juniper_settings::{CutOffPolicy, EffectiveSettings};
+use juniper_settings::{EffectiveSettings, PartitionPolicy};
 use tokio::sync::Semaphore;
 use tokio::time::Duration;
 
--- a/crates/router/src/sharing/mod.rs
+++ b/crates/router/src/sharing/mod.rs
@@ -58,7 +58,7 @@
 
 struct State {
     sharing: Sharing,
-    links: HashMap<RouterLife, Link>,
+    links: HashMap<RouterIncarnation, Link>,
     /// Serving states of engines that other routers follow.
     peer_serving: HashMap<EngineId, ServingDigest>,
     /// Whether each engine is currently followed by one router that shares its state.
@@ -101,8 +101,10 @@
     pub fn set_peers(&self, peers: &PeerView) {
         let zone = &self.identity.zone;
         let same_zone = peers.routers.iter().filter(|peer| peer.zone == *zone);
-        let members: Vec<(RouterLife, SocketAddr)> = same_zone
-            .map(|peer| (RouterLife { node: peer.node, life: peer.incarnation }, peer.address))
+        let members: Vec<(RouterIncarnation, SocketAddr)> = same_zone
+            .map(|peer| {
+                (RouterIncarnation { node: peer.node, incarnation: peer.incarnation }, peer.address)
+            })
             .collect();
         let mut state = self.lock();
         state.links.retain(|linked, _| members.iter().any(|(member, _)| member == linked));
@@ -179,17 +181,17 @@
         incarnation: Incarnation,
         events: &[CacheEvent],
     ) {
-        self.lock().sharing.cache_events(engine, incarnation, events);
+        self.lock().sharing.apply_cache_events(engine, incarnation, events);
     }
 
     /// Publishes a cache snapshot of a followed engine.
     pub fn publish_cache_snapshot(&self, engine: EngineId, snapshot: &Snapshot) {
-        self.lock().sharing.cache_snapshot(engine, snapshot);
+        self.lock().sharing.apply_cache_snapshot(engine, snapshot);
     }
 
     /// Invalidates the cache entries of a followed engine at the other routers.
     pub fn invalidate_cache(&self, engine: EngineId) {
-        self.lock().sharing.void_cache(engine);
+        self.lock().sharing.clear_cache(engine);
     }
 
     /// Reports to the other routers that a followed engine doesn't answer.
@@ -231,7 +233,11 @@
 
     /// Applies a message from another router of the zone. Returns the engines whose
     /// updates have a gap.
-    pub fn apply_peer_message(&self, from: RouterLife, message: &ShareMessage) -> Vec<EngineId> {
+    pub fn apply_peer_message(
+        &self,
+        from: RouterIncarnation,
+        message: &ShareMessage,
+    ) -> Vec<EngineId> {
         let mut reports = Vec::new();
         let mut down = Vec::new();
         let in_doubt = {
--- a/crates/router/src/sharing/rounds.rs
+++ b/crates/router/src/sharing/rounds.rs
@@ -61,8 +61,8 @@
             .await;
     }
 
-    async fn deliver(&self, to: RouterLife, link: Option<Link>, message: ShareMessage) {
-        let request = Request::Share { incarnation: self.own.life, updates: message };
+    async fn deliver(&self, to: RouterIncarnation, link: Option<Link>, message: ShareMessage) {
+        let request = Request::Share { incarnation: self.own.incarnation, updates: message };
         let reply = match link {
             Some(link) => link.call(request, DELIVERY_TIMEOUT).await.ok(),
             None => None,
@@ -70,7 +70,7 @@
         let mut state = self.lock();
         match reply {
             Some(Reply::Shared { engines_with_gaps }) => {
-                state.sharing.in_doubt(to, &engines_with_gaps)
+                state.sharing.request_resyncs(to, &engines_with_gaps)
             }
             _ => {
                 log::debug!("event=news_not_delivered peer={}", to.node);
--- a/crates/routing/src/decide.rs
+++ b/crates/routing/src/decide.rs
@@ -28,7 +28,7 @@
     /// Part of the prompt is cached; engines with more of it are busier.
     Spread,
     /// No usable engine has any of the prompt cached.
-    NoHolder,
+    NobodyHolds,
     /// Nothing of the prompt is cached, but computing all of it costs less than
     /// queueing at an engine with a cached prefix.
     LeastLoaded,
@@ -41,7 +41,7 @@
         match self {
             Reason::BestHolder => "best_holder",
             Reason::Spread => "spread",
-            Reason::NoHolder => "nobody_holds",
+            Reason::NobodyHolds => "nobody_holds",
             Reason::LeastLoaded => "least_loaded",
             Reason::Unreported => "unreported",
         }
--- a/crates/routing/src/search.rs
+++ b/crates/routing/src/search.rs
@@ -220,7 +220,7 @@
         let incarnation = self.table.incarnation(chosen.estimate.engine);
         let reason = match (incarnation, chosen.blocks()) {
             (None, _) => Reason::Unreported,
-            (_, 0) if survey.max_cached_blocks == 0 => Reason::NoHolder,
+            (_, 0) if survey.max_cached_blocks == 0 => Reason::NobodyHolds,
             (_, 0) => Reason::LeastLoaded,
             (_, blocks) if blocks == survey.max_cached_blocks => Reason::BestHolder,
             _ => Reason::Spread,
--- a/crates/storage/src/frame.rs
+++ b/crates/storage/src/frame.rs
@@ -41,7 +41,7 @@
         let entries = self.entries.iter().map(Entry::position);
         let mut positions = entries.chain(self.continues).chain(self.snapshot);
         let hard_state = self.hard_state.unwrap_or_default();
-        hard_state.term <= MAX_NUMBER && positions.all(|position| position.is_in_bounds())
+        hard_state.term <= MAX_TERM_OR_INDEX && positions.all(|position| position.is_in_bounds())
     }
 }
 
--- a/crates/storage/src/storage.rs
+++ b/crates/storage/src/storage.rs
@@ -54,7 +54,7 @@
     /// # Errors
     /// Fails when the folder belongs to another node, is a copy, or has lost synced
     /// data. In the last two cases it must be treated as a lost disk.
-    pub fn open(mut disk: D, node: NodeId) -> Result<(Self, Restored), OpenError> {
+    pub fn open(mut disk: D, node: NodeId) -> Result<(Self, RestoredState), OpenError> {
         disk.lock()?;
         let id = read_identity(&mut disk)?;
         if id.node != node {
