--- a/crates/control/tests/daemons/seeded.rs
+++ b/crates/control/tests/daemons/seeded.rs
@@ -69,7 +69,7 @@
 
 impl Deployment {
     /// Creates sockets and settings for a replica.
-    async fn new_replica(&self, founds: bool) -> (ControlSettings, Listeners) {
+    async fn new_replica(&self, bootstrap: bool) -> (ControlSettings, Listeners) {
         let listeners = listeners().await;
         let internal = listeners.internal.local_addr().expect("bound");
         let operator = listeners.operator.local_addr().expect("bound");
