--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -1,52 +1,52 @@
-//! Faults in the command line, and reading it word by word.
+//! Command-line parsing helpers and their errors.
 
 use lexopt::Arg;
 
-use crate::commands::nearest;
+use crate::commands::closest_command;
 
-/// A command line that can't be carried out.
+/// Invalid command line.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum ArgumentError {
-    /// No such command.
+    /// Unknown command.
     #[error("unknown command {command:?}")]
     UnknownCommand {
-        /// What was given.
+        /// Command as given.
         command: String,
-        /// What was probably meant, or how to find it.
+        /// Closest known command, or a pointer to the help.
         #[help]
         advice: String,
     },
-    /// The parser refused the arguments.
+    /// Argument that the parser rejects.
     #[error(transparent)]
     Parse(#[from] lexopt::Error),
-    /// Something that the command needs is absent.
+    /// Missing argument.
     #[error("{0} is required")]
     Missing(&'static str),
-    /// A value is outside what is allowed.
+    /// Value out of the allowed range or format.
     #[error("{name}: {value:?} is not {allowed}")]
     Value {
-        /// What the value is for.
+        /// Name of the argument.
         name: &'static str,
-        /// What was given.
+        /// Value as given.
         value: String,
-        /// What is allowed.
+        /// Description of allowed values.
         allowed: &'static str,
     },
 }
 
 impl ArgumentError {
-    /// There is no such command.
+    /// Builds the error for an unknown command, with the closest known one as advice.
     pub fn unknown_command(command: &str) -> Self {
-        let advice = match nearest(command) {
-            Some(meant) => format!("did you mean '{meant}'? '--help' lists the commands"),
+        let advice = match closest_command(command) {
+            Some(suggestion) => format!("did you mean '{suggestion}'? '--help' lists the commands"),
             None => "'juniperhollow --help' lists the commands".to_owned(),
         };
         ArgumentError::UnknownCommand { command: command.to_owned(), advice }
     }
 }
 
-/// The next plain word; `None` at the end or for `--help`.
-pub fn next_word(parser: &mut lexopt::Parser) -> Result<Option<String>, ArgumentError> {
+/// Returns the next positional argument, or `None` at the end or for `--help`.
+pub fn next_positional(parser: &mut lexopt::Parser) -> Result<Option<String>, ArgumentError> {
     match parser.next()? {
         None | Some(Arg::Long("help") | Arg::Short('h')) => Ok(None),
         Some(Arg::Value(word)) => Ok(Some(word.to_string_lossy().into_owned())),
@@ -54,7 +54,7 @@
     }
 }
 
-/// Parses `text` as a number.
+/// Parses `text` as an unsigned integer; `name` is the argument's name for the error.
 pub fn number(name: &'static str, text: &str) -> Result<u64, ArgumentError> {
     text.parse().map_err(|_| ArgumentError::Value {
         name,
--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -1,4 +1,4 @@
-//! `settings check FILE`: a node file, or a change of the settings tree.
+//! `settings check FILE`: validates a node file or a change of the settings tree.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -11,44 +11,44 @@
 use serde_json::json;
 
 use crate::EXIT_FAULTS;
-use crate::arguments::{ArgumentError, next_word};
-use crate::daemon::{print_faults, read_override};
+use crate::arguments::{ArgumentError, next_positional};
+use crate::daemon::{print_node_file_faults, read_override};
 use crate::output::Format;
 
-/// Why a file can't be checked.
+/// Error that prevents validation of a file.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum CheckError {
     /// The file can't be read.
     #[error("can't read {path}: {source}")]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// Cause.
         source: std::io::Error,
     },
-    /// The file is not what it should be.
+    /// The file is not valid JSON or doesn't match the expected schema.
     #[error("{path}: {source}")]
     Malformed {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Where and why.
+        /// Cause, with its position.
         source: serde_json::Error,
     },
-    /// The change builds on a tree that wasn't given.
-    #[error("the change builds on revision {0}")]
-    #[diagnostic(help("name the tree with --upon FILE, as `tree get --format json` prints it"))]
-    NoTree(Revision),
-    /// The tree given is another one.
-    #[error("the change builds on revision {wanted}, the tree given is revision {given}")]
-    OtherTree {
-        /// What the change names.
-        wanted: Revision,
-        /// What was given.
-        given: Revision,
+    /// The change needs a base tree and none was given.
+    #[error("the change is based on revision {0}, and no tree was given")]
+    #[diagnostic(help("pass the tree with --upon FILE, as `tree get --format json` prints it"))]
+    MissingBaseTree(Revision),
+    /// The given tree has another revision than the change's base.
+    #[error("the change is based on revision {expected}, but the given tree has revision {actual}")]
+    RevisionMismatch {
+        /// Base revision of the change.
+        expected: Revision,
+        /// Revision of the given tree.
+        actual: Revision,
     },
 }
 
-/// A change as operators submit it.
+/// Change in the format of `tree apply`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ChangeFile {
@@ -60,7 +60,7 @@
     edits: ChangeSet,
 }
 
-/// A tree as `tree get` prints it.
+/// Tree in the format of `tree get --format json`.
 #[derive(Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct TreeFile {
@@ -90,10 +90,10 @@
     Ok(arguments)
 }
 
-/// `settings check FILE`. A file whose name ends in `.json` is a change of the
-/// tree, any other a node file.
+/// Runs `settings check FILE`. A `.json` file is validated as a change of the tree, any other
+/// as a node file.
 pub fn settings(parser: &mut lexopt::Parser) -> miette::Result<ExitCode> {
-    match next_word(parser)?.as_deref() {
+    match next_positional(parser)?.as_deref() {
         Some("check") => {}
         Some(other) => {
             return Err(ArgumentError::unknown_command(&format!("settings {other}")).into());
@@ -106,8 +106,8 @@
         return Ok(check_change(path, arguments.upon.as_deref(), arguments.format)?);
     }
     match NodeFile::load(path, &arguments.overrides) {
-        Ok(_) => Ok(print_sound(path, arguments.format)),
-        Err(error) => Ok(print_faults(error, arguments.format)),
+        Ok(_) => Ok(print_valid(path, arguments.format)),
+        Err(error) => Ok(print_node_file_faults(error, arguments.format)),
     }
 }
 
@@ -116,15 +116,15 @@
     let base: TreeFile = match upon {
         Some(upon) => read_json(upon)?,
         None if change.base_revision == Revision(0) => TreeFile::default(),
-        None => return Err(CheckError::NoTree(change.base_revision)),
+        None => return Err(CheckError::MissingBaseTree(change.base_revision)),
     };
     if base.revision != change.base_revision {
-        let (wanted, given) = (change.base_revision, base.revision);
-        return Err(CheckError::OtherTree { wanted, given });
+        let (expected, actual) = (change.base_revision, base.revision);
+        return Err(CheckError::RevisionMismatch { expected, actual });
     }
-    let applied = ValidatedTree::new(base.tree).and_then(|mut tree| tree.apply(&change.edits));
-    match applied {
-        Ok(_) => Ok(print_sound(path, format)),
+    let result = ValidatedTree::new(base.tree).and_then(|mut tree| tree.apply(&change.edits));
+    match result {
+        Ok(_) => Ok(print_valid(path, format)),
         Err(faults) => Ok(print_tree_faults(path, &faults, format)),
     }
 }
@@ -136,7 +136,7 @@
         .map_err(|source| CheckError::Malformed { path: path.to_owned(), source })
 }
 
-fn print_sound(path: &Path, format: Format) -> ExitCode {
+fn print_valid(path: &Path, format: Format) -> ExitCode {
     match format {
         Format::Text => println!("{}: ok", path.display()),
         Format::Json => println!("{}", json!({ "ok": true })),
--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to the operator face of the control replicas.
+//! Client of the control replicas' operator API.
 
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -6,51 +6,51 @@
 use reqwest::Method;
 use serde_json::Value;
 
-/// Longest wait for one replica.
+/// Timeout for one replica's answer.
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Why an operator call failed.
+/// Failure of an operator call.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum ClientError {
-    /// The file with the key can't be read.
+    /// Unreadable key file.
     #[error("operator key file {path}: {source}")]
     KeyFile {
-        /// The file.
+        /// Path of the key file.
         path: PathBuf,
-        /// Why.
+        /// Cause.
         source: std::io::Error,
     },
-    /// The client could not be made.
-    #[error("can't make the HTTP client: {0}")]
+    /// The HTTP client can't be built.
+    #[error("can't build the HTTP client: {0}")]
     Client(reqwest::Error),
-    /// No replica could be reached.
-    #[error("no control replica could be reached; the last said: {0}")]
+    /// No replica is reachable.
+    #[error("no control replica could be reached; last error: {0}")]
     Unreachable(reqwest::Error),
-    /// No replica was named.
-    #[error("no control replica is named")]
-    #[diagnostic(help("name one with --control URL"))]
+    /// No replica URL was given.
+    #[error("no control replica URL was given")]
+    #[diagnostic(help("pass one with --control URL"))]
     NoReplica,
-    /// The answer is not JSON.
-    #[error("the answer of {url} is not JSON")]
+    /// Response body that is not JSON.
+    #[error("the response from {url} is not JSON")]
     NotJson {
-        /// Who answered.
+        /// URL of the request.
         url: String,
     },
-    /// The replica answered with an error.
-    #[error("status {status}: {}", render(body))]
-    Answer {
-        /// HTTP status.
+    /// Error response of a replica.
+    #[error("status {status}: {}", render_body(body))]
+    ErrorResponse {
+        /// HTTP status code.
         status: u16,
-        /// JSON body.
+        /// Response body.
         body: Value,
     },
 }
 
-fn render(body: &Value) -> String {
+fn render_body(body: &Value) -> String {
     serde_json::to_string_pretty(body).unwrap_or_default()
 }
 
-/// Calls control replicas until one answers.
+/// HTTP client that tries control replicas in turn until one answers.
 pub struct OperatorClient {
     replicas: Vec<String>,
     key: String,
@@ -58,7 +58,7 @@
 }
 
 impl OperatorClient {
-    /// Reads the key and makes the client.
+    /// Reads the operator key and builds the HTTP client.
     pub fn new(replicas: Vec<String>, key_file: &Path) -> Result<Self, ClientError> {
         if replicas.is_empty() {
             return Err(ClientError::NoReplica);
@@ -73,15 +73,15 @@
         Ok(OperatorClient { replicas, key: key.trim().to_owned(), http })
     }
 
-    /// Calls each replica in turn until one can be reached. Repeating a write
-    /// is safe: it carries its change id.
+    /// Sends the request to each replica in turn until one answers. Retrying a write is safe,
+    /// since its change id makes it idempotent.
     pub async fn call(
         &self,
         method: Method,
         path: &str,
         body: Option<&Value>,
     ) -> Result<Value, ClientError> {
-        let mut last = None;
+        let mut last_error = None;
         for replica in &self.replicas {
             let url = format!("{}{path}", replica.trim_end_matches('/'));
             let mut request = self.http.request(method.clone(), &url).bearer_auth(&self.key);
@@ -89,19 +89,19 @@
                 request = request.json(body);
             }
             match request.send().await {
-                Ok(response) => return read_answer(url, response).await,
-                Err(error) => last = Some(error),
+                Ok(response) => return read_response(url, response).await,
+                Err(error) => last_error = Some(error),
             }
         }
-        Err(last.map_or(ClientError::NoReplica, ClientError::Unreachable))
+        Err(last_error.map_or(ClientError::NoReplica, ClientError::Unreachable))
     }
 }
 
-async fn read_answer(url: String, response: reqwest::Response) -> Result<Value, ClientError> {
+async fn read_response(url: String, response: reqwest::Response) -> Result<Value, ClientError> {
     let status = response.status();
     let body: Value = response.json().await.map_err(|_| ClientError::NotJson { url })?;
     if status.is_success() {
         return Ok(body);
     }
-    Err(ClientError::Answer { status: status.as_u16(), body })
+    Err(ClientError::ErrorResponse { status: status.as_u16(), body })
 }
--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -1,35 +1,34 @@
-//! Every command with its help. The general help is made from this table too, so that no
-//! command is missing there.
+//! Table of commands, from which the general help and each command's help are generated.
 
-/// What is known of one command.
+/// Command with its help texts.
 #[derive(Clone, Copy, Debug)]
 pub struct Command {
-    /// Its words, such as `tree get`.
+    /// Command words, such as `tree get`.
     pub words: &'static str,
-    /// Under which heading the general help lists it.
+    /// Heading in the general help.
     pub group: Group,
-    /// What follows the words.
+    /// Argument synopsis, printed after the words.
     pub arguments: &'static str,
-    /// What it does, in one line.
+    /// Description in one line.
     pub summary: &'static str,
-    /// What the options mean, a line each.
+    /// Description of the options, one line each.
     pub options: &'static [&'static str],
-    /// A call that works.
+    /// Example invocation.
     pub example: &'static str,
 }
 
-/// Headings of the general help, in their order.
+/// Headings of the general help, in display order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Group {
-    /// Processes that run until they are stopped.
+    /// Long-running processes.
     Daemons,
-    /// What needs no running cluster.
+    /// Offline checks that need no running cluster.
     Checks,
-    /// Calls to control replicas.
+    /// Calls to the control replicas' operator API.
     Operator,
-    /// Work on data folders while every control replica is stopped.
+    /// Offline work on data folders while every control replica is stopped.
     Recovery,
-    /// Reading logs.
+    /// Log analysis.
     Logs,
 }
 
@@ -45,13 +44,13 @@
                 "Operator commands (against the operator address of a control replica)"
             }
             Group::Recovery => "Recovery (on data folders, while every control replica is stopped)",
-            Group::Logs => "Looking into a failure",
+            Group::Logs => "Failure analysis",
         }
     }
 }
 
 const SET_OPTION: &str =
-    "--set KEY=VALUE             a value in place of the node file's; may be repeated";
+    "--set KEY=VALUE             override a value of the node file; may be repeated";
 
 const FORMAT_OPTION: &str = "--format text|json          default text";
 
@@ -60,7 +59,7 @@
 
 const OPERATOR_OPTIONS: &[&str] = &[
     "--control URL               e.g. http://127.0.0.1:7101; repeat for more replicas",
-    "--operator-key-file FILE    file with the operators' key",
+    "--operator-key-file FILE    file with the operator key",
     FORMAT_OPTION,
 ];
 
@@ -68,7 +67,7 @@
     OPERATOR_OPTIONS[0],
     OPERATOR_OPTIONS[1],
     OPERATOR_OPTIONS[2],
-    "--undo                      give it work again",
+    "--undo                      undo the drain",
 ];
 
 const fn operator(
@@ -87,7 +86,7 @@
     }
 }
 
-/// Every command.
+/// All commands, in display order.
 pub const COMMANDS: &[Command] = &[
     Command {
         words: "control",
@@ -109,7 +108,7 @@
         words: "found",
         group: Group::Daemons,
         arguments: "--settings FILE",
-        summary: "make a new cluster on one control replica, once for a deployment; the others join it",
+        summary: "create a new cluster on one control replica, once per deployment; the others join it",
         options: NODE_FILE_OPTIONS,
         example: "juniperhollow found --settings node.toml",
     },
@@ -117,9 +116,9 @@
         words: "settings check",
         group: Group::Checks,
         arguments: "FILE [--upon FILE]",
-        summary: "check a node file, or a change (*.json) upon an empty or a given tree; list every fault",
+        summary: "check a node file, or a change (*.json) against an empty or a given tree; list every fault",
         options: &[
-            "--upon FILE                 the tree that the change is checked upon",
+            "--upon FILE                 the tree that the change is checked against",
             SET_OPTION,
             FORMAT_OPTION,
         ],
@@ -129,7 +128,7 @@
         words: "key hash",
         group: Group::Checks,
         arguments: "",
-        summary: "read a key on standard input, print its hash",
+        summary: "read a key from standard input and print its hash",
         options: &[],
         example: "juniperhollow key hash < key-file",
     },
@@ -142,7 +141,7 @@
     operator(
         "tree effective",
         "PATH",
-        "print the values in force at PATH",
+        "print the effective values at PATH",
         "juniperhollow tree effective /hartford --control http://127.0.0.1:7101 --operator-key-file key",
     ),
     operator(
@@ -166,31 +165,31 @@
     operator(
         "tree rollback",
         "REVISION",
-        "make an earlier tree the newest revision",
+        "restore an earlier tree as a new revision",
         "juniperhollow tree rollback 4 --control http://127.0.0.1:7101 --operator-key-file key",
     ),
     operator(
         "status",
         "",
-        "role, term, leader and members of a control replica",
+        "print role, term, leader and members of a control replica",
         "juniperhollow status --control http://127.0.0.1:7101 --operator-key-file key",
     ),
     operator(
         "nodes",
         "",
-        "status of every node with the revision in force",
+        "print the status of every node with the revision in force",
         "juniperhollow nodes --control http://127.0.0.1:7101 --operator-key-file key",
     ),
     operator(
         "quarantine list",
         "",
-        "requests that are sent to no server, because servers ended under them",
+        "list requests that are sent to no server because they crashed servers",
         "juniperhollow quarantine list --control http://127.0.0.1:7101 --operator-key-file key",
     ),
     operator(
         "quarantine release",
         "FINGERPRINT",
-        "let such a request be sent again, once the servers are mended",
+        "allow a quarantined request again, once the servers are fixed",
         "juniperhollow quarantine release 00112233445566778899aabbccddeeff \
          --control http://127.0.0.1:7101 --operator-key-file key",
     ),
@@ -199,7 +198,7 @@
         ..operator(
             "drain",
             "ENGINE [--undo]",
-            "give a back end no new work ('--undo' takes it back)",
+            "send a back end no new work ('--undo' reverses it)",
             "juniperhollow drain 7 --control http://127.0.0.1:7101 --operator-key-file key",
         )
     },
@@ -207,10 +206,10 @@
         words: "recover",
         group: Group::Recovery,
         arguments: "--folder DIR... [--apply]",
-        summary: "plan the way out of a lost quorum and change nothing, or carry it out",
+        summary: "plan the recovery from a lost quorum, or apply it with --apply",
         options: &[
-            "--folder DIR                a data folder; repeat it for every one that is left",
-            "--apply                     make the latest the only voter",
+            "--folder DIR                a data folder; repeat it for each one that is left",
+            "--apply                     make the replica with the latest data the only voter",
             FORMAT_OPTION,
         ],
         example: "juniperhollow recover --folder data-1 --folder data-3",
@@ -219,7 +218,7 @@
         words: "explain",
         group: Group::Logs,
         arguments: "REQUEST FILE...",
-        summary: "print the story of one request from the logs of any number of processes",
+        summary: "print the timeline of one request from the logs of any number of processes",
         options: &["-                           as a FILE: standard input"],
         example: "juniperhollow explain 9c41d07be2a35f68 router.log control.log",
     },
@@ -230,7 +229,7 @@
 4 the change or file has faults.
 ";
 
-/// Column at which summaries begin in the general help.
+/// Column of the summaries in the general help.
 const SUMMARY_COLUMN: usize = 34;
 
 impl Command {
@@ -238,7 +237,7 @@
         format!("{} {}", self.words, self.arguments).trim_end().to_owned()
     }
 
-    /// The help of the command alone.
+    /// Renders the help of this command.
     pub fn help(&self) -> String {
         let mut text = format!("Usage: juniperhollow {}\n\n{}\n", self.usage(), self.summary);
         if !self.options.is_empty() {
@@ -250,9 +249,9 @@
     }
 }
 
-/// The help that lists all commands.
+/// Renders the help that lists all commands.
 pub fn general_help() -> String {
-    let mut text = "Usage: juniperhollow COMMAND [OPTIONS]; COMMAND --help tells more\n".to_owned();
+    let mut text = "Usage: juniperhollow COMMAND [OPTIONS]; see COMMAND --help\n".to_owned();
     for group in Group::ALL {
         text.push_str(&format!("\n{}:\n", group.title()));
         for command in COMMANDS.iter().filter(|command| command.group == group) {
@@ -261,46 +260,50 @@
         }
     }
     text.push_str(
-        "\nOn the platform the daemons are run by juniperhollow-platform ('--help' tells its\n\
+        "\nOn the platform the daemons are run by juniperhollow-platform ('--help' lists its\n\
          roles, router and control).\n\n",
     );
     text.push_str(EXIT_CODES);
     text
 }
 
-/// The command whose words these begin with.
-pub fn find(words: &[String]) -> Option<&'static Command> {
-    let is_meant = |command: &&Command| {
-        let own: Vec<&str> = command.words.split(' ').collect();
-        words.len() >= own.len() && own.iter().zip(words).all(|(own, given)| own == given)
+/// Finds the command with whose words `words` begins.
+pub fn find_command(words: &[String]) -> Option<&'static Command> {
+    let matches = |command: &&Command| {
+        let command_words: Vec<&str> = command.words.split(' ').collect();
+        words.len() >= command_words.len()
+            && command_words.iter().zip(words).all(|(expected, given)| expected == given)
     };
-    COMMANDS.iter().find(is_meant)
+    COMMANDS.iter().find(matches)
 }
 
-/// Most letters by which a near miss differs from the command that was meant.
-const NEAR_MISS: usize = 2;
+/// Largest edit distance between a mistyped word and a suggestion.
+const MAX_EDIT_DISTANCE: usize = 2;
 
-/// The command that was probably meant by these words, none of which is one.
-pub fn nearest(given: &str) -> Option<&'static str> {
-    let of_same_length = |command: &'static Command| {
+/// Returns the known command closest to `given`, if any is within [`MAX_EDIT_DISTANCE`].
+pub fn closest_command(given: &str) -> Option<&'static str> {
+    let with_same_word_count = |command: &'static Command| {
         let count = given.split(' ').count();
         let words = command.words;
         words.match_indices(' ').nth(count - 1).map_or(words, |(end, _)| &words[..end])
     };
-    let candidates = COMMANDS.iter().map(of_same_length);
-    let scored = candidates.map(|candidate| (distance(given, candidate), candidate));
-    scored.min().filter(|(distance, _)| *distance <= NEAR_MISS).map(|(_, candidate)| candidate)
+    let candidates = COMMANDS.iter().map(with_same_word_count);
+    let scored = candidates.map(|candidate| (edit_distance(given, candidate), candidate));
+    scored
+        .min()
+        .filter(|(distance, _)| *distance <= MAX_EDIT_DISTANCE)
+        .map(|(_, candidate)| candidate)
 }
 
-/// Letters to insert, remove or replace to make one text of the other (Levenshtein).
-fn distance(one: &str, other: &str) -> usize {
+/// Levenshtein distance between two texts.
+fn edit_distance(one: &str, other: &str) -> usize {
     let other: Vec<char> = other.chars().collect();
     let mut row: Vec<usize> = (0..=other.len()).collect();
-    for (place, letter) in one.chars().enumerate() {
+    for (position, letter) in one.chars().enumerate() {
         let mut diagonal = row[0];
-        row[0] = place + 1;
-        for (column, known) in other.iter().enumerate() {
-            let replaced = diagonal + usize::from(letter != *known);
+        row[0] = position + 1;
+        for (column, other_letter) in other.iter().enumerate() {
+            let replaced = diagonal + usize::from(letter != *other_letter);
             diagonal = row[column + 1];
             row[column + 1] = replaced.min(row[column] + 1).min(diagonal + 1);
         }
@@ -308,10 +311,10 @@
     row[other.len()]
 }
 
-/// The option that was probably meant by one that no command has.
-pub fn nearest_option(given: &str) -> Option<&'static str> {
+/// Returns the known option closest to `given`, if any is within [`MAX_EDIT_DISTANCE`].
+pub fn closest_option(given: &str) -> Option<&'static str> {
     let lines = COMMANDS.iter().flat_map(|command| command.options);
     let names = lines.filter_map(|line| line.split(' ').next());
-    let scored = names.map(|name| (distance(given, name), name));
-    scored.min().filter(|(distance, _)| *distance <= NEAR_MISS).map(|(_, name)| name)
+    let scored = names.map(|name| (edit_distance(given, name), name));
+    scored.min().filter(|(distance, _)| *distance <= MAX_EDIT_DISTANCE).map(|(_, name)| name)
 }
--- a/crates/cli/src/daemon.rs
+++ b/crates/cli/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The daemons: `control`, `router`, and checks of their files.
+//! Commands `control`, `router`, `found` and `key hash`.
 
 use std::io::Read;
 use std::path::PathBuf;
@@ -21,30 +21,30 @@
 use crate::logging::{LogSettings, start};
 use crate::output::Format;
 
-/// Why a daemon could not start or had to stop.
+/// Failure to start or run a daemon.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum DaemonError {
-    /// The node file has no section for this daemon.
+    /// Node file without a section for this daemon.
     #[error("{path} has no [{section}] section")]
     NoSection {
-        /// The file.
+        /// Path of the node file.
         path: PathBuf,
-        /// The section.
+        /// Name of the section.
         section: &'static str,
     },
-    /// The cluster key is unusable.
+    /// Invalid cluster key.
     #[error(transparent)]
     ClusterKey(#[from] juniper_protocol::ClusterKeyError),
-    /// The runtime or its signal handlers could not be started.
+    /// The async runtime can't be started.
     #[error("can't start the runtime: {0}")]
     Runtime(std::io::Error),
-    /// The control daemon failed.
+    /// Failure of the control replica.
     #[error(transparent)]
     Control(#[from] ControlError),
-    /// The router failed.
+    /// Failure of the router.
     #[error(transparent)]
     Router(#[from] RouterError),
-    /// Standard input can't be read.
+    /// Unreadable standard input.
     #[error("can't read standard input: {0}")]
     StandardInput(std::io::Error),
 }
@@ -55,7 +55,7 @@
     format: Format,
 }
 
-/// Reads `--settings FILE` or a plain FILE, and `--set KEY=VALUE` flags.
+/// Reads `--settings FILE` or a positional FILE, `--set KEY=VALUE` and `--format`.
 fn read_arguments(parser: &mut lexopt::Parser) -> Result<DaemonArguments, ArgumentError> {
     let mut path = None;
     let mut overrides = Vec::new();
@@ -96,22 +96,24 @@
     start(&settings, common.node.to_string())
 }
 
-fn runtime() -> Result<Runtime, DaemonError> {
+fn build_runtime() -> Result<Runtime, DaemonError> {
     tokio::runtime::Builder::new_multi_thread().enable_all().build().map_err(DaemonError::Runtime)
 }
 
-/// `control --settings FILE`.
+/// Runs `control --settings FILE`.
 pub fn control(parser: &mut lexopt::Parser) -> miette::Result<ExitCode> {
     let arguments = read_arguments(parser)?;
     let file = NodeFile::load(&arguments.path, &arguments.overrides)?;
     let no_section = DaemonError::NoSection { path: arguments.path, section: "control" };
     let settings: ControlSettings = file.control.ok_or(no_section)?;
     start_logging(&settings.common)?;
-    runtime()?.block_on(juniper_control::run(settings, stopped())).map_err(DaemonError::from)?;
+    build_runtime()?
+        .block_on(juniper_control::run(settings, stopped()))
+        .map_err(DaemonError::from)?;
     Ok(ExitCode::SUCCESS)
 }
 
-/// `found --settings FILE`.
+/// Runs `found --settings FILE`.
 pub fn found(parser: &mut lexopt::Parser) -> miette::Result<ExitCode> {
     let arguments = read_arguments(parser)?;
     let file = NodeFile::load(&arguments.path, &arguments.overrides)?;
@@ -125,7 +127,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// `router --settings FILE`.
+/// Runs `router --settings FILE`.
 pub fn router(parser: &mut lexopt::Parser) -> miette::Result<ExitCode> {
     let arguments = read_arguments(parser)?;
     let file = NodeFile::load(&arguments.path, &arguments.overrides)?;
@@ -133,12 +135,12 @@
     let settings = file.router.ok_or(no_section)?;
     start_logging(&settings.common)?;
     let config = RouterConfig::from_settings(settings).map_err(DaemonError::from)?;
-    runtime()?.block_on(juniper_router::run(config, stopped())).map_err(DaemonError::from)?;
+    build_runtime()?.block_on(juniper_router::run(config, stopped())).map_err(DaemonError::from)?;
     Ok(ExitCode::SUCCESS)
 }
 
-/// Prints every fault of a node file.
-pub(crate) fn print_faults(error: NodeFileError, format: Format) -> ExitCode {
+/// Prints all faults of a node file and returns the exit code for them.
+pub(crate) fn print_node_file_faults(error: NodeFileError, format: Format) -> ExitCode {
     match format {
         Format::Json => println!("{}", json!({ "ok": false, "faults": error.to_string() })),
         Format::Text => eprintln!("{:?}", miette::Report::new(error)),
@@ -146,9 +148,9 @@
     ExitCode::from(EXIT_FAULTS)
 }
 
-/// `key hash`.
+/// Runs `key hash`.
 pub fn hash_key(parser: &mut lexopt::Parser) -> miette::Result<ExitCode> {
-    match crate::arguments::next_word(parser)?.as_deref() {
+    match crate::arguments::next_positional(parser)?.as_deref() {
         Some("hash") => {}
         _ => return Err(ArgumentError::Missing("key hash").into()),
     }
--- a/crates/cli/src/explain.rs
+++ b/crates/cli/src/explain.rs
@@ -1,7 +1,7 @@
-//! `explain`: the story of one request, from the logs of any number of processes.
+//! `explain`: timeline of one request from the logs of any number of processes.
 //!
-//! Lines are `key=value` pairs with a time and an event. A line that can't be read
-//! is counted and passed over, since logs come cut off and mixed with other output.
+//! Log lines are `key=value` pairs with a time and an event name. Lines that can't be parsed are
+//! skipped and counted, since logs may be truncated or mixed with other output.
 
 use std::collections::BTreeSet;
 use std::io::Read;
@@ -12,11 +12,11 @@
 
 use crate::arguments::ArgumentError;
 
-/// Time around a request in which events of its servers and nodes are shown, in
+/// Time before and after a request in which related server and node events are shown, in
 /// milliseconds.
 const CONTEXT_MS: u64 = 3_000;
 
-/// Events that tell of the state of a server or a node.
+/// Events about the state of a server or node, included near a request.
 const CONTEXT_EVENTS: [&str; 13] = [
     "instance_heard",
     "instance_silent",
@@ -33,37 +33,37 @@
     "lines_left_out",
 ];
 
-/// Why the logs can't be explained.
+/// Failure to read logs.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum ExplainError {
-    /// A file can't be read.
+    /// Unreadable log file.
     #[error("can't read {path}: {source}")]
     Read {
-        /// The file; `-` for standard input.
+        /// Path of the file; `-` for standard input.
         path: PathBuf,
-        /// Why.
+        /// Cause.
         source: std::io::Error,
     },
 }
 
-/// One event of a log.
+/// Event parsed from one log line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogEvent {
-    /// When it was written, in milliseconds since the Unix epoch.
+    /// Time of the log line, in milliseconds since the Unix epoch.
     pub time_ms: u64,
-    /// Its name.
+    /// Event name.
     pub name: String,
-    /// Everything else, in its order.
+    /// All other fields, in log order.
     pub fields: Vec<(String, String)>,
 }
 
 impl LogEvent {
-    /// Reads a line; `None` if it is no event.
+    /// Parses a line; `None` if the time or the event name is missing.
     pub fn parse(line: &str) -> Option<Self> {
         let mut time_ms = None;
         let mut name = None;
         let mut fields = Vec::new();
-        for (key, value) in pairs(line) {
+        for (key, value) in parse_pairs(line) {
             match key.as_str() {
                 "time_ms" => time_ms = value.parse().ok(),
                 "event" => name = Some(value),
@@ -73,15 +73,15 @@
         Some(LogEvent { time_ms: time_ms?, name: name?, fields })
     }
 
-    /// The value of a field.
+    /// Returns the value of the first field with this key.
     pub fn get(&self, key: &str) -> Option<&str> {
         self.fields.iter().find(|(name, _)| name == key).map(|(_, value)| value.as_str())
     }
 }
 
-/// The `key=value` pairs of a line. A value in quotes may hold blanks; words
-/// without `=` are passed over.
-fn pairs(line: &str) -> Vec<(String, String)> {
+/// Parses the `key=value` pairs of a line. Quoted values may contain spaces; words without `=`
+/// are skipped.
+fn parse_pairs(line: &str) -> Vec<(String, String)> {
     let mut pairs = Vec::new();
     let mut rest = line.trim();
     while !rest.is_empty() {
@@ -91,48 +91,48 @@
             continue;
         };
         let (key, after) = (&rest[..equals], &rest[equals + 1..]);
-        let (value, left) = match after.strip_prefix('"') {
+        let (value, remainder) = match after.strip_prefix('"') {
             Some(quoted) => quoted.split_once('"').unwrap_or((quoted, "")),
             None => after.split_once(' ').unwrap_or((after, "")),
         };
         pairs.push((key.to_owned(), value.to_owned()));
-        rest = left.trim_start();
+        rest = remainder.trim_start();
     }
     pairs
 }
 
-/// The story of a request.
+/// Timeline of a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Story {
-    /// Its events and those around it, in their order.
+pub struct RequestTimeline {
+    /// Events of the request and related events, ordered by time.
     pub events: Vec<LogEvent>,
-    /// Lines that are no events.
+    /// Number of lines that can't be parsed.
     pub unreadable: usize,
 }
 
-impl Story {
-    /// Gathers the story of `request` from log texts.
-    pub fn of(request: &str, texts: &[String]) -> Self {
-        let mut all = Vec::new();
+impl RequestTimeline {
+    /// Collects the timeline of `request` from log texts.
+    pub fn collect(request: &str, texts: &[String]) -> Self {
+        let mut all_events = Vec::new();
         let mut unreadable = 0;
         for line in
             texts.iter().flat_map(|text| text.lines()).filter(|line| !line.trim().is_empty())
         {
             match LogEvent::parse(line) {
-                Some(event) => all.push(event),
+                Some(event) => all_events.push(event),
                 None => unreadable += 1,
             }
         }
-        all.sort_by_key(|event| event.time_ms);
-        let own = |event: &&LogEvent| event.get("request") == Some(request);
-        let around = Surroundings::of(all.iter().filter(own));
-        let is_told = |event: &LogEvent| own(&event) || around.includes(event);
-        let events = all.iter().filter(|event| is_told(event)).cloned().collect();
-        Story { events, unreadable }
+        all_events.sort_by_key(|event| event.time_ms);
+        let is_own = |event: &&LogEvent| event.get("request") == Some(request);
+        let related = RelatedEvents::of_request(all_events.iter().filter(is_own));
+        let is_shown = |event: &LogEvent| is_own(&event) || related.includes(event);
+        let events = all_events.iter().filter(|event| is_shown(event)).cloned().collect();
+        RequestTimeline { events, unreadable }
     }
 
-    /// The story as text, with times from its first event.
-    pub fn text(&self, request: &str) -> String {
+    /// Renders the timeline with times relative to the first event of `request`.
+    pub fn render(&self, request: &str) -> String {
         let started = self.events.iter().find(|event| event.get("request") == Some(request));
         let Some(started) = started.map(|event| event.time_ms) else {
             return format!(
@@ -157,76 +157,76 @@
     }
 }
 
-/// What a request had to do with, and when.
+/// Nodes, servers, content and time range of a request, by which related events are found.
 #[derive(Debug, Default)]
-struct Surroundings {
+struct RelatedEvents {
     nodes: BTreeSet<String>,
     instances: BTreeSet<String>,
-    /// Names of the request's content: the same one under another id tells of it too.
+    /// Fingerprints of the request's content; the same content under another request id matches.
     fingerprints: BTreeSet<String>,
     from_ms: u64,
     to_ms: u64,
 }
 
-impl Surroundings {
-    fn of<'a>(own: impl Iterator<Item = &'a LogEvent>) -> Self {
-        let mut around = Surroundings { from_ms: u64::MAX, ..Surroundings::default() };
+impl RelatedEvents {
+    fn of_request<'a>(own: impl Iterator<Item = &'a LogEvent>) -> Self {
+        let mut scope = RelatedEvents { from_ms: u64::MAX, ..RelatedEvents::default() };
         for event in own {
-            around.nodes.extend(event.get("node").map(str::to_owned));
-            around.instances.extend(event.get("instance").map(str::to_owned));
-            around.fingerprints.extend(event.get("fingerprint").map(str::to_owned));
-            around.from_ms = around.from_ms.min(event.time_ms.saturating_sub(CONTEXT_MS));
-            around.to_ms = around.to_ms.max(event.time_ms + CONTEXT_MS);
+            scope.nodes.extend(event.get("node").map(str::to_owned));
+            scope.instances.extend(event.get("instance").map(str::to_owned));
+            scope.fingerprints.extend(event.get("fingerprint").map(str::to_owned));
+            scope.from_ms = scope.from_ms.min(event.time_ms.saturating_sub(CONTEXT_MS));
+            scope.to_ms = scope.to_ms.max(event.time_ms + CONTEXT_MS);
         }
-        around
+        scope
     }
 
-    /// Whether the event tells of a server that ended under the same content, whenever that was.
-    fn tells_of_content(&self, event: &LogEvent) -> bool {
+    /// Whether the event names a fingerprint of the request, at any time.
+    fn matches_fingerprint(&self, event: &LogEvent) -> bool {
         let one = event.get("fingerprint").into_iter();
         let many = event.get("fingerprints").into_iter().flat_map(|names| names.split(','));
         one.chain(many).any(|name| self.fingerprints.contains(name))
     }
 
     fn includes(&self, event: &LogEvent) -> bool {
-        if self.tells_of_content(event) {
+        if self.matches_fingerprint(event) {
             return true;
         }
-        let in_time = (self.from_ms..=self.to_ms).contains(&event.time_ms);
-        let tells = CONTEXT_EVENTS.contains(&event.name.as_str());
-        let concerns = match event.get("instance") {
+        let is_in_range = (self.from_ms..=self.to_ms).contains(&event.time_ms);
+        let is_context_event = CONTEXT_EVENTS.contains(&event.name.as_str());
+        let is_related = match event.get("instance") {
             Some(instance) => self.instances.contains(instance),
             None => event.get("node").is_some_and(|node| self.nodes.contains(node)),
         };
-        in_time && tells && concerns
+        is_in_range && is_context_event && is_related
     }
 }
 
-/// `explain REQUEST FILE...`; `-` stands for standard input.
+/// Runs `explain REQUEST FILE...`; `-` stands for standard input.
 pub fn explain(parser: &mut lexopt::Parser) -> miette::Result<ExitCode> {
-    let request = crate::arguments::next_word(parser)?;
-    let request = request.ok_or(ArgumentError::Missing("the id of a request"))?;
+    let request = crate::arguments::next_positional(parser)?;
+    let request = request.ok_or(ArgumentError::Missing("a request id"))?;
     let mut texts = Vec::new();
     while let Some(argument) = parser.next().map_err(ArgumentError::from)? {
         match argument {
-            Arg::Value(path) => texts.push(read(path.into())?),
+            Arg::Value(path) => texts.push(read_log(path.into())?),
             other => return Err(ArgumentError::from(other.unexpected()).into()),
         }
     }
     if texts.is_empty() {
         return Err(ArgumentError::Missing("a log file").into());
     }
-    let story = Story::of(&request, &texts);
-    print!("{}", story.text(&request));
+    let timeline = RequestTimeline::collect(&request, &texts);
+    print!("{}", timeline.render(&request));
     Ok(ExitCode::SUCCESS)
 }
 
-fn read(path: PathBuf) -> Result<String, ExplainError> {
+fn read_log(path: PathBuf) -> Result<String, ExplainError> {
     let mut bytes = Vec::new();
-    let read = match path.as_os_str() == "-" {
+    let outcome = match path.as_os_str() == "-" {
         true => std::io::stdin().read_to_end(&mut bytes).map(|_| ()),
         false => std::fs::read(&path).map(|content| bytes = content),
     };
-    read.map_err(|source| ExplainError::Read { path, source })?;
+    outcome.map_err(|source| ExplainError::Read { path, source })?;
     Ok(String::from_utf8_lossy(&bytes).into_owned())
 }
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -1,4 +1,4 @@
-//! The juniperhollow command line: daemons and operator commands.
+//! Command line of `juniperhollow`: daemons and operator commands.
 
 pub mod arguments;
 pub mod check;
@@ -16,21 +16,21 @@
 
 use arguments::ArgumentError;
 
-/// Exit code of a write that lost against a newer revision.
+/// Exit code of a write that conflicts with a newer revision.
 pub const EXIT_CONFLICT: u8 = 3;
 
-/// Exit code of a file or change with faults.
+/// Exit code for a file or change that fails validation.
 pub const EXIT_FAULTS: u8 = 4;
 
-/// Runs the program and returns its exit code.
+/// Runs the program with the arguments of the process and returns the exit code.
 pub fn main() -> ExitCode {
     run(std::env::args_os().skip(1))
 }
 
-/// Runs the program with `arguments`, its own name left out, and returns its exit code.
+/// Runs the program with `arguments` (without the program name) and returns the exit code.
 pub fn run(arguments: impl IntoIterator<Item = OsString>) -> ExitCode {
     let arguments: Vec<OsString> = arguments.into_iter().collect();
-    if let Some(help) = help_asked_for(&arguments) {
+    if let Some(help) = requested_help(&arguments) {
         print!("{help}");
         return ExitCode::SUCCESS;
     }
@@ -39,7 +39,7 @@
         Ok(code) => code,
         Err(report) => {
             eprintln!("{report:?}");
-            if let Some(option) = option_meant(&report) {
+            if let Some(option) = suggested_option(&report) {
                 eprintln!("Did you mean '{option}'?");
             }
             exit_code_of(&report)
@@ -47,9 +47,9 @@
     }
 }
 
-/// The help that the arguments ask for, if they do: that of the command they name, or the
-/// general one.
-fn help_asked_for(arguments: &[OsString]) -> Option<String> {
+/// Returns the help text if the arguments contain `--help` or `-h`: that of the named command,
+/// or the general one.
+fn requested_help(arguments: &[OsString]) -> Option<String> {
     let is_help = |argument: &OsString| argument == "--help" || argument == "-h";
     let (first_help, _) = arguments.iter().enumerate().find(|(_, given)| is_help(given))?;
     let words = arguments[..first_help].iter().map(|word| word.to_string_lossy().into_owned());
@@ -57,21 +57,21 @@
     if words.is_empty() {
         return Some(commands::general_help());
     }
-    if let Some(command) = commands::find(&words) {
+    if let Some(command) = commands::find_command(&words) {
         return Some(command.help());
     }
-    // A word such as `tree`, which several commands begin with.
+    // First word of several commands, such as `tree`.
     commands::COMMANDS
         .iter()
         .any(|command| command.words.starts_with(&format!("{} ", words[0])))
         .then(commands::general_help)
 }
 
-/// The option that was probably meant, if the failure is that there is no such option.
-fn option_meant(report: &miette::Report) -> Option<&'static str> {
+/// Returns the closest known option if the error is an unknown option.
+fn suggested_option(report: &miette::Report) -> Option<&'static str> {
     match report.downcast_ref::<ArgumentError>()? {
         ArgumentError::Parse(lexopt::Error::UnexpectedOption(given)) => {
-            commands::nearest_option(given)
+            commands::closest_option(given)
         }
         _ => None,
     }
@@ -82,14 +82,16 @@
         return ExitCode::from(2);
     }
     match report.downcast_ref::<client::ClientError>() {
-        Some(client::ClientError::Answer { status: 409, .. }) => ExitCode::from(EXIT_CONFLICT),
-        Some(client::ClientError::Answer { status: 422, .. }) => ExitCode::from(EXIT_FAULTS),
+        Some(client::ClientError::ErrorResponse { status: 409, .. }) => {
+            ExitCode::from(EXIT_CONFLICT)
+        }
+        Some(client::ClientError::ErrorResponse { status: 422, .. }) => ExitCode::from(EXIT_FAULTS),
         _ => ExitCode::FAILURE,
     }
 }
 
 fn dispatch(parser: &mut lexopt::Parser) -> miette::Result<ExitCode> {
-    let Some(command) = arguments::next_word(parser)? else {
+    let Some(command) = arguments::next_positional(parser)? else {
         print!("{}", commands::general_help());
         return Ok(ExitCode::SUCCESS);
     };
--- a/crates/cli/src/logging.rs
+++ b/crates/cli/src/logging.rs
@@ -1,36 +1,36 @@
-//! Logs: one line of key=value pairs for each event, by `log` and `fern`.
+//! Logging setup: one line of `key=value` pairs per event, to standard error or a file.
 
 use std::path::PathBuf;
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use log::LevelFilter;
 
-/// Where logs go and how much of them.
+/// Log destination and level.
 #[derive(Clone, Debug)]
 pub struct LogSettings {
-    /// Least severe level that is written.
+    /// Least severe level that is logged.
     pub level: LevelFilter,
     /// File to append to; standard error when absent.
     pub file: Option<PathBuf>,
 }
 
-/// Why logging could not start.
+/// Failure to start logging.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum LoggingError {
-    /// The file can't be opened.
+    /// The log file can't be opened.
     #[error("log file {path}: {source}")]
     File {
-        /// The file.
+        /// Path of the log file.
         path: PathBuf,
-        /// Why.
+        /// Cause.
         source: std::io::Error,
     },
-    /// Logging was started twice.
-    #[error("logging was started twice")]
-    Twice,
+    /// A logger is already installed.
+    #[error("a logger is already installed")]
+    AlreadyStarted,
 }
 
-/// Starts logging for the process; `node` stands in every line.
+/// Installs the logger of the process; every line contains `node`.
 pub fn start(settings: &LogSettings, node: String) -> Result<(), LoggingError> {
     let mut dispatch = fern::Dispatch::new()
         .level(settings.level)
@@ -39,7 +39,7 @@
         .format(move |out, message, record| {
             out.finish(format_args!(
                 "time_ms={} level={} node={node} module={} {message}",
-                unix_millis(),
+                unix_time_ms(),
                 record.level().as_str().to_ascii_lowercase(),
                 record.target(),
             ));
@@ -52,9 +52,9 @@
             dispatch.chain(file)
         }
     };
-    dispatch.apply().map_err(|_| LoggingError::Twice)
+    dispatch.apply().map_err(|_| LoggingError::AlreadyStarted)
 }
 
-fn unix_millis() -> u128 {
+fn unix_time_ms() -> u128 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |elapsed| elapsed.as_millis())
 }
--- a/crates/cli/src/operator.rs
+++ b/crates/cli/src/operator.rs
@@ -1,4 +1,4 @@
-//! Operator commands against a running fleet.
+//! Operator commands: calls to the control replicas' operator API.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -12,31 +12,31 @@
 use crate::client::OperatorClient;
 use crate::output::{Format, print};
 
-/// Why an operator command failed before it was sent.
+/// Failure of an operator command before its request is sent.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum OperatorError {
-    /// The file with the change can't be read.
+    /// Unreadable change file.
     #[error("change file {path}: {source}")]
     ChangeFile {
-        /// The file.
+        /// Path of the change file.
         path: PathBuf,
-        /// Why.
+        /// Cause.
         source: std::io::Error,
     },
-    /// The file with the change is not JSON.
+    /// Change file that is not JSON.
     #[error("change file {path}: {source}")]
     ChangeJson {
-        /// The file.
+        /// Path of the change file.
         path: PathBuf,
-        /// Where and why.
+        /// Cause, with its position.
         source: serde_json::Error,
     },
-    /// The runtime could not be started.
+    /// The async runtime can't be started.
     #[error("can't start the runtime: {0}")]
     Runtime(std::io::Error),
 }
 
-/// Options and words of an operator command.
+/// Options and positional arguments of an operator command.
 #[derive(Default)]
 struct OperatorArguments {
     replicas: Vec<String>,
@@ -62,12 +62,12 @@
 }
 
 impl OperatorArguments {
-    fn word(&self, at: usize, name: &'static str) -> Result<&str, ArgumentError> {
-        self.words.get(at).map(String::as_str).ok_or(ArgumentError::Missing(name))
+    fn positional(&self, index: usize, name: &'static str) -> Result<&str, ArgumentError> {
+        self.words.get(index).map(String::as_str).ok_or(ArgumentError::Missing(name))
     }
 
-    fn path(&self, at: usize) -> Result<SettingsPath, ArgumentError> {
-        let text = self.word(at, "PATH")?;
+    fn settings_path(&self, index: usize) -> Result<SettingsPath, ArgumentError> {
+        let text = self.positional(index, "PATH")?;
         text.parse().map_err(|_| ArgumentError::Value {
             name: "PATH",
             value: text.to_owned(),
@@ -75,7 +75,7 @@
         })
     }
 
-    /// Sends one call and prints its answer.
+    /// Sends one request and prints the response.
     fn call(&self, method: Method, path: &str, body: Option<&Value>) -> miette::Result<ExitCode> {
         let key_file =
             self.key_file.as_deref().ok_or(ArgumentError::Missing("--operator-key-file"))?;
@@ -84,8 +84,8 @@
             .enable_all()
             .build()
             .map_err(OperatorError::Runtime)?;
-        let answer = runtime.block_on(client.call(method, path, body))?;
-        print(&answer, self.format);
+        let response = runtime.block_on(client.call(method, path, body))?;
+        print(&response, self.format);
         Ok(ExitCode::SUCCESS)
     }
 
@@ -94,28 +94,28 @@
     }
 }
 
-/// `tree get|effective|apply|diff|history|rollback`.
+/// Runs `tree get|effective|apply|diff|history|rollback`.
 pub fn tree(parser: &mut lexopt::Parser) -> miette::Result<ExitCode> {
     let arguments = read_arguments(parser)?;
-    match arguments.word(0, "a tree command")? {
+    match arguments.positional(0, "a tree command")? {
         "get" if arguments.words.len() < 2 => arguments.get("/v1/settings"),
-        "get" => arguments.get(&format!("/v1/settings/node?path={}", arguments.path(1)?)),
+        "get" => arguments.get(&format!("/v1/settings/node?path={}", arguments.settings_path(1)?)),
         "effective" => {
-            arguments.get(&format!("/v1/settings/effective?path={}", arguments.path(1)?))
+            arguments.get(&format!("/v1/settings/effective?path={}", arguments.settings_path(1)?))
         }
         "history" => arguments.get("/v1/settings/history"),
         "diff" => {
-            let from = number("FROM", arguments.word(1, "FROM")?)?;
-            let to = number("TO", arguments.word(2, "TO")?)?;
+            let from = number("FROM", arguments.positional(1, "FROM")?)?;
+            let to = number("TO", arguments.positional(2, "TO")?)?;
             arguments.get(&format!("/v1/settings/diff?from={from}&to={to}"))
         }
         "rollback" => {
-            let to = number("REVISION", arguments.word(1, "REVISION")?)?;
+            let to = number("REVISION", arguments.positional(1, "REVISION")?)?;
             let body = json!({ "to": to, "change_id": new_change_id("rollback") });
             arguments.call(Method::POST, "/v1/settings/rollbacks", Some(&body))
         }
         "apply" => {
-            let body = read_change(arguments.word(1, "FILE")?)?;
+            let body = read_change(arguments.positional(1, "FILE")?)?;
             arguments.call(Method::POST, "/v1/settings/changes", Some(&body))
         }
         other => Err(ArgumentError::unknown_command(&format!("tree {other}")).into()),
@@ -130,37 +130,37 @@
 }
 
 fn new_change_id(kind: &str) -> String {
-    let number: u64 = rand::random();
-    format!("{kind}-{number:016x}")
+    let suffix: u64 = rand::random();
+    format!("{kind}-{suffix:016x}")
 }
 
-/// `nodes`.
+/// Runs `nodes`.
 pub fn nodes(parser: &mut lexopt::Parser) -> miette::Result<ExitCode> {
     read_arguments(parser)?.get("/v1/nodes")
 }
 
-/// `status`.
+/// Runs `status`.
 pub fn status(parser: &mut lexopt::Parser) -> miette::Result<ExitCode> {
     read_arguments(parser)?.get("/v1/status")
 }
 
-/// `quarantine list|release FINGERPRINT`.
+/// Runs `quarantine list|release FINGERPRINT`.
 pub fn quarantine(parser: &mut lexopt::Parser) -> miette::Result<ExitCode> {
     let arguments = read_arguments(parser)?;
-    match arguments.word(0, "a quarantine command")? {
+    match arguments.positional(0, "a quarantine command")? {
         "list" => arguments.get("/v1/quarantine"),
         "release" => {
-            let fingerprint = arguments.word(1, "FINGERPRINT")?;
+            let fingerprint = arguments.positional(1, "FINGERPRINT")?;
             arguments.call(Method::DELETE, &format!("/v1/quarantine/{fingerprint}"), None)
         }
         other => Err(ArgumentError::unknown_command(&format!("quarantine {other}")).into()),
     }
 }
 
-/// `drain ENGINE`.
+/// Runs `drain ENGINE [--undo]`.
 pub fn drain(parser: &mut lexopt::Parser) -> miette::Result<ExitCode> {
     let arguments = read_arguments(parser)?;
-    let engine = number("ENGINE", arguments.word(0, "ENGINE")?)?;
+    let engine = number("ENGINE", arguments.positional(0, "ENGINE")?)?;
     let body = json!({ "leaving": !arguments.undo, "change_id": new_change_id("drain") });
     arguments.call(Method::POST, &format!("/v1/back-ends/{engine}/drain"), Some(&body))
 }
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -1,21 +1,21 @@
-//! How answers are printed: text for people, JSON for scripts.
+//! Output formats of command results.
 
 use serde_json::Value;
 
 use crate::arguments::ArgumentError;
 
-/// Form of the output.
+/// Output format.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Format {
-    /// For people.
+    /// Human-readable text.
     #[default]
     Text,
-    /// For scripts.
+    /// JSON, for scripts.
     Json,
 }
 
 impl Format {
-    /// Reads the value of `--format`.
+    /// Parses the value of `--format`.
     pub fn parse(text: &str) -> Result<Self, ArgumentError> {
         match text {
             "text" => Ok(Format::Text),
@@ -29,7 +29,7 @@
     }
 }
 
-/// Prints `value` on standard output.
+/// Prints `value` to standard output.
 pub fn print(value: &Value, format: Format) {
     match format {
         Format::Json => println!("{value}"),
@@ -37,7 +37,7 @@
     }
 }
 
-/// One line of key=value pairs for each entry of a list; indented otherwise.
+/// Prints objects indented and list entries as one line of `key=value` pairs each.
 fn print_text(value: &Value, depth: usize) {
     match value {
         Value::Object(fields) => {
@@ -47,10 +47,10 @@
         }
         Value::Array(entries) => {
             for entry in entries {
-                println!("{}{}", indent(depth), pairs(entry));
+                println!("{}{}", indent(depth), format_entry(entry));
             }
         }
-        scalar => println!("{}{}", indent(depth), plain(scalar)),
+        scalar => println!("{}{}", indent(depth), format_scalar(scalar)),
     }
 }
 
@@ -60,7 +60,7 @@
             println!("{}{key}:", indent(depth));
             print_text(field, depth + 1);
         }
-        scalar => println!("{}{key}: {}", indent(depth), plain(scalar)),
+        scalar => println!("{}{key}: {}", indent(depth), format_scalar(scalar)),
     }
 }
 
@@ -68,18 +68,20 @@
     "  ".repeat(depth)
 }
 
-fn pairs(entry: &Value) -> String {
+fn format_entry(entry: &Value) -> String {
     match entry {
         Value::Object(fields) => {
-            let pairs: Vec<String> =
-                fields.iter().map(|(key, value)| format!("{key}={}", plain(value))).collect();
+            let pairs: Vec<String> = fields
+                .iter()
+                .map(|(key, value)| format!("{key}={}", format_scalar(value)))
+                .collect();
             pairs.join(" ")
         }
-        other => plain(other),
+        other => format_scalar(other),
     }
 }
 
-fn plain(value: &Value) -> String {
+fn format_scalar(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
         other => other.to_string(),
--- a/crates/cli/src/recover.rs
+++ b/crates/cli/src/recover.rs
@@ -1,7 +1,7 @@
-//! `recover`: the way out of a quorum that is lost for good.
+//! `recover`: disaster recovery after a permanent loss of quorum.
 //!
-//! Works on the data folders of stopped replicas, without any daemon. Without
-//! `--apply` it only shows what would be done.
+//! Works offline on the data folders of stopped replicas. Without `--apply` the plan is only
+//! printed.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -23,35 +23,35 @@
 const INCOMPLETE: &str = "the folders hold no majority of the voters: the newest accepted \
                           changes may be missing";
 
-/// Why a recovery was not planned or not carried out.
+/// Failure to plan or apply a recovery.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum RecoverError {
-    /// There is no such folder.
+    /// Folder that doesn't exist or can't be resolved.
     #[error("{path}: {source}")]
     NoFolder {
-        /// The folder as it was given.
+        /// Path as given on the command line.
         path: PathBuf,
-        /// Why it can't be used.
+        /// Cause.
         source: std::io::Error,
     },
-    /// A folder can't be read. Its replica may still be running.
+    /// Folder that can't be opened or read, for example because its replica is still running.
     #[error("{path}: {source}")]
     #[diagnostic(help("stop every control replica first; leave out folders that can't be read"))]
     Unreadable {
-        /// The folder.
+        /// Path of the folder.
         path: PathBuf,
-        /// Why.
+        /// Cause.
         source: OpenError,
     },
-    /// There is nothing to choose from.
+    /// No folder qualifies for recovery.
     #[error(transparent)]
     Plan(#[from] RecoveryError),
-    /// The plan was not carried out on the chosen folder.
+    /// The plan couldn't be applied to the chosen folder.
     #[error("{path}: {source}")]
     Apply {
-        /// The chosen folder.
+        /// Path of the chosen folder.
         path: PathBuf,
-        /// Why.
+        /// Cause.
         source: RecoveryError,
     },
 }
@@ -79,28 +79,28 @@
     Ok(arguments)
 }
 
-/// `recover --folder DIR [--folder DIR…] [--apply]`.
+/// Runs `recover --folder DIR [--folder DIR…] [--apply]`.
 pub fn recover(parser: &mut lexopt::Parser) -> miette::Result<ExitCode> {
     let arguments = read_arguments(parser)?;
-    let inspected = inspect_all(find_folders(&arguments.folders)?)?;
+    let inspected = inspect_all(resolve_folders(&arguments.folders)?)?;
     let reports = inspected.iter().map(|folder| folder.report.clone()).collect();
     let plan = plan(reports, rand::random()).map_err(RecoverError::from)?;
     if arguments.is_applied {
-        carry_out(&plan, &inspected)?;
+        apply_plan(&plan, &inspected)?;
     }
     print(&describe(&plan, &inspected, arguments.is_applied), arguments.format);
     Ok(ExitCode::SUCCESS)
 }
 
-/// The replicas' folders behind the given ones. A folder named twice is refused:
-/// it would be reported as in use by another process.
-fn find_folders(given: &[PathBuf]) -> miette::Result<Vec<PathBuf>> {
+/// Resolves the given paths to replica folders. A duplicate is rejected, since opening it a
+/// second time would fail with a misleading lock error.
+fn resolve_folders(given: &[PathBuf]) -> miette::Result<Vec<PathBuf>> {
     let mut found = Vec::new();
     for path in given {
-        let folder = find_folder(path)?;
+        let folder = resolve_folder(path)?;
         if found.contains(&folder) {
             let value = path.display().to_string();
-            let allowed = "a folder that was not named before";
+            let allowed = "a folder that was not given before";
             return Err(ArgumentError::Value { name: "--folder", value, allowed }.into());
         }
         found.push(folder);
@@ -108,31 +108,31 @@
     Ok(found)
 }
 
-/// The replica's own folder, if `given` is that or the node's data folder around it.
-/// It must be there: opening a folder would make it.
-fn find_folder(given: &Path) -> Result<PathBuf, RecoverError> {
+/// Resolves a replica folder or a node's data folder to the replica folder. The folder must
+/// exist, since opening it would create it.
+fn resolve_folder(given: &Path) -> Result<PathBuf, RecoverError> {
     let inner = given.join(REPLICA_FOLDER);
     let folder = if inner.is_dir() { inner } else { given.to_path_buf() };
     let canonical = folder.canonicalize();
     canonical.map_err(|source| RecoverError::NoFolder { path: given.to_path_buf(), source })
 }
 
-/// A folder and what it holds.
-struct Inspected {
+/// Replica folder with the report on its contents.
+struct InspectedFolder {
     path: PathBuf,
     report: FolderReport,
 }
 
-/// Reads all folders. They stay locked until the last is read, so that the reports
-/// belong together, and are free again on return.
-fn inspect_all(paths: Vec<PathBuf>) -> Result<Vec<Inspected>, RecoverError> {
+/// Inspects all folders, holding every lock until the last one is read so that the reports are
+/// consistent with each other. The locks are released on return.
+fn inspect_all(paths: Vec<PathBuf>) -> Result<Vec<InspectedFolder>, RecoverError> {
     let mut locked = Vec::new();
     let mut inspected = Vec::new();
     for path in paths {
         match inspect_one(&path) {
             Ok((folder, report)) => {
                 locked.push(folder);
-                inspected.push(Inspected { path, report });
+                inspected.push(InspectedFolder { path, report });
             }
             Err(source) => return Err(RecoverError::Unreadable { path, source }),
         }
@@ -146,7 +146,7 @@
     Ok((folder, report))
 }
 
-fn carry_out(plan: &RecoveryPlan, inspected: &[Inspected]) -> Result<(), RecoverError> {
+fn apply_plan(plan: &RecoveryPlan, inspected: &[InspectedFolder]) -> Result<(), RecoverError> {
     for folder in inspected.iter().filter(|folder| folder.report == plan.chosen) {
         let opened = Folder::new(&folder.path).map_err(|error| OpenError::from(error).into());
         let applied = opened.and_then(|disk| apply(disk, plan));
@@ -155,16 +155,15 @@
     Ok(())
 }
 
-fn describe(plan: &RecoveryPlan, inspected: &[Inspected], is_applied: bool) -> Value {
+fn describe(plan: &RecoveryPlan, inspected: &[InspectedFolder], is_applied: bool) -> Value {
     let folder = |report: &FolderReport| {
         let found = inspected.iter().find(|folder| folder.report == *report);
         describe_folder(found.map(|folder| folder.path.as_path()), report)
     };
     let given_up: Vec<Value> = plan.given_up.iter().map(folder).collect();
-    // The plan passes over replicas that never joined a cluster; the operator should
-    // not have to wonder where they are.
-    let blank = inspected.iter().filter(|folder| folder.report.epoch == ClusterEpoch::NONE);
-    let never_joined: Vec<Value> = blank.map(|blank| folder(&blank.report)).collect();
+    // The plan omits replicas that never joined a cluster, so they are listed separately.
+    let unjoined = inspected.iter().filter(|folder| folder.report.epoch == ClusterEpoch::NONE);
+    let never_joined: Vec<Value> = unjoined.map(|inspected| folder(&inspected.report)).collect();
     let missing_voters: Vec<Value> = plan.missing_voters.iter().map(describe_replica).collect();
     let membership: Vec<Value> = plan.membership.members.iter().map(describe_member).collect();
     json!({
