--- a/crates/logging/src/lib.rs
+++ b/crates/logging/src/lib.rs
@@ -1,9 +1,8 @@
-//! Structured log lines with a bounded volume.
+//! Non-blocking, rate-limited structured logging.
 //!
-//! Every event is one line of key=value pairs. A line is handed to a thread that
-//! writes; if the reader doesn't read, lines are left out and counted, and the
-//! process goes on. The volume is bounded too ([`LineBudget`]): what is left out
-//! under load is counted by kind, and failures are left out last.
+//! Each event is one line of `key=value` pairs, written by a background thread. Lines are dropped
+//! and counted by event name when the output blocks or the rate limits of [`LineBudget`] are
+//! exceeded; warnings and errors are dropped last.
 
 mod budget;
 mod writer;
@@ -16,29 +15,29 @@
 pub use budget::{Admission, LineBudget, LineLimits};
 pub use writer::{LineWriter, WriterLimits};
 
-/// Logging can't be started.
+/// Failure to start logging.
 #[derive(Debug, thiserror::Error)]
 pub enum LoggingError {
-    /// It was started before.
-    #[error("logging was started twice")]
-    Twice,
-    /// The thread that writes can't be started.
-    #[error("can't start the thread that writes: {0}")]
+    /// A logger is already installed.
+    #[error("a logger is already installed")]
+    AlreadyStarted,
+    /// The writer thread can't be spawned.
+    #[error("can't spawn the log writer thread: {0}")]
     Thread(#[from] std::io::Error),
 }
 
-/// What a process logs.
+/// Logging settings of a process.
 #[derive(Clone, Debug)]
 pub struct LogSettings {
-    /// Name of the node, in every line.
+    /// Node name, included in every line.
     pub node: String,
-    /// Least severe level that is written.
+    /// Least severe level that is logged.
     pub level: LevelFilter,
-    /// Bounds on the volume.
+    /// Rate limits for log lines.
     pub limits: LineLimits,
 }
 
-/// Writes out what waits when it is dropped.
+/// Flushes queued log lines on drop.
 pub struct LoggingGuard(LineWriter);
 
 impl Drop for LoggingGuard {
@@ -47,16 +46,16 @@
     }
 }
 
-/// Starts logging to `output` for the process.
+/// Installs the logger of the process, writing to `output`.
 ///
 /// # Errors
-/// Fails when logging was started before, or for want of a thread.
+/// Fails if a logger is already installed or the writer thread can't be spawned.
 pub fn start(
     settings: &LogSettings,
     output: impl Write + Send + 'static,
 ) -> Result<LoggingGuard, LoggingError> {
     let writer = LineWriter::start(output, WriterLimits::default(), settings.limits)?;
-    let lines = writer.clone();
+    let record_writer = writer.clone();
     let node = settings.node.clone();
     let dispatch = fern::Dispatch::new()
         .level(settings.level)
@@ -64,13 +63,13 @@
         .chain(fern::Output::call(move |record| {
             let level = record.level().as_str().to_ascii_lowercase();
             let message =
-                format!("time_ms={} level={level} node={node} {}\n", unix_millis(), record.args());
-            lines.write(record.level(), message);
+                format!("time_ms={} level={level} node={node} {}\n", unix_time_ms(), record.args());
+            record_writer.write(record.level(), message);
         }));
-    dispatch.apply().map_err(|_| LoggingError::Twice)?;
+    dispatch.apply().map_err(|_| LoggingError::AlreadyStarted)?;
     Ok(LoggingGuard(writer))
 }
 
-fn unix_millis() -> u128 {
+fn unix_time_ms() -> u128 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |elapsed| elapsed.as_millis())
 }
--- a/crates/logging/src/writer.rs
+++ b/crates/logging/src/writer.rs
@@ -1,4 +1,4 @@
-//! The thread that writes lines.
+//! Background thread that writes log lines.
 
 use std::io::Write;
 use std::sync::mpsc::{Receiver, RecvTimeoutError, SyncSender, sync_channel};
@@ -9,124 +9,130 @@
 
 use crate::budget::{Admission, LineBudget, LineLimits};
 
-/// Bounds on what waits to be written.
+/// Bounds on queueing and batching of log lines.
 #[derive(Clone, Copy, Debug)]
 pub struct WriterLimits {
-    /// Lines that wait; further ones are left out.
-    pub waiting_lines: usize,
-    /// Time for which lines are gathered, so that many go in one write.
-    pub gather: Duration,
-    /// Longest wait for the last lines at the end of the process.
-    pub flush: Duration,
+    /// Capacity of the queue, in lines; lines beyond it are dropped.
+    pub max_queued_lines: usize,
+    /// Longest time for which lines are batched into one write.
+    pub max_batch_delay: Duration,
+    /// Timeout of [`LineWriter::flush`].
+    pub flush_timeout: Duration,
 }
 
 impl Default for WriterLimits {
     fn default() -> Self {
         WriterLimits {
-            waiting_lines: 1_024,
-            gather: Duration::from_millis(40),
-            flush: Duration::from_millis(200),
+            max_queued_lines: 1_024,
+            max_batch_delay: Duration::from_millis(40),
+            flush_timeout: Duration::from_millis(200),
         }
     }
 }
 
-/// Bytes that are gathered for one write.
-const MAX_GATHERED_BYTES: usize = 16 << 10;
+/// Batch size in bytes at which a write starts without further delay.
+const MAX_BATCH_BYTES: usize = 16 << 10;
 
 enum Item {
     Line(String),
     Flush(SyncSender<()>),
 }
 
-/// Hands lines to the thread that writes. It never blocks.
+/// Handle that queues lines for the writer thread without blocking.
 #[derive(Clone)]
 pub struct LineWriter {
     items: SyncSender<Item>,
     budget: Arc<Mutex<LineBudget>>,
     started: Instant,
-    flush: Duration,
+    flush_timeout: Duration,
 }
 
 impl LineWriter {
-    /// Starts the thread.
+    /// Spawns the writer thread.
     ///
     /// # Errors
-    /// Fails when there is no thread to be had.
+    /// Fails if the thread can't be spawned.
     pub fn start(
         output: impl Write + Send + 'static,
         limits: WriterLimits,
-        lines: LineLimits,
+        line_limits: LineLimits,
     ) -> Result<Self, std::io::Error> {
-        let (items, receiver) = sync_channel(limits.waiting_lines);
-        let budget = Arc::new(Mutex::new(LineBudget::new(lines)));
-        let for_thread = Arc::clone(&budget);
+        let (items, receiver) = sync_channel(limits.max_queued_lines);
+        let budget = Arc::new(Mutex::new(LineBudget::new(line_limits)));
+        let thread_budget = Arc::clone(&budget);
         std::thread::Builder::new()
             .name("log".to_owned())
             .stack_size(THREAD_STACK_BYTES)
-            .spawn(move || write_for_ever(output, &receiver, &for_thread, limits.gather))?;
-        Ok(LineWriter { items, budget, started: Instant::now(), flush: limits.flush })
+            .spawn(move || run_writer(output, &receiver, &thread_budget, limits.max_batch_delay))?;
+        Ok(LineWriter {
+            items,
+            budget,
+            started: Instant::now(),
+            flush_timeout: limits.flush_timeout,
+        })
     }
 
-    /// Hands on a line, or leaves it out if the volume is used up or too much waits.
+    /// Queues a line, or drops it if the rate limit is exceeded or the queue is full.
     pub fn write(&self, level: Level, line: String) {
         let mut budget = self.budget.lock().unwrap_or_else(PoisonError::into_inner);
-        if budget.admit(level, &line, self.started.elapsed()) == Admission::LeftOut {
+        if budget.admit(level, &line, self.started.elapsed()) == Admission::Dropped {
             return;
         }
-        if let Err(refused) = self.items.try_send(Item::Line(line)) {
+        if let Err(rejected) = self.items.try_send(Item::Line(line)) {
             let (std::sync::mpsc::TrySendError::Full(item)
-            | std::sync::mpsc::TrySendError::Disconnected(item)) = refused;
+            | std::sync::mpsc::TrySendError::Disconnected(item)) = rejected;
             if let Item::Line(line) = item {
-                budget.leave_out(&line);
+                budget.count_dropped(&line);
             }
         }
     }
 
-    /// Waits until everything is written, but not for long.
+    /// Waits until all queued lines are written, or until the flush timeout.
     pub fn flush(&self) {
         let (done, written) = sync_channel(1);
         if self.items.try_send(Item::Flush(done)).is_ok() {
-            // The reader may not read; the process ends all the same.
-            let _ = written.recv_timeout(self.flush);
+            // A blocked output must not delay the end of the process.
+            let _ = written.recv_timeout(self.flush_timeout);
         }
     }
 }
 
-/// The thread formats nothing and calls little.
+/// Stack size of the writer thread, whose calls are shallow.
 const THREAD_STACK_BYTES: usize = 64 << 10;
 
-fn write_for_ever(
+fn run_writer(
     mut output: impl Write,
     items: &Receiver<Item>,
     budget: &Mutex<LineBudget>,
-    gather: Duration,
+    max_batch_delay: Duration,
 ) {
     while let Ok(first) = items.recv() {
         let mut text = String::new();
-        let mut flushed = Vec::new();
-        take(first, &mut text, &mut flushed);
-        let until = Instant::now() + gather;
-        while text.len() < MAX_GATHERED_BYTES && flushed.is_empty() {
-            match items.recv_timeout(until.saturating_duration_since(Instant::now())) {
-                Ok(item) => take(item, &mut text, &mut flushed),
+        let mut flush_waiters = Vec::new();
+        add_to_batch(first, &mut text, &mut flush_waiters);
+        let deadline = Instant::now() + max_batch_delay;
+        while text.len() < MAX_BATCH_BYTES && flush_waiters.is_empty() {
+            match items.recv_timeout(deadline.saturating_duration_since(Instant::now())) {
+                Ok(item) => add_to_batch(item, &mut text, &mut flush_waiters),
                 Err(RecvTimeoutError::Timeout | RecvTimeoutError::Disconnected) => break,
             }
         }
-        let left_out = budget.lock().unwrap_or_else(PoisonError::into_inner).take_left_out();
-        for (kind, count) in left_out {
-            text.push_str(&format!("level=warn event=lines_left_out kind={kind} count={count}\n"));
+        let dropped_counts =
+            budget.lock().unwrap_or_else(PoisonError::into_inner).take_dropped_counts();
+        for (event, count) in dropped_counts {
+            text.push_str(&format!("level=warn event=lines_left_out kind={event} count={count}\n"));
         }
-        // A closed pipe has no reader to tell.
+        // A write error can't be reported anywhere else.
         let _ = output.write_all(text.as_bytes()).and_then(|()| output.flush());
-        for done in flushed {
+        for done in flush_waiters {
             let _ = done.try_send(());
         }
     }
 }
 
-fn take(item: Item, text: &mut String, flushed: &mut Vec<SyncSender<()>>) {
+fn add_to_batch(item: Item, text: &mut String, flush_waiters: &mut Vec<SyncSender<()>>) {
     match item {
         Item::Line(line) => text.push_str(&line),
-        Item::Flush(done) => flushed.push(done),
+        Item::Flush(done) => flush_waiters.push(done),
     }
 }
--- a/crates/logging/tests/logging.rs
+++ b/crates/logging/tests/logging.rs
@@ -1,4 +1,4 @@
-//! The bound on the volume, and that nothing blocks.
+//! Rate limits of log lines, and writers that never block their callers.
 
 use std::io::Write;
 use std::sync::mpsc::{Receiver, Sender, channel};
@@ -11,46 +11,46 @@
 const LIMITS: LineLimits = LineLimits {
     lines_per_second: 10.0,
     bytes_per_second: 10_000.0,
-    saved_seconds: 2.0,
-    failure_part: 0.5,
+    burst_seconds: 2.0,
+    failure_reserve: 0.5,
 };
 
 #[test]
-fn under_a_tenfold_load_failures_are_left_out_last() {
+fn warnings_are_written_while_info_lines_are_dropped() {
     let mut budget = LineBudget::new(LIMITS);
-    let (mut decisions, mut failures) = (0, 0);
+    let (mut infos, mut warnings) = (0, 0);
     for step in 0..1_000_u64 {
         let now = Duration::from_millis(step * 10);
         if budget.admit(Level::Info, "time_ms=1 event=attempt x=1", now) == Admission::Written {
-            decisions += 1;
+            infos += 1;
         }
         if step % 20 == 0 && budget.admit(Level::Warn, "event=lost", now) == Admission::Written {
-            failures += 1;
+            warnings += 1;
         }
     }
-    // Ten seconds at ten lines a second, and what was saved up.
-    assert!((50..=121).contains(&(decisions + failures)), "{decisions} {failures}");
-    assert_eq!(failures, 50);
-    let left_out = budget.take_left_out();
-    assert_eq!(left_out.get("attempt"), Some(&(1_000 - decisions)));
-    assert_eq!(left_out.get("lost"), None);
-    assert!(budget.take_left_out().is_empty());
+    // Ten seconds at ten lines per second, plus the burst.
+    assert!((50..=121).contains(&(infos + warnings)), "{infos} {warnings}");
+    assert_eq!(warnings, 50);
+    let dropped = budget.take_dropped_counts();
+    assert_eq!(dropped.get("attempt"), Some(&(1_000 - infos)));
+    assert_eq!(dropped.get("lost"), None);
+    assert!(budget.take_dropped_counts().is_empty());
 }
 
 #[test]
-fn bytes_are_bounded_too() {
+fn the_byte_rate_is_limited() {
     let mut budget = LineBudget::new(LIMITS);
     let long = format!("event=long {}", "x".repeat(9_000));
     let admitted = |budget: &mut LineBudget| budget.admit(Level::Error, &long, Duration::ZERO);
     assert_eq!(admitted(&mut budget), Admission::Written);
     assert_eq!(admitted(&mut budget), Admission::Written);
-    assert_eq!(admitted(&mut budget), Admission::LeftOut);
+    assert_eq!(admitted(&mut budget), Admission::Dropped);
 }
 
-/// A pipe whose reader doesn't read: the first write hangs until the test ends.
-struct Stuck(Receiver<()>);
+/// Output that blocks on the first write until the test ends.
+struct BlockedOutput(Receiver<()>);
 
-impl Write for Stuck {
+impl Write for BlockedOutput {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         let _ = self.0.recv();
         Ok(bytes.len())
@@ -62,10 +62,11 @@
 }
 
 #[test]
-fn a_reader_that_does_not_read_holds_nobody_up() {
-    let (_release, stuck): (Sender<()>, _) = channel();
-    let limits = WriterLimits { waiting_lines: 4, ..WriterLimits::default() };
-    let writer = LineWriter::start(Stuck(stuck), limits, LineLimits::default()).expect("a thread");
+fn a_blocked_output_does_not_block_writers() {
+    let (_release, blocked): (Sender<()>, _) = channel();
+    let limits = WriterLimits { max_queued_lines: 4, ..WriterLimits::default() };
+    let writer =
+        LineWriter::start(BlockedOutput(blocked), limits, LineLimits::default()).expect("a thread");
     let started = Instant::now();
     for _ in 0..1_000 {
         writer.write(Level::Info, "event=attempt\n".to_owned());
@@ -75,9 +76,9 @@
 }
 
 #[derive(Clone, Default)]
-struct Kept(Arc<Mutex<Vec<u8>>>);
+struct SharedBuffer(Arc<Mutex<Vec<u8>>>);
 
-impl Write for Kept {
+impl Write for SharedBuffer {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         self.0.lock().expect("not poisoned").extend_from_slice(bytes);
         Ok(bytes.len())
@@ -89,24 +90,24 @@
 }
 
 #[test]
-fn what_was_left_out_is_told() {
-    let kept = Kept::default();
-    let limits = LineLimits { lines_per_second: 1.0, saved_seconds: 2.0, ..LIMITS };
+fn dropped_lines_are_counted_in_the_log() {
+    let output = SharedBuffer::default();
+    let limits = LineLimits { lines_per_second: 1.0, burst_seconds: 2.0, ..LIMITS };
     let writer =
-        LineWriter::start(kept.clone(), WriterLimits::default(), limits).expect("a thread");
+        LineWriter::start(output.clone(), WriterLimits::default(), limits).expect("a thread");
     for _ in 0..10 {
         writer.write(Level::Error, "event=lost\n".to_owned());
     }
     writer.flush();
-    let text = String::from_utf8(kept.0.lock().expect("not poisoned").clone()).expect("text");
+    let text = String::from_utf8(output.0.lock().expect("not poisoned").clone()).expect("text");
     assert_eq!(text.matches("event=lost\n").count(), 2, "{text}");
     assert!(text.contains("event=lines_left_out kind=lost count=8"), "{text}");
 }
 
-/// A pipe whose reader is gone.
-struct Closed;
+/// Output whose reader is gone.
+struct ClosedOutput;
 
-impl Write for Closed {
+impl Write for ClosedOutput {
     fn write(&mut self, _bytes: &[u8]) -> std::io::Result<usize> {
         Err(std::io::ErrorKind::BrokenPipe.into())
     }
@@ -117,9 +118,9 @@
 }
 
 #[test]
-fn a_closed_pipe_ends_nothing() {
+fn write_errors_are_ignored() {
     let limits = WriterLimits::default();
-    let writer = LineWriter::start(Closed, limits, LineLimits::default()).expect("a thread");
+    let writer = LineWriter::start(ClosedOutput, limits, LineLimits::default()).expect("a thread");
     for _ in 0..10 {
         writer.write(Level::Info, "event=attempt\n".to_owned());
     }
