--- a/crates/catalog/src/fault.rs
+++ b/crates/catalog/src/fault.rs
@@ -1,73 +1,73 @@
-//! Why a configuration is invalid.
+//! Validation of configurations.
 
 use std::collections::{HashMap, HashSet};
 
 use crate::model::{Catalog, Route};
 
-/// Why a configuration is invalid.
+/// Validation error of a configuration.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum CatalogFault {
-    /// A route names a service that the configuration doesn't hold.
-    #[error("route {route} names the unknown service {service:?}")]
+    /// Route that refers to an undefined service.
+    #[error("route {route} refers to the undefined service {service:?}")]
     UnknownService {
-        /// The route.
+        /// Name of the route.
         route: String,
-        /// The service.
+        /// Name of the service.
         service: String,
     },
-    /// Two routes share host and path prefix.
-    #[error("routes {first} and {second} share host and path prefix")]
-    SamePlace {
-        /// The earlier one.
+    /// Two routes with the same host and path prefix.
+    #[error("routes {first} and {second} have the same host and path prefix")]
+    DuplicateRoute {
+        /// Name of the route that comes first.
         first: String,
-        /// The later one.
+        /// Name of the route that comes second.
         second: String,
     },
-    /// The weights of a route add up to zero.
+    /// Route whose weights add up to zero.
     #[error("the weights of route {route} add up to 0")]
-    NoWeight {
-        /// The route.
+    ZeroWeight {
+        /// Name of the route.
         route: String,
     },
-    /// A route may hold requests for no time at all.
-    #[error("the time-out of route {route} is 0")]
+    /// Route with a timeout of zero.
+    #[error("the timeout of route {route} is 0")]
     NoTimeout {
-        /// The route.
+        /// Name of the route.
         route: String,
     },
-    /// Two tenants share a key.
-    #[error("tenants {first} and {second} share a key")]
+    /// Two tenants with the same key.
+    #[error("tenants {first} and {second} have the same key")]
     SharedKey {
-        /// The earlier one.
+        /// Name of the tenant that comes first.
         first: String,
-        /// The later one.
+        /// Name of the tenant that comes second.
         second: String,
     },
-    /// A limit is no number of units, or below zero.
-    #[error("the {field} of tenant {tenant} is {value}, which is no amount")]
+    /// Tenant limit that is negative or not finite.
+    #[error("the {field} of tenant {tenant} is {value}; it must be a finite number of at least 0")]
     Limit {
-        /// The tenant.
+        /// Name of the tenant.
         tenant: String,
-        /// Which part of the limit.
+        /// Field of the limit: `rate` or `burst`.
         field: &'static str,
-        /// What was stated.
+        /// Invalid value.
         value: f64,
     },
-    /// Two services have the same name.
-    #[error("service {service} stands twice")]
-    SameService {
-        /// The name.
+    /// Two services with the same name.
+    #[error("service {service} is defined twice")]
+    DuplicateService {
+        /// Name of the services.
         service: String,
     },
 }
 
 impl Catalog {
-    /// Everything that makes the configuration invalid; empty for a valid one.
+    /// Returns all validation errors; empty for a valid configuration.
     pub fn faults(&self) -> Vec<CatalogFault> {
         let mut faults = self.service_faults();
         faults.extend(self.route_faults());
-        faults.extend(self.place_faults());
-        faults.extend(self.key_faults());
+        faults.extend(self.duplicate_route_faults());
+        faults.extend(self.shared_key_faults());
         faults.extend(self.limit_faults());
         faults
     }
@@ -76,23 +76,23 @@
         let mut names = HashSet::new();
         let repeated = self.services.iter().filter(|service| !names.insert(service.name.as_str()));
         repeated
-            .map(|service| CatalogFault::SameService { service: service.name.clone() })
+            .map(|service| CatalogFault::DuplicateService { service: service.name.clone() })
             .collect()
     }
 
     fn route_faults(&self) -> Vec<CatalogFault> {
         let known: HashSet<&str> =
             self.services.iter().map(|service| service.name.as_str()).collect();
-        self.routes.iter().flat_map(|route| faults_of(route, &known)).collect()
+        self.routes.iter().flat_map(|route| faults_of_route(route, &known)).collect()
     }
 
-    fn place_faults(&self) -> Vec<CatalogFault> {
-        let mut places: HashMap<(&str, &str), &Route> = HashMap::new();
+    fn duplicate_route_faults(&self) -> Vec<CatalogFault> {
+        let mut routes_by_prefix: HashMap<(&str, &str), &Route> = HashMap::new();
         let mut faults = Vec::new();
         for route in &self.routes {
-            if let Some(first) = places.insert((&route.host, &route.path_prefix), route) {
+            if let Some(first) = routes_by_prefix.insert((&route.host, &route.path_prefix), route) {
                 let (first, second) = (first.name.clone(), route.name.clone());
-                faults.push(CatalogFault::SamePlace { first, second });
+                faults.push(CatalogFault::DuplicateRoute { first, second });
             }
         }
         faults
@@ -111,12 +111,12 @@
         faults
     }
 
-    fn key_faults(&self) -> Vec<CatalogFault> {
-        let mut holders: HashMap<&str, &str> = HashMap::new();
+    fn shared_key_faults(&self) -> Vec<CatalogFault> {
+        let mut key_owners: HashMap<&str, &str> = HashMap::new();
         let mut faults = Vec::new();
         for tenant in &self.tenants {
             for key in &tenant.keys {
-                let first = holders.insert(key, &tenant.name);
+                let first = key_owners.insert(key, &tenant.name);
                 if let Some(first) = first.filter(|first| *first != tenant.name) {
                     let (first, second) = (first.to_owned(), tenant.name.clone());
                     faults.push(CatalogFault::SharedKey { first, second });
@@ -127,7 +127,7 @@
     }
 }
 
-fn faults_of(route: &Route, known: &HashSet<&str>) -> Vec<CatalogFault> {
+fn faults_of_route(route: &Route, known: &HashSet<&str>) -> Vec<CatalogFault> {
     let mut faults = Vec::new();
     for part in &route.split {
         if !known.contains(part.service.as_str()) {
@@ -136,7 +136,7 @@
         }
     }
     if route.split.iter().all(|part| part.weight == 0) {
-        faults.push(CatalogFault::NoWeight { route: route.name.clone() });
+        faults.push(CatalogFault::ZeroWeight { route: route.name.clone() });
     }
     if route.timeout_ms == 0 {
         faults.push(CatalogFault::NoTimeout { route: route.name.clone() });
--- a/crates/catalog/src/index.rs
+++ b/crates/catalog/src/index.rs
@@ -1,79 +1,79 @@
-//! A configuration ready for lookups.
+//! Lookup tables of a configuration.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
 use crate::model::{Catalog, Route, Service, Tenant};
 
-/// What a key gives access to.
+/// Result of a key check.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum KeyAccess<'a> {
-    /// The key belongs to this tenant.
+    /// Valid key of this tenant.
     Tenant(&'a Tenant),
-    /// No key is needed.
+    /// No valid key, on a route that needs none.
     Open,
-    /// The key is unknown, or there is none where one is needed.
+    /// Missing or unknown key.
     Denied,
 }
 
-/// A configuration with tables for routes, services and keys.
+/// Configuration indexed by host and path, service name and key.
 #[derive(Clone, Debug, Default)]
 pub struct CatalogIndex {
     catalog: Arc<Catalog>,
-    /// Routes of a host, the longest prefix first.
+    /// Indexes of the routes of a host, sorted by descending prefix length.
     hosts: HashMap<String, Vec<usize>>,
     services: HashMap<String, usize>,
     keys: HashMap<String, usize>,
 }
 
 impl CatalogIndex {
-    /// Builds the tables of a valid configuration.
+    /// Indexes a valid configuration.
     pub fn new(catalog: Arc<Catalog>) -> Self {
         let mut hosts: HashMap<String, Vec<usize>> = HashMap::new();
-        for (place, route) in catalog.routes.iter().enumerate() {
-            hosts.entry(route.host.to_ascii_lowercase()).or_default().push(place);
+        for (index, route) in catalog.routes.iter().enumerate() {
+            hosts.entry(route.host.to_ascii_lowercase()).or_default().push(index);
         }
-        for places in hosts.values_mut() {
-            places.sort_by_key(|place| usize::MAX - catalog.routes[*place].path_prefix.len());
+        for indexes in hosts.values_mut() {
+            indexes.sort_by_key(|index| usize::MAX - catalog.routes[*index].path_prefix.len());
         }
         let services = catalog.services.iter().enumerate();
-        let services = services.map(|(place, service)| (service.name.clone(), place)).collect();
+        let services = services.map(|(index, service)| (service.name.clone(), index)).collect();
         let tenants = catalog.tenants.iter().enumerate();
         let keys = tenants
-            .flat_map(|(place, tenant)| tenant.keys.iter().map(move |key| (key.clone(), place)))
+            .flat_map(|(index, tenant)| tenant.keys.iter().map(move |key| (key.clone(), index)))
             .collect();
         CatalogIndex { hosts, services, keys, catalog }
     }
 
-    /// The configuration.
+    /// Returns the indexed configuration.
     pub fn catalog(&self) -> &Arc<Catalog> {
         &self.catalog
     }
 
-    /// Place of the route that serves `path` of `host`: the one with the longest prefix.
+    /// Index of the route for `host` and `path`: the one with the longest matching prefix.
     pub fn route_at(&self, host: &str, path: &str) -> Option<usize> {
-        let places = match self.hosts.get(host) {
-            Some(places) => places,
+        let indexes = match self.hosts.get(host) {
+            Some(indexes) => indexes,
             None => self.hosts.get(&host.to_ascii_lowercase())?,
         };
-        let begins = |place: &&usize| path.starts_with(&self.catalog.routes[**place].path_prefix);
-        places.iter().find(begins).copied()
+        let matches = |index: &&usize| path.starts_with(&self.catalog.routes[**index].path_prefix);
+        indexes.iter().find(matches).copied()
     }
 
-    /// The route at a place that [`CatalogIndex::route_at`] has named.
-    pub fn route(&self, place: usize) -> Option<&Route> {
-        self.catalog.routes.get(place)
+    /// Returns the route at an index from [`CatalogIndex::route_at`].
+    pub fn route(&self, index: usize) -> Option<&Route> {
+        self.catalog.routes.get(index)
     }
 
-    /// The service of this name.
+    /// Returns the service with this name.
     pub fn service(&self, name: &str) -> Option<&Service> {
-        self.services.get(name).and_then(|place| self.catalog.services.get(*place))
+        self.services.get(name).and_then(|index| self.catalog.services.get(*index))
     }
 
-    /// What `key` gives access to on `route`.
+    /// Checks `key` for a request to `route`. Without tenants every route is open.
     pub fn access(&self, route: &Route, key: Option<&str>) -> KeyAccess<'_> {
-        let place = key.and_then(|key| self.keys.get(key));
-        if let Some(tenant) = place.and_then(|place| self.catalog.tenants.get(*place)) {
+        let index = key.and_then(|key| self.keys.get(key));
+        if let Some(tenant) = index.and_then(|index| self.catalog.tenants.get(*index)) {
             return KeyAccess::Tenant(tenant);
         }
         match route.anonymous || self.catalog.tenants.is_empty() {
--- a/crates/catalog/src/lib.rs
+++ b/crates/catalog/src/lib.rs
@@ -1,10 +1,10 @@
-//! Whole configurations of generic services.
+//! Versioned configuration of routes, services and tenants.
 //!
-//! A [`Catalog`] names every route, service and tenant of a deployment at one
-//! version. It is checked whole before it is accepted ([`Catalog::faults`]) and
-//! looked up by host, path and key once it is in force ([`CatalogIndex`]).
+//! A [`Catalog`] defines all routes, services and tenants of a deployment at one version. A new
+//! version is validated as a whole ([`Catalog::faults`]) and indexed by host, path and key
+//! ([`CatalogIndex`]).
 //!
-//! Nothing in this crate performs I/O, reads a clock or draws a random number.
+//! This crate performs no I/O, reads no clock and uses no randomness.
 
 mod fault;
 mod index;
--- a/crates/catalog/src/model.rs
+++ b/crates/catalog/src/model.rs
@@ -1,90 +1,89 @@
-//! What a configuration holds.
+//! Data model of a configuration.
 
 use std::net::SocketAddrV4;
 
 use minicbor::{Decode, Encode};
 
-/// A whole configuration.
+/// Configuration of a deployment at one version.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct Catalog {
-    /// Version; of two configurations the higher one is in force.
+    /// Version number; the highest version takes effect.
     #[n(0)]
     pub version: u64,
-    /// Where requests go.
+    /// Routes of requests to services.
     #[n(1)]
     pub routes: Vec<Route>,
-    /// What serves them.
+    /// Services that routes refer to.
     #[n(2)]
     pub services: Vec<Service>,
-    /// Bounds on what a caller may send.
+    /// Limits on callers' requests and connections.
     #[n(3)]
     pub limits: RequestLimits,
-    /// Who may call. Without tenants no key is asked for.
+    /// Tenants with their keys. Without tenants no key is required.
     #[n(4)]
     pub tenants: Vec<Tenant>,
 }
 
-/// What may be done with a request of a route.
+/// Execution semantics of a route's requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum RouteKind {
-    /// It may run more than once.
+    /// Requests that may be executed more than once.
     #[n(0)]
     Repeatable,
-    /// It runs at most once.
+    /// Requests that may be executed at most once.
     #[n(1)]
     AtMostOnce,
-    /// Its answer is a stream of events.
+    /// Requests answered by a stream of events.
     #[n(2)]
     Stream,
 }
 
-/// Requests of one host below one path prefix.
+/// Rules for requests to one host and path prefix.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Route {
-    /// Name, for logs.
+    /// Unique name, used in logs.
     #[n(0)]
     pub name: String,
-    /// Host that requests name.
+    /// Host name to match.
     #[n(1)]
     pub host: String,
-    /// Start of their path.
+    /// Path prefix to match.
     #[n(2)]
     pub path_prefix: String,
-    /// What may be done with them.
+    /// Execution semantics of the requests.
     #[n(3)]
     pub kind: RouteKind,
-    /// Longest time that a request is held, in milliseconds.
+    /// Request timeout, in milliseconds.
     #[n(4)]
     pub timeout_ms: u64,
-    /// Time within which an answer, or the first event of a stream, is wanted, in
-    /// milliseconds.
+    /// Latency objective for the answer, or for the first event of a stream, in milliseconds.
     #[n(5)]
     pub objective_ms: u64,
-    /// Rank, 0 first.
+    /// Priority; 0 is the highest.
     #[n(6)]
     pub priority: u8,
-    /// Services that take the requests, by weight.
+    /// Weighted services that receive the requests.
     #[n(7)]
     pub split: Vec<SplitPart>,
-    /// Most servers that one request may be sent to.
+    /// Maximum number of servers that one request is sent to.
     #[n(8)]
     pub max_attempts: u32,
-    /// Whether requests need no key.
+    /// Whether requests without a key are allowed.
     #[n(9)]
     pub anonymous: bool,
-    /// Whether requests state the parts of a prompt, and so have homes.
+    /// Whether requests state the segments of their prompt, by which they are assigned a home.
     #[n(10)]
     pub has_prompt: bool,
-    /// Whether a broken stream may go on at another server.
+    /// Whether an interrupted stream may be resumed on another server.
     #[n(11)]
     pub resumable: bool,
-    /// Longest pause between events of a stream that is in time, in milliseconds.
+    /// Maximum gap between events of a stream, in milliseconds.
     #[n(12)]
     pub max_pause_ms: Option<u64>,
 }
 
 impl Route {
-    /// Whether a request may run a second time after it may have run once.
+    /// Whether a request may be retried after it may have been executed.
     pub fn is_repeatable(&self) -> bool {
         match self.kind {
             RouteKind::Repeatable => true,
@@ -94,96 +93,96 @@
     }
 }
 
-/// A service of a route with its share.
+/// Service of a route with its weight.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct SplitPart {
     /// Name of the service.
     #[n(0)]
     pub service: String,
-    /// Share, relative to the other parts.
+    /// Weight relative to the other parts.
     #[n(1)]
     pub weight: u32,
 }
 
-/// Servers that do the same.
+/// Group of interchangeable servers.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Service {
-    /// Name.
+    /// Unique name.
     #[n(0)]
     pub name: String,
     /// Path of the health check.
     #[n(1)]
     pub health_path: String,
-    /// Connections that one server takes from all callers together; zero if it isn't stated.
+    /// Connection limit of one server over all callers; 0 if unspecified.
     #[n(2)]
     pub max_connections: u32,
-    /// What its model engines can do, if they are such.
+    /// Capabilities of the model engines, if the servers are engines.
     #[n(3)]
     pub engine: Option<EngineProfile>,
-    /// Where its store of kept KV cache is, if it is one.
+    /// Location and capacity of the KV-cache store, if the service is one.
     #[n(4)]
     pub store: Option<StoreProfile>,
 }
 
-/// What a model engine can do.
+/// Capabilities of a model engine.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct EngineProfile {
-    /// Requests that run at once.
+    /// Requests that are processed concurrently.
     #[n(0)]
     pub slots: u32,
-    /// Tokens that its memory holds, running requests and cached parts together.
+    /// KV-cache capacity in tokens, for running requests and cached prefixes together.
     #[n(1)]
     pub cache_tokens: u64,
-    /// Bytes of KV cache for one token.
+    /// Bytes of KV cache per token.
     #[n(2)]
     pub token_bytes: u64,
-    /// Speed of its link, in megabits a second.
+    /// Network bandwidth, in megabits per second.
     #[n(3)]
     pub link_mbps: f64,
-    /// Calls for cache events that it holds at once.
+    /// Concurrent requests for cache events that the engine accepts.
     #[n(4)]
     pub event_calls: u32,
-    /// Models that it serves.
+    /// Names of the served models.
     #[n(5)]
     pub models: Vec<String>,
 }
 
-/// A store of kept KV cache.
+/// Store of KV cache outside the engines.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct StoreProfile {
-    /// Its address.
+    /// Address of the store.
     #[cbor(n(0), with = "crate::model::address")]
     pub address: SocketAddrV4,
-    /// Its zone.
+    /// Zone of the store.
     #[n(1)]
     pub zone: String,
-    /// Tokens that it holds.
+    /// Capacity in tokens.
     #[n(2)]
     pub capacity_tokens: u64,
-    /// Speed of its link, in megabits a second.
+    /// Network bandwidth, in megabits per second.
     #[n(3)]
     pub link_mbps: f64,
 }
 
-/// Bounds on what a caller may send, and how long it may take.
+/// Size and time limits on callers' requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct RequestLimits {
-    /// Largest head of a request, in bytes.
+    /// Maximum size of a request head, in bytes.
     #[n(0)]
     pub header_bytes: u32,
-    /// Largest body, in bytes.
+    /// Maximum size of a request body, in bytes.
     #[n(1)]
     pub body_bytes: u64,
-    /// Longest time for a head to arrive, in milliseconds.
+    /// Timeout for receiving a request head, in milliseconds.
     #[n(2)]
     pub header_timeout_ms: u64,
-    /// Longest rest of a connection between two requests, in milliseconds.
+    /// Idle timeout of a connection between requests, in milliseconds.
     #[n(3)]
     pub idle_timeout_ms: u64,
 }
 
 impl Default for RequestLimits {
-    /// Bounds for configurations that state none.
+    /// Limits for configurations without explicit ones.
     fn default() -> Self {
         RequestLimits {
             header_bytes: 16 << 10,
@@ -194,58 +193,58 @@
     }
 }
 
-/// A tenant with its keys.
+/// Tenant with its keys and limits.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Tenant {
-    /// Name.
+    /// Unique name.
     #[n(0)]
     pub name: String,
-    /// Keys that its callers present.
+    /// API keys of the tenant's callers.
     #[n(1)]
     pub keys: Vec<String>,
-    /// Rank of its requests, in place of the route's.
+    /// Priority of the tenant's requests, overriding the route's.
     #[n(2)]
     pub priority: Option<u8>,
-    /// Whether its cache entries are shared with no other tenant.
+    /// Whether the tenant's cache entries are isolated from other tenants.
     #[n(3)]
     pub isolated: bool,
-    /// What its requests may cost over all routers together; `None` for no limit.
+    /// Rate limit over all routers together; `None` for no limit.
     #[n(4)]
     pub limit: Option<TenantLimit>,
 }
 
-/// What the requests of a tenant may cost over all routers together.
+/// Rate limit of a tenant over all routers together.
 #[derive(Clone, Copy, Debug, PartialEq, Encode, Decode)]
 pub struct TenantLimit {
-    /// Units a second.
+    /// Units per second.
     #[n(0)]
     pub per_second: f64,
-    /// Units that may come at once beyond the rate.
+    /// Burst size in units.
     #[n(1)]
     pub burst: f64,
-    /// What is counted.
+    /// Counted unit.
     #[n(2)]
     pub unit: LimitUnit,
 }
 
-/// What a limit counts.
+/// Unit that a rate limit counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum LimitUnit {
     /// Requests.
     #[n(0)]
     Requests,
-    /// Tokens of the prompt and the most that are generated.
+    /// Prompt tokens plus the maximum number of generated tokens.
     #[n(1)]
     Tokens {
-        /// Tokens that a request without a prompt counts as.
+        /// Tokens charged for a request without a prompt.
         #[n(0)]
         plain: u32,
     },
 }
 
 impl TenantLimit {
-    /// Units that a request costs. `tokens` are those of its prompt and its answer, if it
-    /// states them.
+    /// Cost of a request in units. `tokens` is the sum of prompt and maximum answer tokens, if the
+    /// request states them.
     pub fn cost(&self, tokens: Option<u64>) -> f64 {
         match self.unit {
             LimitUnit::Requests => 1.0,
@@ -254,7 +253,7 @@
     }
 }
 
-/// Codec of IPv4 socket addresses: six bytes.
+/// CBOR codec of IPv4 socket addresses as 48-bit integers: IP address, then port.
 pub mod address {
     use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -262,7 +261,7 @@
     use minicbor::encode::{Error as EncodeError, Write};
     use minicbor::{Decoder, Encoder};
 
-    /// Writes an address.
+    /// Encodes an address.
     pub fn encode<C, W: Write>(
         address: &SocketAddrV4,
         encoder: &mut Encoder<W>,
@@ -273,7 +272,7 @@
         Ok(())
     }
 
-    /// Reads an address.
+    /// Decodes an address.
     pub fn decode<C>(
         decoder: &mut Decoder<'_>,
         _context: &mut C,
--- a/crates/catalog/src/split.rs
+++ b/crates/catalog/src/split.rs
@@ -1,19 +1,20 @@
-//! Sharing requests out by weight.
+//! Weighted traffic split.
 
 use crate::model::SplitPart;
 
-/// Shares requests out by weight so that after any number of them each part has
-/// had its share to within one request for each other part.
+/// Smooth weighted round-robin.
 ///
-/// Each pick adds every part's weight to its credit and takes the sum of all
-/// weights from the part with the most credit.
+/// Each pick adds every part's weight to its credit, chooses the part with the highest credit and
+/// subtracts the sum of all weights from it. At any time, each part's number of requests differs
+/// from its exact share by at most the number of parts.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct WeightedSplit {
     credits: Vec<i64>,
 }
 
 impl WeightedSplit {
-    /// Picks the next part among `parts`. A change of their number starts over.
+    /// Picks the index of the next part, or `None` if all weights are zero. Credits are reset when
+    /// the number of parts changes.
     pub fn pick(&mut self, parts: &[SplitPart]) -> Option<usize> {
         if self.credits.len() != parts.len() {
             self.credits = vec![0; parts.len()];
@@ -22,9 +23,9 @@
         for (credit, part) in self.credits.iter_mut().zip(parts) {
             *credit += i64::from(part.weight);
         }
-        let weighted = (0..parts.len()).filter(|place| parts[*place].weight > 0);
-        let place = weighted.max_by_key(|place| (self.credits[*place], usize::MAX - place))?;
-        self.credits[place] -= total;
-        Some(place)
+        let weighted = (0..parts.len()).filter(|index| parts[*index].weight > 0);
+        let index = weighted.max_by_key(|index| (self.credits[*index], usize::MAX - index))?;
+        self.credits[index] -= total;
+        Some(index)
     }
 }
--- a/crates/catalog/tests/catalog.rs
+++ b/crates/catalog/tests/catalog.rs
@@ -1,4 +1,4 @@
-//! Validation and lookup of whole configurations.
+//! Validation, lookup, encoding and traffic splits of configurations.
 
 use std::sync::Arc;
 
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn limits_that_are_no_amounts_are_faults() {
+fn negative_and_non_finite_limits_are_faults() {
     for (per_second, burst) in [(-1.0, 0.0), (f64::NAN, 0.0), (1.0, f64::INFINITY)] {
         let mut catalog = catalog();
         let unit = LimitUnit::Requests;
@@ -62,13 +62,12 @@
     }
 }
 
-/// Configurations that were stored before limits were known have none.
 #[test]
-fn tenants_stored_without_a_limit_are_read() {
-    // A tenant of four fields, as an earlier version encoded it.
+fn tenants_stored_without_a_limit_field_are_decoded() {
+    // Encoding of earlier versions, without the fifth field.
     let stored = minicbor::to_vec(("one", ["k1"], None::<u8>, true)).expect("encodes");
-    let read: Tenant = minicbor::decode(&stored).expect("decodes");
-    assert_eq!((read.isolated, read.limit), (true, None));
+    let decoded: Tenant = minicbor::decode(&stored).expect("decodes");
+    assert_eq!((decoded.isolated, decoded.limit), (true, None));
 }
 
 #[test]
@@ -77,7 +76,7 @@
 }
 
 #[test]
-fn every_fault_is_named_at_once() {
+fn all_faults_are_reported_together() {
     let mut broken = catalog();
     broken.routes[0].split = vec![part("nowhere", 1)];
     broken.routes[1].split = vec![part("app", 0)];
@@ -86,34 +85,34 @@
     let faults = broken.faults();
     let expected = [
         CatalogFault::UnknownService { route: "short".into(), service: "nowhere".into() },
-        CatalogFault::NoWeight { route: "long".into() },
+        CatalogFault::ZeroWeight { route: "long".into() },
         CatalogFault::NoTimeout { route: "third".into() },
-        CatalogFault::SamePlace { first: "short".into(), second: "third".into() },
+        CatalogFault::DuplicateRoute { first: "short".into(), second: "third".into() },
         CatalogFault::SharedKey { first: "one".into(), second: "three".into() },
     ];
     assert_eq!(faults, expected);
 }
 
 #[test]
-fn a_route_without_any_part_has_no_weight() {
+fn a_route_without_parts_has_zero_weight() {
     let mut broken = catalog();
     broken.routes[0].split.clear();
-    assert_eq!(broken.faults(), [CatalogFault::NoWeight { route: "short".into() }]);
+    assert_eq!(broken.faults(), [CatalogFault::ZeroWeight { route: "short".into() }]);
 }
 
 #[test]
-fn a_key_that_a_tenant_holds_twice_is_no_fault() {
+fn a_key_listed_twice_by_one_tenant_is_valid() {
     let mut doubled = catalog();
     doubled.tenants[0].keys.push("k1".into());
     assert_eq!(doubled.faults(), []);
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_wins() {
+fn the_longest_matching_prefix_of_the_host_is_chosen() {
     let index = CatalogIndex::new(Arc::new(catalog()));
     let name = |host: &str, path: &str| {
-        let place = index.route_at(host, path)?;
-        index.route(place).map(|route| route.name.clone())
+        let route_index = index.route_at(host, path)?;
+        index.route(route_index).map(|route| route.name.clone())
     };
     assert_eq!(name("board.example", "/a/b/c").as_deref(), Some("long"));
     assert_eq!(name("board.example", "/a/c").as_deref(), Some("short"));
@@ -123,7 +122,7 @@
 }
 
 #[test]
-fn keys_belong_to_one_tenant_and_unknown_ones_are_denied() {
+fn keys_identify_tenants_and_unknown_keys_are_denied() {
     let index = CatalogIndex::new(Arc::new(catalog()));
     let closed = route("closed", "/x/");
     let open = Route { anonymous: true, ..closed.clone() };
@@ -142,13 +141,13 @@
 }
 
 #[test]
-fn an_encoded_configuration_is_read_back_whole() {
+fn configurations_round_trip_through_cbor() {
     let bytes = minicbor::to_vec(catalog()).expect("encodes");
     assert_eq!(minicbor::decode::<Catalog>(&bytes).expect("decodes"), catalog());
 }
 
 quickcheck! {
-    /// Each part has its share to within one request for each part.
+    /// Each part's count differs from its exact share by at most the number of parts.
     fn splits_follow_the_weights(weights: Vec<u8>, picks: u8) -> bool {
         let parts: Vec<_> = weights.iter().take(5).map(|w| part("s", u32::from(*w))).collect();
         let total: u32 = parts.iter().map(|part| part.weight).sum();
@@ -156,7 +155,7 @@
         let mut counts = vec![0_u32; parts.len()];
         for _ in 0..picks {
             match split.pick(&parts) {
-                Some(place) => counts[place] += 1,
+                Some(index) => counts[index] += 1,
                 None => return total == 0,
             }
         }
