--- a/crates/types/src/block.rs
+++ b/crates/types/src/block.rs
@@ -1,9 +1,8 @@
 //! Prompt blocks and the hash chain that identifies them.
 //!
-//! A prompt is cut into blocks of [`BLOCK_TOKENS`] tokens. The hash of a block
-//! covers its scope, every block before it and its own bytes, so two prompts
-//! share a hash exactly when they share the whole prefix, the tenant, the
-//! model, the adapter and the weights. Nothing matches across those borders.
+//! A prompt is divided into blocks of [`BLOCK_TOKENS`] tokens. The hash of a block covers the cache
+//! scope, all preceding blocks and the block's bytes. Two prompts therefore share a hash exactly
+//! when tenant, model, adapter, weights version and the whole prefix are equal.
 
 use std::fmt;
 
@@ -11,18 +10,18 @@
 
 use crate::ids::{AdapterName, ModelName, TenantName, WeightsVersion};
 
-/// Tokens in one cache block; engines cache and evict whole blocks.
+/// Tokens per cache block; engines cache and evict whole blocks.
 pub const BLOCK_TOKENS: u32 = 64;
 
-/// Bytes of prompt text counted as one token (an average for English text).
+/// Bytes of prompt text counted as one token, an average for English text.
 pub const TOKEN_BYTES: u32 = 4;
 
-/// Bytes of prompt text in one full block.
+/// Bytes of prompt text per full block.
 pub const BLOCK_BYTES: usize = (BLOCK_TOKENS * TOKEN_BYTES) as usize;
 
 const SCOPE_CONTEXT: &str = "juniperhollow cache scope v1";
 
-/// Identifies a prompt block within everything that precedes it.
+/// Hash of a prompt block, its preceding blocks and its cache scope.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 #[cbor(transparent)]
 pub struct BlockHash(#[cbor(n(0), with = "minicbor::bytes")] pub [u8; 16]);
@@ -39,7 +38,7 @@
     }
 }
 
-/// Why a text is not a block hash.
+/// Error for text that is not a block hash.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a block hash has 32 hexadecimal digits")]
 pub struct BlockHashError;
@@ -48,8 +47,8 @@
     type Err = BlockHashError;
 
     fn from_str(text: &str) -> Result<Self, BlockHashError> {
-        let well_formed = text.len() == 32 && text.bytes().all(|b| b.is_ascii_hexdigit());
-        if !well_formed {
+        let is_well_formed = text.len() == 32 && text.bytes().all(|b| b.is_ascii_hexdigit());
+        if !is_well_formed {
             return Err(BlockHashError);
         }
         let number = u128::from_str_radix(text, 16).map_err(|_| BlockHashError)?;
@@ -57,25 +56,25 @@
     }
 }
 
-/// The border across which no cache entry may be used.
+/// Isolation scope of cache entries: entries never match across scopes.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct CacheScope {
-    /// The tenant whose prompt filled the block.
+    /// Tenant of the prompt.
     #[n(0)]
     pub tenant: TenantName,
-    /// The base model that computed the block.
+    /// Base model that computed the block.
     #[n(1)]
     pub model: ModelName,
-    /// The adapter that was active, if any.
+    /// Active adapter, if any.
     #[n(2)]
     pub adapter: Option<AdapterName>,
-    /// The version of the weights that computed the block.
+    /// Version of the weights that computed the block.
     #[n(3)]
     pub weights: WeightsVersion,
 }
 
 impl CacheScope {
-    /// The value that the chain of every prompt in this scope starts from.
+    /// Returns the initial value of the hash chain in this scope.
     pub fn seed(&self) -> BlockHash {
         let mut hasher = blake3::Hasher::new_derive_key(SCOPE_CONTEXT);
         update_with_length(&mut hasher, self.tenant.as_str());
@@ -86,7 +85,7 @@
     }
 }
 
-/// Length-prefixes the text so that neighbouring fields can't run together.
+/// Hashes the text with a length prefix, so that adjacent fields are unambiguous.
 fn update_with_length(hasher: &mut blake3::Hasher, text: &str) {
     hasher.update(&(text.len() as u64).to_be_bytes());
     hasher.update(text.as_bytes());
@@ -99,7 +98,7 @@
 }
 
 impl BlockHash {
-    /// The hash of the block with these `bytes` that follows this one.
+    /// Returns the hash of the following block, whose content is `bytes`.
     pub fn next(&self, bytes: &[u8]) -> BlockHash {
         let mut hasher = blake3::Hasher::new();
         hasher.update(&self.0);
@@ -108,17 +107,17 @@
     }
 }
 
-/// The full blocks of one prompt, in order.
+/// Full blocks of one prompt, in order.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PromptBlocks {
     /// Hash of each full block from the start of the prompt.
     pub hashes: Vec<BlockHash>,
-    /// Tokens in the prompt, the unfinished last block included.
+    /// Tokens in the prompt, including a partial last block.
     pub tokens: u32,
 }
 
 impl PromptBlocks {
-    /// Cuts `prompt` into blocks within `scope`.
+    /// Divides `prompt` into blocks and hashes them within `scope`.
     pub fn of_text(scope: &CacheScope, prompt: &[u8]) -> Self {
         let mut previous = scope.seed();
         let mut hashes = Vec::with_capacity(prompt.len() / BLOCK_BYTES);
@@ -130,7 +129,7 @@
         PromptBlocks { hashes, tokens: u32::try_from(tokens).unwrap_or(u32::MAX) }
     }
 
-    /// Tokens covered by the first `blocks` blocks.
+    /// Number of tokens in `blocks` full blocks.
     pub fn tokens_in(blocks: usize) -> u32 {
         u32::try_from(blocks).unwrap_or(u32::MAX).saturating_mul(BLOCK_TOKENS)
     }
--- a/crates/types/src/claim.rs
+++ b/crates/types/src/claim.rs
@@ -1,9 +1,8 @@
-//! Idempotency keys of requests that must run at most once.
+//! Idempotency keys of at-most-once requests.
 //!
-//! A key names the second in which its caller made it: `<unix seconds>-<suffix>`.
-//! Claims may therefore be forgotten safely: the replicated state keeps a
-//! horizon that only grows, drops claims older than it, and refuses every key
-//! older than it. A key that has been forgotten can never be granted again.
+//! A key contains its creation time: `<unix seconds>-<suffix>`. This makes it safe to expire
+//! claims: the replicated state keeps a monotonic horizon, removes claims older than the horizon
+//! and rejects keys older than the horizon, so that an expired key is never granted again.
 
 use std::fmt;
 
@@ -14,14 +13,14 @@
 /// Longest accepted suffix, in bytes.
 pub const MAX_SUFFIX_BYTES: usize = 64;
 
-/// Why a text is not an idempotency key.
+/// Error for text that is not an idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error(
     "an idempotency key reads <unix seconds>-<1 to {MAX_SUFFIX_BYTES} visible ASCII characters>"
 )]
 pub struct ClaimKeyError;
 
-/// A parsed idempotency key.
+/// Idempotency key of an at-most-once request.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClaimKey {
     made_at: u64,
@@ -29,18 +28,18 @@
 }
 
 impl ClaimKey {
-    /// Makes a key from its parts. `made_at` is in seconds since the Unix epoch.
+    /// Creates a key from its creation time, in seconds since the Unix epoch, and a suffix.
     pub fn new(made_at: u64, suffix: impl Into<String>) -> Result<Self, ClaimKeyError> {
         let suffix = suffix.into();
-        let in_bounds = (1..=MAX_SUFFIX_BYTES).contains(&suffix.len());
-        if in_bounds && suffix.bytes().all(|byte| byte.is_ascii_graphic()) {
+        let has_valid_length = (1..=MAX_SUFFIX_BYTES).contains(&suffix.len());
+        if has_valid_length && suffix.bytes().all(|byte| byte.is_ascii_graphic()) {
             Ok(Self { made_at, suffix })
         } else {
             Err(ClaimKeyError)
         }
     }
 
-    /// When the caller made the key, in seconds since the Unix epoch.
+    /// Creation time, in seconds since the Unix epoch.
     pub fn made_at(&self) -> u64 {
         self.made_at
     }
@@ -82,47 +81,47 @@
     }
 }
 
-/// What a claim came to.
+/// Answer to a claim of an idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum ClaimAnswer {
-    /// The attempt may run the request, now and never again.
+    /// The attempt may execute the request, once.
     #[n(0)]
     Granted,
-    /// Another attempt ran it and this is its outcome.
+    /// Another attempt executed the request, with this outcome.
     #[n(1)]
     Settled(#[n(0)] ClaimOutcome),
-    /// Another attempt holds the claim and its outcome isn't known.
+    /// Another attempt holds the claim, with an unknown outcome.
     #[n(2)]
     OutcomeUnknown,
-    /// The key was used for a different request.
+    /// The key is in use for a different request.
     #[n(3)]
     KeyReused,
-    /// The key was made before the horizon below which claims are forgotten.
+    /// The key is older than the horizon before which claims are removed.
     #[n(4)]
     Expired {
-        /// The horizon, in seconds since the Unix epoch.
+        /// Horizon, in seconds since the Unix epoch.
         #[n(0)]
         horizon: u64,
     },
-    /// The key's time lies too far in the future.
+    /// The key's creation time is too far in the future.
     #[n(5)]
     TooEarly,
 }
 
-/// What came of a claimed request.
+/// Outcome of a claimed request.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 #[cbor(map)]
 pub struct ClaimOutcome {
-    /// HTTP status of the back end's answer.
+    /// HTTP status code of the back end's answer.
     #[n(0)]
     pub status: u16,
     /// Content type of the answer.
     #[n(1)]
     pub content_type: String,
-    /// The answer, cut to the size that the control replicas keep.
+    /// Body of the answer, truncated to the size that control replicas store.
     #[cbor(n(2), with = "minicbor::bytes")]
     pub body: Vec<u8>,
-    /// Whether the kept body is the whole answer.
+    /// Whether `body` is complete, not truncated.
     #[n(3)]
     pub whole: bool,
 }
--- a/crates/types/src/decay.rs
+++ b/crates/types/src/decay.rs
@@ -1,10 +1,10 @@
-//! A sum whose parts lose half of their weight in each half-life.
+//! Exponentially decaying values.
 
 use std::time::Duration;
 
 use crate::time::Timestamp;
 
-/// A decaying sum.
+/// Sum or mean with exponential decay by half-life.
 #[derive(Clone, Copy, Debug)]
 pub struct Decaying {
     half_life: Duration,
@@ -13,24 +13,24 @@
 }
 
 impl Decaying {
-    /// An empty sum.
+    /// Creates a sum of zero.
     pub const fn new(half_life: Duration) -> Self {
         Decaying { half_life, value: 0.0, updated: Timestamp::ZERO }
     }
 
-    /// The sum now.
+    /// Returns the decayed value at `now`.
     pub fn at(&self, now: Timestamp) -> f64 {
-        let halves = now.since(self.updated).as_secs_f64() / self.half_life.as_secs_f64();
-        self.value * (-halves).exp2()
+        let half_lives = now.since(self.updated).as_secs_f64() / self.half_life.as_secs_f64();
+        self.value * (-half_lives).exp2()
     }
 
-    /// Adds to the sum.
+    /// Adds `amount` to the sum at `now`.
     pub fn add(&mut self, amount: f64, now: Timestamp) {
         self.value = self.at(now) + amount;
         self.updated = now;
     }
 
-    /// Mixes a sample in with the given weight; the value is then a fading mean.
+    /// Updates the value as a moving average, in which `sample` has the given weight.
     pub fn mix(&mut self, sample: f64, weight: f64, now: Timestamp) {
         self.value = self.at(now) * (1.0 - weight) + sample * weight;
         self.updated = now;
--- a/crates/types/src/fingerprint.rs
+++ b/crates/types/src/fingerprint.rs
@@ -1,15 +1,14 @@
-//! What makes two requests the same one, whatever ids their callers gave them.
+//! Keyed fingerprints that identify requests by content, independent of their request ids.
 
 use std::fmt;
 use std::str::FromStr;
 
 use minicbor::{Decode, Encode};
 
-/// Bytes of a fingerprint. Two different requests of a deployment share one with a chance
-/// of 2^-128 each.
+/// Length of a fingerprint in bytes. Two different requests collide with a probability of 2^-128.
 const FINGERPRINT_BYTES: usize = 16;
 
-/// Names the content of a request: the same content has the same name at every router.
+/// Fingerprint of a request's content; equal content has the same fingerprint at every router.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 #[cbor(transparent)]
 pub struct RequestFingerprint(#[cbor(n(0), with = "minicbor::bytes")] pub [u8; FINGERPRINT_BYTES]);
@@ -26,7 +25,7 @@
     }
 }
 
-/// Why a text is not a fingerprint.
+/// Error for text that is not a fingerprint.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a fingerprint has 32 hexadecimal digits")]
 pub struct FingerprintError;
@@ -44,23 +43,24 @@
     }
 }
 
-/// What a fingerprint covers. Ids, deadlines and other headers of one sending are left out.
+/// Parts of a request that a fingerprint covers. Headers are excluded, since request ids and
+/// deadlines differ between attempts.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestContent<'a> {
-    /// The method.
+    /// HTTP method.
     pub method: &'a str,
-    /// The host that was asked for.
+    /// Requested host; case is ignored.
     pub host: &'a str,
     /// Path and query.
     pub path: &'a str,
-    /// The caller's tenant, if it has one.
+    /// Tenant of the caller, if any.
     pub tenant: Option<&'a str>,
-    /// The whole body.
+    /// Complete request body.
     pub body: &'a [u8],
 }
 
-/// The secret under which fingerprints are made. Without it a caller can't make a request that
-/// has the fingerprint of another caller's request.
+/// Secret key for fingerprints, which prevents callers from crafting a request that collides
+/// with another caller's.
 #[derive(Clone, PartialEq, Eq)]
 pub struct FingerprintKey([u8; 32]);
 
@@ -71,12 +71,12 @@
 }
 
 impl FingerprintKey {
-    /// Takes over secret bytes.
+    /// Creates a key from secret bytes.
     pub fn new(bytes: [u8; 32]) -> Self {
         FingerprintKey(bytes)
     }
 
-    /// The fingerprint of a request. It reads the body once, about a nanosecond a byte.
+    /// Computes the fingerprint of a request in one pass over its body.
     pub fn fingerprint(&self, content: &RequestContent<'_>) -> RequestFingerprint {
         let mut hasher = blake3::Hasher::new_keyed(&self.0);
         update_with_length(&mut hasher, content.method.as_bytes());
@@ -91,7 +91,7 @@
     }
 }
 
-/// Length-prefixes the bytes so that neighbouring fields can't run together.
+/// Hashes the bytes with a length prefix, so that adjacent fields are unambiguous.
 fn update_with_length(hasher: &mut blake3::Hasher, bytes: &[u8]) {
     hasher.update(&(bytes.len() as u64).to_be_bytes());
     hasher.update(bytes);
--- a/crates/types/src/ids.rs
+++ b/crates/types/src/ids.rs
@@ -1,4 +1,4 @@
-//! Names and numbers that identify the parts of a deployment.
+//! Names and numeric ids of nodes, engines, models, tenants, requests and changes.
 
 use std::fmt;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -9,19 +9,19 @@
 use minicbor::{Decode, Decoder, Encode, Encoder};
 use serde::{Deserialize, Serialize};
 
-/// Longest accepted name, in bytes.
+/// Maximum length of a name, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
 
-/// Why a text is not a valid name.
+/// Error for text that is not a valid name.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum NameError {
-    /// The text has no characters.
+    /// Empty text.
     #[error("a name must not be empty")]
     Empty,
-    /// The text is longer than [`MAX_NAME_BYTES`].
+    /// Text of this many bytes, longer than [`MAX_NAME_BYTES`].
     #[error("a name has at most {MAX_NAME_BYTES} bytes, this one has {0}")]
     TooLong(usize),
-    /// The text holds a character outside `a-z 0-9 - _ .`.
+    /// Text with this character, outside `a-z 0-9 - _ .`.
     #[error("a name has only the characters a-z, 0-9, '-', '_' and '.', not {0:?}")]
     Character(char),
 }
@@ -48,13 +48,13 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Checks `text` and makes a name of it.
+            /// Validates `text` and creates a name.
             pub fn new(text: impl AsRef<str>) -> Result<Self, NameError> {
                 check_name(text.as_ref())?;
                 Ok(Self(Arc::from(text.as_ref())))
             }
 
-            /// The name as text.
+            /// Returns the name as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -108,30 +108,30 @@
 }
 
 name_type!(
-    /// A zone: machines that share their fate and a short network path.
+    /// Availability zone: machines that share a failure domain and a short network path.
     ZoneName
 );
 impl ZoneName {
-    /// Stands for a zone that isn't known.
+    /// Returns the placeholder name of an unknown zone.
     pub fn unknown() -> Self {
         Self(Arc::from("unknown"))
     }
 }
 
 name_type!(
-    /// A tenant: one company whose traffic and cache entries are kept apart.
+    /// Tenant: a customer whose traffic and cache entries are isolated from others.
     TenantName
 );
 name_type!(
-    /// A service of a tenant, such as `screening` or `cue-matcher`.
+    /// Service of a tenant, such as `screening` or `cue-matcher`.
     ServiceName
 );
 name_type!(
-    /// A base model served by engines.
+    /// Base model served by engines.
     ModelName
 );
 name_type!(
-    /// An adapter loaded beside a base model.
+    /// Adapter loaded in addition to a base model.
     AdapterName
 );
 
@@ -155,38 +155,38 @@
 }
 
 number_type!(
-    /// A daemon of the system: a control replica or a router.
+    /// Id of a daemon: a control replica or a router.
     NodeId, "node-", u64
 );
 number_type!(
-    /// A back end: a model engine, an application server or a preview server.
+    /// Id of a back end: a model engine, an application server or a preview server.
     EngineId, "engine-", u32
 );
 number_type!(
-    /// One life of an engine process; a restarted engine draws a new one.
+    /// Incarnation of an engine process; each restart draws a new random number.
     Incarnation, "", u64
 );
 number_type!(
-    /// A version of a model's weights. Cached blocks never match across versions.
+    /// Version of a model's weights. Cached blocks never match across versions.
     WeightsVersion, "v", u32
 );
 number_type!(
-    /// The position of an accepted settings change; it only grows.
+    /// Revision of the settings tree, incremented by each accepted change.
     Revision, "", u64
 );
 
-/// Bits of a socket address in a node number: 32 of the IPv4 address, 16 of the port.
+/// Bits of a socket address in a node id: 32 of the IPv4 address, 16 of the port.
 const ADDRESS_BITS: u32 = 48;
 
-/// Where nodes find each other without a list, the number of a node is the
-/// address at which other daemons reach it.
+/// Encoding of node ids as addresses, for deployments without a list of nodes: the id of a node
+/// is the address at which other daemons reach it.
 impl NodeId {
-    /// The number of the node at `address`.
+    /// Returns the id of the node at `address`.
     pub fn of_address(address: SocketAddrV4) -> Self {
         NodeId(u64::from(u32::from(*address.ip())) << 16 | u64::from(address.port()))
     }
 
-    /// The address that the number stands for, unless it can't be one.
+    /// Decodes the address from the id; `None` if the id is not a valid address.
     pub fn address(self) -> Option<SocketAddrV4> {
         let ip = u32::try_from(self.0 >> 16).ok().filter(|ip| *ip != 0)?;
         let port = u16::try_from(self.0 & 0xffff).ok().filter(|port| *port != 0)?;
@@ -194,7 +194,7 @@
     }
 }
 
-/// Identifies one caller request across routers and engines.
+/// Id of one caller request across routers and engines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u128);
 
@@ -204,7 +204,7 @@
     }
 }
 
-/// Why a text is not a request id.
+/// Error for text that is not a request id.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a request id has 1 to 32 hexadecimal digits")]
 pub struct RequestIdError;
@@ -217,33 +217,33 @@
     }
 }
 
-/// Longest accepted change id, in bytes.
+/// Maximum length of a change id, in bytes.
 pub const MAX_CHANGE_ID_BYTES: usize = 64;
 
-/// Why a text is not a change id.
+/// Error for text that is not a change id.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a change id has 1 to {MAX_CHANGE_ID_BYTES} visible ASCII characters")]
 pub struct ChangeIdError;
 
-/// Chosen by the writer of a settings change; a resent change keeps its id and
-/// therefore gets the first answer again.
+/// Idempotency key of a settings change, chosen by its author. A retry with the same id receives
+/// the answer to the first submission.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct ChangeId(String);
 
 impl ChangeId {
-    /// Checks `text` and makes a change id of it.
+    /// Validates `text` and creates a change id.
     pub fn new(text: impl Into<String>) -> Result<Self, ChangeIdError> {
         let text = text.into();
-        let in_bounds = (1..=MAX_CHANGE_ID_BYTES).contains(&text.len());
-        if in_bounds && text.bytes().all(|byte| byte.is_ascii_graphic()) {
+        let has_valid_length = (1..=MAX_CHANGE_ID_BYTES).contains(&text.len());
+        if has_valid_length && text.bytes().all(|byte| byte.is_ascii_graphic()) {
             Ok(Self(text))
         } else {
             Err(ChangeIdError)
         }
     }
 
-    /// The id as text.
+    /// Returns the id as a string slice.
     pub fn as_str(&self) -> &str {
         &self.0
     }
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,6 +1,7 @@
-//! Identifiers, time, cache scopes and prompt block hashes shared by every crate.
+//! Shared types: identifiers, timestamps, cache scopes, prompt block hashes, idempotency keys and
+//! request fingerprints.
 //!
-//! Nothing in this crate performs I/O, reads a clock or draws a random number.
+//! This crate performs no I/O, reads no clock and uses no randomness.
 
 pub mod block;
 pub mod claim;
--- a/crates/types/tests/blocks.rs
+++ b/crates/types/tests/blocks.rs
@@ -1,4 +1,4 @@
-//! Properties of the block hash chain and of the name types.
+//! Block hash chains and idempotency keys.
 
 use juniper_types::{
     BLOCK_BYTES, CacheScope, ClaimKey, ModelName, PromptBlocks, TenantName, WeightsVersion,
@@ -15,7 +15,7 @@
 }
 
 quickcheck! {
-    fn prompts_share_exactly_their_common_full_blocks(prefix: Vec<u8>, left: u8, right: u8) -> TestResult {
+    fn prompts_share_hashes_of_exactly_their_common_full_blocks(prefix: Vec<u8>, left: u8, right: u8) -> TestResult {
         if left == right {
             return TestResult::discard();
         }
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn nothing_matches_across_tenants_or_weights() {
+fn hashes_differ_between_tenants_and_weights_versions() {
     let prompt = vec![b'x'; BLOCK_BYTES * 3];
     let base = PromptBlocks::of_text(&scope("acme", 1), &prompt);
     let other_tenant = PromptBlocks::of_text(&scope("bolt", 1), &prompt);
@@ -42,11 +42,11 @@
 }
 
 #[test]
-fn claim_keys_round_trip_and_refuse_other_shapes() {
+fn claim_keys_round_trip_and_malformed_keys_are_rejected() {
     let key: ClaimKey = "1700000000-order-7".parse().expect("valid key");
     assert_eq!(key.made_at(), 1_700_000_000);
     assert_eq!(key.to_string(), "1700000000-order-7");
-    for bad in ["", "order", "x-1", "17-", "-5", "17-a b"] {
-        assert!(bad.parse::<ClaimKey>().is_err(), "{bad:?} was accepted");
+    for malformed in ["", "order", "x-1", "17-", "-5", "17-a b"] {
+        assert!(malformed.parse::<ClaimKey>().is_err(), "{malformed:?} was accepted");
     }
 }
--- a/crates/types/tests/fingerprints.rs
+++ b/crates/types/tests/fingerprints.rs
@@ -1,4 +1,4 @@
-//! Two requests share a fingerprint exactly when their contents are the same.
+//! Fingerprints are equal exactly for equal contents under the same key.
 
 use juniper_types::{FingerprintKey, RequestContent, RequestFingerprint};
 use quickcheck::quickcheck;
@@ -16,7 +16,7 @@
 };
 
 #[test]
-fn every_field_counts_and_the_key_too() {
+fn fingerprints_depend_on_every_field_and_on_the_key() {
     let others = [
         RequestContent { method: "PUT", ..CONTENT },
         RequestContent { host: "two.example", ..CONTENT },
@@ -24,23 +24,23 @@
         RequestContent { tenant: None, ..CONTENT },
         RequestContent { tenant: Some(""), ..CONTENT },
         RequestContent { body: b"other", ..CONTENT },
-        // The same bytes in a row, divided elsewhere.
+        // Same concatenation, different field boundary.
         RequestContent { host: "one.example/", path: "a/b?c", ..CONTENT },
     ];
-    let made = key(1).fingerprint(&CONTENT);
-    assert_eq!(made, key(1).fingerprint(&RequestContent { host: "ONE.example", ..CONTENT }));
-    assert!(others.iter().all(|other| key(1).fingerprint(other) != made));
-    assert_ne!(key(2).fingerprint(&CONTENT), made);
+    let original = key(1).fingerprint(&CONTENT);
+    assert_eq!(original, key(1).fingerprint(&RequestContent { host: "ONE.example", ..CONTENT }));
+    assert!(others.iter().all(|other| key(1).fingerprint(other) != original));
+    assert_ne!(key(2).fingerprint(&CONTENT), original);
 }
 
 quickcheck! {
-    fn a_fingerprint_is_read_as_it_is_shown(bytes: u128) -> bool {
+    fn fingerprints_round_trip_through_text(bytes: u128) -> bool {
         let fingerprint = RequestFingerprint(bytes.to_be_bytes());
         fingerprint.to_string().parse() == Ok(fingerprint)
     }
 
-    fn other_bodies_have_other_fingerprints(one: Vec<u8>, other: Vec<u8>) -> bool {
-        let made = |body: &[u8]| key(1).fingerprint(&RequestContent { body, ..CONTENT });
-        (one == other) == (made(&one) == made(&other))
+    fn fingerprints_are_equal_exactly_for_equal_bodies(one: Vec<u8>, other: Vec<u8>) -> bool {
+        let fingerprint_of = |body: &[u8]| key(1).fingerprint(&RequestContent { body, ..CONTENT });
+        (one == other) == (fingerprint_of(&one) == fingerprint_of(&other))
     }
 }
