--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -1,9 +1,9 @@
-//! A clock that goes on while the machine is suspended.
+//! Monotonic clock that includes suspensions of the machine.
 //!
-//! The steady clock of the system, and so every timer of the runtime, stands still while a machine
-//! is suspended. An age that is measured on it is too short by that time: a router that has slept for
-//! ten seconds would take a key that was taken away meanwhile for confirmed a moment ago. Ages and
-//! expiries that decide whether something may still be done are measured by a [`BootInstant`].
+//! [`std::time::Instant`] and the timers of the runtime don't advance during a suspension. Ages
+//! measured with them would be too short after a resume: a router would still accept a key that was
+//! revoked meanwhile. Ages and expiries on which permissions depend use [`BootInstant`]
+//! (`CLOCK_BOOTTIME`).
 
 use std::ops::Add;
 use std::time::Duration;
@@ -16,45 +16,45 @@
 
 pub use watch::{SuspensionWatch, log_suspensions};
 
-/// A moment on the clock that counts from the start of the machine, suspensions included.
+/// Instant on `CLOCK_BOOTTIME`: time since the boot of the machine, including suspensions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct BootInstant(Duration);
 
 impl BootInstant {
-    /// This moment.
+    /// Returns the current instant.
     pub fn now() -> Self {
-        // The system knows the clock since Linux 2.6.39; it can't fail on a later one.
+        // CLOCK_BOOTTIME exists since Linux 2.6.39, so the call can't fail on later kernels.
         let time = clock_gettime(ClockId::CLOCK_BOOTTIME).map_or(Duration::ZERO, Duration::from);
         BootInstant(time + simulated_suspension())
     }
 
-    /// Time that has passed since, also while the machine was suspended.
+    /// Returns the time elapsed since this instant, including suspensions.
     pub fn elapsed(&self) -> Duration {
         BootInstant::now().since(*self)
     }
 
-    /// Time from `earlier` to this moment, or zero if `earlier` is later.
+    /// Returns the time elapsed from `earlier` to this instant, or zero if `earlier` is later.
     pub fn since(&self, earlier: BootInstant) -> Duration {
         self.0.saturating_sub(earlier.0)
     }
 
-    /// The moment `by` before this one, at the start of the machine at the earliest.
-    pub fn before(&self, by: Duration) -> Self {
-        BootInstant(self.0.saturating_sub(by))
+    /// Subtracts `duration`, saturating at the boot of the machine.
+    pub fn before(&self, duration: Duration) -> Self {
+        BootInstant(self.0.saturating_sub(duration))
     }
 }
 
 impl Add<Duration> for BootInstant {
     type Output = BootInstant;
 
-    fn add(self, by: Duration) -> BootInstant {
-        BootInstant(self.0.saturating_add(by))
+    fn add(self, duration: Duration) -> BootInstant {
+        BootInstant(self.0.saturating_add(duration))
     }
 }
 
 #[cfg(feature = "testing")]
 fn simulated_suspension() -> Duration {
-    testing::suspended()
+    testing::simulated_suspension()
 }
 
 #[cfg(not(feature = "testing"))]
--- a/crates/clock/src/watch.rs
+++ b/crates/clock/src/watch.rs
@@ -1,4 +1,4 @@
-//! Notices that the machine was suspended.
+//! Detection of suspensions of the machine.
 
 use std::time::{Duration, Instant};
 
@@ -6,45 +6,46 @@
 
 use crate::BootInstant;
 
-/// Pace of the look; a suspension is logged within it after the machine has woken up.
-const LOOK_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval of checks, and the maximum delay between a resume and its log line.
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Difference of the clocks that is a suspension: the two are read one after the other.
-const LEAST_SUSPENSION: Duration = Duration::from_millis(100);
+/// Minimum difference between the clocks that counts as a suspension. Smaller ones occur because
+/// the clocks are read one after the other.
+const MIN_SUSPENSION: Duration = Duration::from_millis(100);
 
-/// Compares the clock that counts suspensions with the one that doesn't.
+/// Detects suspensions by comparing `CLOCK_BOOTTIME` with the monotonic clock, which stops.
 #[derive(Clone, Copy, Debug)]
 pub struct SuspensionWatch {
-    steady: Instant,
+    monotonic: Instant,
     boot: BootInstant,
 }
 
 impl Default for SuspensionWatch {
     fn default() -> Self {
-        SuspensionWatch { steady: Instant::now(), boot: BootInstant::now() }
+        SuspensionWatch { monotonic: Instant::now(), boot: BootInstant::now() }
     }
 }
 
 impl SuspensionWatch {
-    /// Time for which the machine was suspended since the last look, if it was.
+    /// Returns the duration of suspensions since the last call, if there were any.
     pub fn look(&mut self) -> Option<Duration> {
         let latest = SuspensionWatch::default();
-        let awake = latest.steady.saturating_duration_since(self.steady);
-        let asleep = latest.boot.since(self.boot).saturating_sub(awake);
+        let running = latest.monotonic.saturating_duration_since(self.monotonic);
+        let suspended = latest.boot.since(self.boot).saturating_sub(running);
         *self = latest;
-        (asleep >= LEAST_SUSPENSION).then_some(asleep)
+        (suspended >= MIN_SUSPENSION).then_some(suspended)
     }
 }
 
-/// Logs each suspension of the machine, for ever.
+/// Logs each suspension of the machine. Runs until it is cancelled.
 pub async fn log_suspensions() {
     let mut watch = SuspensionWatch::default();
-    let mut ticks = interval(LOOK_INTERVAL);
+    let mut ticks = interval(CHECK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        if let Some(asleep) = watch.look() {
-            log::warn!("event=machine_was_suspended for_ms={}", asleep.as_millis());
+        if let Some(suspended) = watch.look() {
+            log::warn!("event=machine_was_suspended for_ms={}", suspended.as_millis());
         }
     }
 }
