--- a/crates/loopback/tests/loopback.rs
+++ b/crates/loopback/tests/loopback.rs
@@ -1,25 +1,25 @@
-//! Addresses are unused, stay so while nobody listens, and are never handed out twice.
+//! Addresses are unique and can be bound again after use.
 
 use std::collections::BTreeSet;
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 
 use juniper_loopback::unused_address;
 
-/// Least port that Linux gives to outgoing connections.
-const FIRST_OUTGOING_PORT: u16 = 32_768;
+/// First port of Linux's ephemeral range, used for outgoing connections.
+const FIRST_EPHEMERAL_PORT: u16 = 32_768;
 
 #[test]
-fn addresses_differ_and_can_be_bound_again_after_connections_were_made() {
+fn addresses_are_unique_and_can_be_rebound_after_connections() {
     let addresses: BTreeSet<SocketAddr> = (0..600).map(|_| unused_address()).collect();
     assert_eq!(addresses.len(), 600);
     for address in &addresses {
         assert!(address.ip().is_loopback(), "{address}");
-        assert!(address.port() < FIRST_OUTGOING_PORT, "{address}");
+        assert!(address.port() < FIRST_EPHEMERAL_PORT, "{address}");
         let listener = TcpListener::bind(address).expect("free for TCP");
         let _socket = UdpSocket::bind(address).expect("free for UDP");
-        let caller = std::net::TcpStream::connect(address).expect("it listens");
-        let _accepted = listener.accept().expect("the caller");
-        drop((listener, caller));
-        TcpListener::bind(address).expect("free again, beside a connection that has ended");
+        let client = std::net::TcpStream::connect(address).expect("listener accepts");
+        let _accepted = listener.accept().expect("pending connection");
+        drop((listener, client));
+        TcpListener::bind(address).expect("free again after a closed connection");
     }
 }
--- a/crates/signals/src/lib.rs
+++ b/crates/signals/src/lib.rs
@@ -1,17 +1,17 @@
-//! The signals that stop a daemon.
+//! Shutdown signals of daemons.
 
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Completes on SIGTERM or SIGINT. A process whose signals can't be handled logs so
-/// and goes on.
+/// Completes on SIGTERM or SIGINT. If the signal handlers can't be installed, the error is logged
+/// and the future never completes.
 pub async fn stopped() {
-    if let Err(error) = stop_signal().await {
+    if let Err(error) = wait_for_signal().await {
         log::error!("event=signal_handler_failed reason=\"{error}\"");
         std::future::pending::<()>().await;
     }
 }
 
-async fn stop_signal() -> Result<(), std::io::Error> {
+async fn wait_for_signal() -> Result<(), std::io::Error> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     tokio::select! {
--- a/src/bin/juniper-lab.rs
+++ b/src/bin/juniper-lab.rs
@@ -1,7 +1,7 @@
 //! Entry point of the lab: emulators, experiments, campaigns and the demo.
 //!
-//! `juniper-lab daemon ...` is `juniperhollow ...`: the demo uses it where only
-//! the lab was built, or where the other program is of an older build.
+//! `juniper-lab daemon ...` runs `juniperhollow ...` with the code of this build, so that the demo
+//! doesn't depend on a separately built `juniperhollow` that may be missing or outdated.
 
 use std::process::ExitCode;
 
