--- a/crates/clock/src/watch.rs
+++ b/crates/clock/src/watch.rs
@@ -28,7 +28,7 @@
 
 impl SuspensionWatch {
     /// Returns the duration of suspensions since the last call, if there were any.
-    pub fn look(&mut self) -> Option<Duration> {
+    pub fn check(&mut self) -> Option<Duration> {
         let latest = SuspensionWatch::default();
         let running = latest.monotonic.saturating_duration_since(self.monotonic);
         let suspended = latest.boot.since(self.boot).saturating_sub(running);
@@ -44,7 +44,7 @@
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        if let Some(suspended) = watch.look() {
+        if let Some(suspended) = watch.check() {
             log::warn!("event=machine_was_suspended for_ms={}", suspended.as_millis());
         }
     }
--- a/crates/clock/tests/suspension.rs
+++ b/crates/clock/tests/suspension.rs
@@ -16,14 +16,14 @@
         running >= Duration::from_millis(30)
             && running <= monotonic.elapsed() + Duration::from_millis(5)
     );
-    assert_eq!(watch.look(), None, "not suspended");
+    assert_eq!(watch.check(), None, "not suspended");
     suspend(Duration::from_secs(10));
-    let suspended = watch.look().expect("suspension is detected");
+    let suspended = watch.check().expect("suspension is detected");
     assert!(
         suspended.abs_diff(Duration::from_secs(10)) < Duration::from_millis(100),
         "{suspended:?}"
     );
-    assert_eq!(watch.look(), None, "reported once");
+    assert_eq!(watch.check(), None, "reported once");
     assert!(boot.elapsed() >= Duration::from_secs(10) + Duration::from_millis(30));
     assert!(monotonic.elapsed() < Duration::from_secs(10));
     let later = boot + Duration::from_secs(3_600);
--- a/crates/router/src/subscription.rs
+++ b/crates/router/src/subscription.rs
@@ -111,7 +111,7 @@
     /// knows how old it is.
     fn may_be_old(&mut self) -> bool {
         let now = Instant::now();
-        if self.suspensions.look().is_some() {
+        if self.suspensions.check().is_some() {
             self.distrusted_until = Some(now + READ_AGAIN);
         }
         self.distrusted_until.is_some_and(|until| now < until)
