--- a/crates/cli/src/daemon.rs
+++ b/crates/cli/src/daemon.rs
@@ -10,7 +10,7 @@
 use juniper_settings::node_file::{
     CommonSettings, ControlSettings, LogLevel, NodeFile, NodeFileError, NodeOverride,
 };
-use juniper_signals::stopped;
+use juniper_signals::shutdown_signal;
 use lexopt::{Arg, ValueExt};
 use log::LevelFilter;
 use serde_json::json;
@@ -108,7 +108,7 @@
     let settings: ControlSettings = file.control.ok_or(no_section)?;
     start_logging(&settings.common)?;
     build_runtime()?
-        .block_on(juniper_control::run(settings, stopped()))
+        .block_on(juniper_control::run(settings, shutdown_signal()))
         .map_err(DaemonError::from)?;
     Ok(ExitCode::SUCCESS)
 }
@@ -135,7 +135,9 @@
     let settings = file.router.ok_or(no_section)?;
     start_logging(&settings.common)?;
     let config = RouterConfig::from_settings(settings).map_err(DaemonError::from)?;
-    build_runtime()?.block_on(juniper_router::run(config, stopped())).map_err(DaemonError::from)?;
+    build_runtime()?
+        .block_on(juniper_router::run(config, shutdown_signal()))
+        .map_err(DaemonError::from)?;
     Ok(ExitCode::SUCCESS)
 }
 
--- a/crates/signals/src/lib.rs
+++ b/crates/signals/src/lib.rs
@@ -4,7 +4,7 @@
 
 /// Completes on SIGTERM or SIGINT. If the signal handlers can't be installed, the error is logged
 /// and the future never completes.
-pub async fn stopped() {
+pub async fn shutdown_signal() {
     if let Err(error) = wait_for_signal().await {
         log::error!("event=signal_handler_failed reason=\"{error}\"");
         std::future::pending::<()>().await;
