--- a/crates/catalog/src/fault.rs
+++ b/crates/catalog/src/fault.rs
@@ -45,7 +45,7 @@
     },
     /// Tenant limit that is negative or not finite.
     #[error("the {field} of tenant {tenant} is {value}; it must be a finite number of at least 0")]
-    Limit {
+    InvalidLimit {
         /// Name of the tenant.
         tenant: String,
         /// Field of the limit: `rate` or `burst`.
@@ -104,7 +104,11 @@
             let Some(limit) = &tenant.limit else { continue };
             for (field, value) in [("rate", limit.per_second), ("burst", limit.burst)] {
                 if !value.is_finite() || value < 0.0 {
-                    faults.push(CatalogFault::Limit { tenant: tenant.name.clone(), field, value });
+                    faults.push(CatalogFault::InvalidLimit {
+                        tenant: tenant.name.clone(),
+                        field,
+                        value,
+                    });
                 }
             }
         }
--- a/crates/catalog/tests/catalog.rs
+++ b/crates/catalog/tests/catalog.rs
@@ -58,7 +58,7 @@
         let mut catalog = catalog();
         let unit = LimitUnit::Requests;
         catalog.tenants[1].limit = Some(TenantLimit { per_second, burst, unit });
-        assert!(matches!(catalog.faults()[..], [CatalogFault::Limit { .. }]));
+        assert!(matches!(catalog.faults()[..], [CatalogFault::InvalidLimit { .. }]));
     }
 }
 
