--- a/crates/catalog/src/fault.rs
+++ b/crates/catalog/src/fault.rs
@@ -31,7 +31,7 @@
     },
     /// Route with a timeout of zero.
     #[error("the timeout of route {route} is 0")]
-    NoTimeout {
+    ZeroTimeout {
         /// Name of the route.
         route: String,
     },
@@ -143,7 +143,7 @@
         faults.push(CatalogFault::ZeroWeight { route: route.name.clone() });
     }
     if route.timeout_ms == 0 {
-        faults.push(CatalogFault::NoTimeout { route: route.name.clone() });
+        faults.push(CatalogFault::ZeroTimeout { route: route.name.clone() });
     }
     faults
 }
--- a/crates/catalog/tests/catalog.rs
+++ b/crates/catalog/tests/catalog.rs
@@ -86,7 +86,7 @@
     let expected = [
         CatalogFault::UnknownService { route: "short".into(), service: "nowhere".into() },
         CatalogFault::ZeroWeight { route: "long".into() },
-        CatalogFault::NoTimeout { route: "third".into() },
+        CatalogFault::ZeroTimeout { route: "third".into() },
         CatalogFault::DuplicateRoute { first: "short".into(), second: "third".into() },
         CatalogFault::SharedKey { first: "one".into(), second: "three".into() },
     ];
