--- a/crates/catalog/src/index.rs
+++ b/crates/catalog/src/index.rs
@@ -51,7 +51,7 @@
     }
 
     /// Index of the route for `host` and `path`: the one with the longest matching prefix.
-    pub fn route_at(&self, host: &str, path: &str) -> Option<usize> {
+    pub fn find_route_index(&self, host: &str, path: &str) -> Option<usize> {
         let indexes = match self.hosts.get(host) {
             Some(indexes) => indexes,
             None => self.hosts.get(&host.to_ascii_lowercase())?,
@@ -60,7 +60,7 @@
         indexes.iter().find(matches).copied()
     }
 
-    /// Returns the route at an index from [`CatalogIndex::route_at`].
+    /// Returns the route at an index from [`CatalogIndex::find_route_index`].
     pub fn route(&self, index: usize) -> Option<&Route> {
         self.catalog.routes.get(index)
     }
--- a/crates/catalog/tests/catalog.rs
+++ b/crates/catalog/tests/catalog.rs
@@ -111,7 +111,7 @@
 fn the_longest_matching_prefix_of_the_host_is_chosen() {
     let index = CatalogIndex::new(Arc::new(catalog()));
     let name = |host: &str, path: &str| {
-        let route_index = index.route_at(host, path)?;
+        let route_index = index.find_route_index(host, path)?;
         index.route(route_index).map(|route| route.name.clone())
     };
     assert_eq!(name("board.example", "/a/b/c").as_deref(), Some("long"));
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -198,7 +198,7 @@
         return Err(OwnAnswer::Starting);
     };
     let may_reject = age < gateway.settings.rejection_age_limit();
-    let position = index.route_at(host_of(&head.headers), head.uri.path());
+    let position = index.find_route_index(host_of(&head.headers), head.uri.path());
     let Some(route) = position.and_then(|position| index.route(position)) else {
         return Err(if may_reject { OwnAnswer::NoRoute } else { OwnAnswer::Unconfirmed });
     };
