--- a/crates/emulators/src/engine/orders.rs
+++ b/crates/emulators/src/engine/orders.rs
@@ -86,7 +86,7 @@
 /// Answer to an accepted order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderAnswer {
-    /// What the order came to.
+    /// Result of the order.
     pub state: OrderState,
     /// Whether the order was accepted before and this repeats the first answer.
     pub repeated: bool,
--- a/crates/emulators/src/engine/request.rs
+++ b/crates/emulators/src/engine/request.rs
@@ -164,7 +164,7 @@
         at: Timestamp,
         /// Reason.
         reason: DropReason,
-        /// Whether it had entered the batch.
+        /// Whether the request had entered the batch.
         run: bool,
     },
     /// Weights must be fetched; the driver calls [`super::Engine::complete_load`] when done.
--- a/crates/emulators/src/trace/profile.rs
+++ b/crates/emulators/src/trace/profile.rs
@@ -1,9 +1,8 @@
 //! Profiles of the two deployments that traces are generated for.
 //!
-//! Zones, engines and tenants are those of the deployments. Segment lengths
-//! follow the described texts at four bytes per token. The prefixes in use need
-//! several times the cache of one engine and about the cache of the whole
-//! fleet, so cache hits depend on the placement of requests.
+//! Zones, engines and tenants are those of the deployments. The prefixes in use
+//! exceed the cache of one engine several times and take about the cache of the
+//! whole fleet, so cache hits depend on the placement of requests.
 
 use juniper_types::{ModelName, NameError, ServiceName, TenantName, ZoneName};
 use serde::{Deserialize, Serialize};
