--- a/crates/simulation/src/disk/file.rs
+++ b/crates/simulation/src/disk/file.rs
@@ -1,13 +1,13 @@
-//! One file: what the system shows and what the platters hold.
+//! Simulated file with its page cache and durable content.
 
 use std::collections::BTreeSet;
 
 use crate::random::Random;
 
-/// Bytes that a disk writes whole or not at all.
+/// Size of the unit that a disk writes atomically.
 pub(crate) const SECTOR_BYTES: usize = 512;
 
-/// Content of a file with the sectors that are written but not synced.
+/// Cached and durable content of a file, and the sectors that were written but not synced.
 #[derive(Clone, Debug, Default)]
 pub(super) struct File {
     pub(super) number: u64,
@@ -29,15 +29,15 @@
     pub(super) fn write(&mut self, offset: usize, data: &[u8]) {
         let end = offset + data.len();
         if end > self.cached.len() {
-            self.touch(self.cached.len(), end);
+            self.mark_dirty(self.cached.len(), end);
             self.cached.resize(end, 0);
             self.length_is_dirty = true;
         }
         self.cached[offset..end].copy_from_slice(data);
-        self.touch(offset, end);
+        self.mark_dirty(offset, end);
     }
 
-    fn touch(&mut self, start: usize, end: usize) {
+    fn mark_dirty(&mut self, start: usize, end: usize) {
         if start < end {
             self.dirty.extend(start / SECTOR_BYTES..=(end - 1) / SECTOR_BYTES);
         }
@@ -50,27 +50,27 @@
         self.dirty.retain(|sector| *sector < sectors);
     }
 
-    /// Makes everything durable.
+    /// Makes all written data durable.
     pub(super) fn sync(&mut self) {
         let length = self.cached.len();
         self.durable.resize(length, 0);
         for sector in std::mem::take(&mut self.dirty) {
-            self.keep(sector);
+            self.persist_sector(sector);
         }
         self.length_is_dirty = false;
     }
 
-    /// A sync that fails: some sectors reach the platters, and the system forgets
-    /// that the others never did. They can still be read until the power goes.
+    /// Fails a sync: random dirty sectors become durable and all are marked clean, as on
+    /// Linux. The others remain readable until power is lost.
     pub(super) fn fail_sync(&mut self, random: &mut Random) {
         for sector in std::mem::take(&mut self.dirty) {
             if random.chance(500) {
-                self.keep(sector);
+                self.persist_sector(sector);
             }
         }
     }
 
-    fn keep(&mut self, sector: usize) {
+    fn persist_sector(&mut self, sector: usize) {
         let start = sector * SECTOR_BYTES;
         let end = (start + SECTOR_BYTES).min(self.cached.len());
         if start >= end {
@@ -82,11 +82,11 @@
         self.durable[start..end].copy_from_slice(&self.cached[start..end]);
     }
 
-    /// The power goes: of what was not synced, any part may have been written.
+    /// Simulates a power loss: a random part of the unsynced data is durable.
     pub(super) fn lose_power(&mut self, random: &mut Random) {
         for sector in std::mem::take(&mut self.dirty) {
             if random.chance(500) {
-                self.keep(sector);
+                self.persist_sector(sector);
             }
         }
         if std::mem::take(&mut self.length_is_dirty) && random.chance(500) {
@@ -95,7 +95,7 @@
         self.cached.clone_from(&self.durable);
     }
 
-    /// Changes a byte that was synced, as a failing disk does.
+    /// Flips a bit of the durable byte at `offset`.
     pub(super) fn corrupt(&mut self, offset: usize) {
         if let Some(byte) = self.durable.get_mut(offset) {
             *byte ^= 0x40;
--- a/crates/simulation/src/disk/mod.rs
+++ b/crates/simulation/src/disk/mod.rs
@@ -1,8 +1,7 @@
-//! A simulated disk behind the storage crate's own interface.
+//! Simulated disk that implements the storage crate's [`Disk`].
 //!
-//! It tells what the operating system shows from what would survive a power
-//! cut, sector by sector and name by name, fails a sync or a write on demand,
-//! and can lose power in the middle of any operation.
+//! Cached and durable content are tracked per sector and per file name. Faults cover
+//! failed syncs, a full disk, corrupted bytes and a power loss at any operation.
 
 mod file;
 
@@ -16,7 +15,7 @@
 use crate::random::Random;
 use file::File;
 
-/// A change of names that is not durable yet.
+/// Change of a directory entry.
 #[derive(Clone, Debug)]
 enum NameChange {
     Set(String, u64),
@@ -41,6 +40,7 @@
     }
 }
 
+/// Shared state of all handles to a disk.
 #[derive(Debug)]
 struct Content {
     random: Random,
@@ -49,21 +49,21 @@
     durable_names: BTreeMap<String, u64>,
     unsynced_names: Vec<NameChange>,
     next_number: u64,
-    /// Operations until the power goes, if it is about to.
-    power_left: Option<u64>,
-    /// Syncs until one fails, if one is about to.
-    syncs_left: Option<u64>,
+    /// Operations left until a scheduled power loss; `Some(0)` means the power is off.
+    operations_until_power_loss: Option<u64>,
+    /// Successful syncs left until a scheduled sync failure.
+    syncs_until_failure: Option<u64>,
     capacity: Option<usize>,
-    syncs_are_lies: bool,
+    ignores_syncs: bool,
     syncs: u64,
 }
 
-/// One folder on a simulated disk. Clones are handles to the same folder.
+/// Folder on a simulated disk. Clones share the same folder.
 #[derive(Clone, Debug)]
 pub struct SimulatedDisk(Rc<RefCell<Content>>);
 
 impl SimulatedDisk {
-    /// An empty folder whose losses are drawn from `random`.
+    /// Creates an empty folder; `random` decides which unsynced data is lost.
     pub fn new(random: Random) -> Self {
         SimulatedDisk(Rc::new(RefCell::new(Content {
             random,
@@ -72,82 +72,82 @@
             durable_names: BTreeMap::new(),
             unsynced_names: Vec::new(),
             next_number: 1,
-            power_left: None,
-            syncs_left: None,
+            operations_until_power_loss: None,
+            syncs_until_failure: None,
             capacity: None,
-            syncs_are_lies: false,
+            ignores_syncs: false,
             syncs: 0,
         })))
     }
 
-    /// The power goes after `operations` more operations; the one after fails and
-    /// so does everything until [`SimulatedDisk::lose_power`].
+    /// Schedules a power loss after `operations` more operations. Later operations fail
+    /// until [`SimulatedDisk::lose_power`].
     pub fn cut_power_after(&self, operations: u64) {
-        self.0.borrow_mut().power_left = Some(operations);
+        self.0.borrow_mut().operations_until_power_loss = Some(operations);
     }
 
-    /// Whether the power has gone.
+    /// Whether the power is off.
     pub fn is_without_power(&self) -> bool {
-        self.0.borrow().power_left == Some(0)
+        self.0.borrow().operations_until_power_loss == Some(0)
     }
 
-    /// The sync after `syncs` more fails and loses part of what it should have written.
+    /// Makes the sync after `syncs` successful ones fail and lose part of its data.
     pub fn fail_sync_after(&self, syncs: u64) {
-        self.0.borrow_mut().syncs_left = Some(syncs);
+        self.0.borrow_mut().syncs_until_failure = Some(syncs);
     }
 
-    /// Leaves room for `bytes` more; `None` gives room without bounds.
-    pub fn limit_room(&self, bytes: Option<usize>) {
+    /// Limits the free space to `bytes`; `None` removes the limit.
+    pub fn limit_free_space(&self, bytes: Option<usize>) {
         let mut content = self.0.borrow_mut();
         content.capacity = bytes.map(|bytes| content.used() + bytes);
     }
 
-    /// Takes back every fault that was about to happen.
+    /// Cancels all scheduled faults and the limit on free space.
     pub fn repair(&self) {
         let mut content = self.0.borrow_mut();
         content.capacity = None;
-        content.syncs_left = None;
-        content.power_left = content.power_left.filter(|left| *left == 0);
+        content.syncs_until_failure = None;
+        content.operations_until_power_loss =
+            content.operations_until_power_loss.filter(|left| *left == 0);
     }
 
-    /// Makes every later sync succeed without doing anything: a planted fault.
-    pub fn lie_about_syncs(&self) {
-        self.0.borrow_mut().syncs_are_lies = true;
+    /// Makes later syncs succeed without writing, for [`Planted::NoSync`](crate::Planted::NoSync).
+    pub fn ignore_syncs(&self) {
+        self.0.borrow_mut().ignores_syncs = true;
     }
 
-    /// Number of syncs so far.
+    /// Number of syncs attempted so far.
     pub fn syncs(&self) -> u64 {
         self.0.borrow().syncs
     }
 
-    /// The machine loses power and gets it back: whatever was not synced may be
-    /// there, wholly, in part or not at all.
+    /// Simulates a power loss and a reboot. Any part of the unsynced data may survive.
     pub fn lose_power(&self) {
         let content = &mut *self.0.borrow_mut();
-        content.power_left = None;
+        content.operations_until_power_loss = None;
         for change in std::mem::take(&mut content.unsynced_names) {
             if content.random.chance(500) {
                 change.apply(&mut content.durable_names);
             }
         }
         content.names.clone_from(&content.durable_names);
-        let kept: Vec<u64> = content.names.values().copied().collect();
-        content.files.retain(|number, _| kept.contains(number));
+        let linked: Vec<u64> = content.names.values().copied().collect();
+        content.files.retain(|number, _| linked.contains(number));
         content.files.values_mut().for_each(|file| file.lose_power(&mut content.random));
     }
 
-    /// The process ends while the machine keeps running: the system's cache stays.
+    /// Simulates the end of the process without power loss: unsynced data stays readable.
     pub fn end_process(&self) {
-        self.0.borrow_mut().power_left = None;
+        self.0.borrow_mut().operations_until_power_loss = None;
     }
 
-    /// Names of the files that start with `prefix`, in order.
+    /// Names of the files that start with `prefix`, sorted.
     pub fn files(&self, prefix: &str) -> Vec<String> {
         let content = self.0.borrow();
         content.names.keys().filter(|name| name.starts_with(prefix)).cloned().collect()
     }
 
-    /// Changes one byte of a file, as a failing disk does. Returns whether there was one.
+    /// Corrupts a random byte of a file. Returns `false` if the file is missing or empty.
     pub fn corrupt(&self, name: &str) -> bool {
         let content = &mut *self.0.borrow_mut();
         let Some(number) = content.names.get(name).copied() else { return false };
@@ -163,10 +163,10 @@
         self.files.values().map(|file| file.content().len()).sum()
     }
 
-    /// Counts an operation towards a power cut.
-    fn begin(&mut self, operation: &'static str, name: &str) -> Result<(), DiskError> {
-        match &mut self.power_left {
-            Some(0) => Err(fault(operation, name, io::ErrorKind::BrokenPipe)),
+    /// Counts an operation towards a scheduled power loss; fails if the power is off.
+    fn begin_operation(&mut self, operation: &'static str, name: &str) -> Result<(), DiskError> {
+        match &mut self.operations_until_power_loss {
+            Some(0) => Err(disk_error(operation, name, io::ErrorKind::BrokenPipe)),
             Some(left) => {
                 *left -= 1;
                 Ok(())
@@ -178,15 +178,15 @@
     fn file(&mut self, operation: &'static str, name: &str) -> Result<&mut File, DiskError> {
         let number = self.names.get(name).copied();
         let file = number.and_then(|number| self.files.get_mut(&number));
-        file.ok_or_else(|| fault(operation, name, io::ErrorKind::NotFound))
+        file.ok_or_else(|| disk_error(operation, name, io::ErrorKind::NotFound))
     }
 
-    /// Whether this sync is the one that fails.
-    fn sync_fails(&mut self) -> bool {
+    /// Counts a sync and returns whether it fails.
+    fn count_sync(&mut self) -> bool {
         self.syncs += 1;
-        match &mut self.syncs_left {
+        match &mut self.syncs_until_failure {
             Some(0) => {
-                self.syncs_left = None;
+                self.syncs_until_failure = None;
                 true
             }
             Some(left) => {
@@ -197,13 +197,13 @@
         }
     }
 
-    fn rename(&mut self, change: NameChange) {
+    fn change_name(&mut self, change: NameChange) {
         change.apply(&mut self.names);
         self.unsynced_names.push(change);
     }
 }
 
-fn fault(operation: &'static str, name: &str, kind: io::ErrorKind) -> DiskError {
+fn disk_error(operation: &'static str, name: &str, kind: io::ErrorKind) -> DiskError {
     DiskError::io(operation, name, io::Error::from(kind))
 }
 
@@ -222,7 +222,7 @@
 
     fn create(&mut self, file: &str) -> Result<(), DiskError> {
         let mut content = self.0.borrow_mut();
-        content.begin("create", file)?;
+        content.begin_operation("create", file)?;
         if let Ok(existing) = content.file("create", file) {
             existing.truncate(0);
             return Ok(());
@@ -230,22 +230,22 @@
         let number = content.next_number;
         content.next_number += 1;
         content.files.insert(number, File::new(number));
-        content.rename(NameChange::Set(file.to_owned(), number));
+        content.change_name(NameChange::Set(file.to_owned(), number));
         Ok(())
     }
 
     fn write_at(&mut self, file: &str, offset: u64, data: &[u8]) -> Result<(), DiskError> {
         let mut content = self.0.borrow_mut();
-        content.begin("write", file)?;
+        content.begin_operation("write", file)?;
         let capacity = content.capacity.unwrap_or(usize::MAX);
-        let room = capacity.saturating_sub(content.used());
+        let free_space = capacity.saturating_sub(content.used());
         let start = usize::try_from(offset).unwrap_or(usize::MAX);
         let target = content.file("write", file)?;
         let growth = (start + data.len()).saturating_sub(target.content().len());
-        if growth > room {
-            let written = data.len().saturating_sub(growth - room);
+        if growth > free_space {
+            let written = data.len().saturating_sub(growth - free_space);
             target.write(start, &data[..written]);
-            return Err(fault("write", file, io::ErrorKind::StorageFull));
+            return Err(disk_error("write", file, io::ErrorKind::StorageFull));
         }
         target.write(start, data);
         Ok(())
@@ -253,7 +253,7 @@
 
     fn truncate(&mut self, file: &str, length: u64) -> Result<(), DiskError> {
         let mut content = self.0.borrow_mut();
-        content.begin("truncate", file)?;
+        content.begin_operation("truncate", file)?;
         let length = usize::try_from(length).unwrap_or(usize::MAX);
         content.file("truncate", file)?.truncate(length);
         Ok(())
@@ -261,14 +261,14 @@
 
     fn sync(&mut self, file: &str) -> Result<(), DiskError> {
         let content = &mut *self.0.borrow_mut();
-        content.begin("sync", file)?;
-        if content.syncs_are_lies {
+        content.begin_operation("sync", file)?;
+        if content.ignores_syncs {
             return Ok(());
         }
-        if content.sync_fails() {
+        if content.count_sync() {
             let mut random = content.random.fork();
             content.file("sync", file)?.fail_sync(&mut random);
-            return Err(fault("sync", file, io::ErrorKind::Other));
+            return Err(disk_error("sync", file, io::ErrorKind::Other));
         }
         content.file("sync", file)?.sync();
         Ok(())
@@ -276,33 +276,37 @@
 
     fn rename(&mut self, from: &str, to: &str) -> Result<(), DiskError> {
         let mut content = self.0.borrow_mut();
-        content.begin("rename", from)?;
+        content.begin_operation("rename", from)?;
         let number = content.file("rename", from)?.number;
-        content.rename(NameChange::Rename { from: from.to_owned(), to: to.to_owned(), number });
+        content.change_name(NameChange::Rename {
+            from: from.to_owned(),
+            to: to.to_owned(),
+            number,
+        });
         Ok(())
     }
 
     fn remove(&mut self, file: &str) -> Result<(), DiskError> {
         let mut content = self.0.borrow_mut();
-        content.begin("remove", file)?;
+        content.begin_operation("remove", file)?;
         content.file("remove", file)?;
-        content.rename(NameChange::Remove(file.to_owned()));
+        content.change_name(NameChange::Remove(file.to_owned()));
         Ok(())
     }
 
     fn sync_folder(&mut self) -> Result<(), DiskError> {
         let content = &mut *self.0.borrow_mut();
-        content.begin("sync", ".")?;
-        if content.syncs_are_lies {
+        content.begin_operation("sync", ".")?;
+        if content.ignores_syncs {
             return Ok(());
         }
-        if content.sync_fails() {
-            return Err(fault("sync", ".", io::ErrorKind::Other));
+        if content.count_sync() {
+            return Err(disk_error("sync", ".", io::ErrorKind::Other));
         }
         content.durable_names.clone_from(&content.names);
         content.unsynced_names.clear();
-        let kept: Vec<u64> = content.names.values().copied().collect();
-        content.files.retain(|number, _| kept.contains(number));
+        let linked: Vec<u64> = content.names.values().copied().collect();
+        content.files.retain(|number, _| linked.contains(number));
         Ok(())
     }
 
--- a/crates/simulation/src/fault.rs
+++ b/crates/simulation/src/fault.rs
@@ -1,167 +1,177 @@
-//! Faults and when they strike, drawn from the seed.
+//! Fault schedule of a run, drawn from the seed.
 
 use juniper_types::NodeId;
 
-use crate::network::{Conditions, Cut, Zone};
+use crate::network::{Conditions, Partition, Zone};
 use crate::queue::{MILLI, Micros, SECOND};
 use crate::random::Random;
 
-/// Machine that a fault strikes.
+/// Machine that a fault affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Target {
-    /// The machine with this place among all.
+    /// Machine with this index in node order.
     Machine(u64),
-    /// Whichever leads when the fault strikes.
+    /// Leader at the time of the fault.
     Leader,
 }
 
-/// How a process ends.
+/// How a process is killed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kill {
-    /// The process alone; the system's cache stays.
+    /// Kills only the process; unsynced writes stay in the page cache.
     Process,
-    /// The machine loses power.
+    /// Cuts the power of the machine.
     Power,
-    /// The machine loses power after this many more disk operations.
+    /// Cuts the power after this many more disk operations.
     PowerAtOperation(u64),
 }
 
-/// One fault.
+/// Fault to inject. Durations are in virtual microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// A cut, for a while.
-    Cut(CutKind, Micros),
-    /// Loss, copies and long delays everywhere, for a while.
+    /// Network partition for this long.
+    Partition(PartitionKind, Micros),
+    /// Loss, duplication and long delays of all messages for this long.
     BadNetwork(Conditions, Micros),
-    /// The process stands still, and goes on as if nothing had been.
+    /// Suspends the process for this long.
     Freeze(Target, Micros),
-    /// The process ends, and starts again after a while.
+    /// Kills the process and restarts it after this long.
     Kill(Target, Kill, Micros),
-    /// Every process ends at once.
+    /// Kills all processes at once.
     KillAll(Kill),
-    /// The process ends and starts again this many times, at once each time.
+    /// Kills the process, and again this many times after quick restarts.
     CrashLoop(Target, Kill, u64),
-    /// The disk is lost; after a while the machine has an empty one.
-    LoseDisk(Target, Micros),
-    /// A voter's disk is lost and repaired, and a second voter ends for a while
-    /// before the first has caught up.
-    LoseTwo(Micros),
-    /// The disk takes this much longer, for a while.
+    /// Replaces the disk with an empty one and starts the machine after this long.
+    ReplaceDisk(Target, Micros),
+    /// Replaces a voter's disk and, before that voter has caught up, cuts the power of a
+    /// second voter for this long.
+    LoseTwoVoters(Micros),
+    /// Sets the sync duration (first) of the disk for some time (second).
     SlowDisk(Target, Micros, Micros),
-    /// The sync after this many more fails.
+    /// Fails a sync after this many successful ones.
     FailSync(Target, u64),
-    /// The disk has room for this many bytes, for a while.
+    /// Limits the free disk space to this many bytes for some time.
     FullDisk(Target, usize, Micros),
-    /// A synced byte changes while the machine is off; the disk counts as lost.
-    Damage(Target, Micros),
-    /// The machine's clock jumps by this many milliseconds.
+    /// Cuts the power, corrupts a synced byte and restarts the machine after this long. The
+    /// disk counts as lost.
+    CorruptDisk(Target, Micros),
+    /// Sets the wall clock offset to this many milliseconds.
     ClockJump(Target, i64),
-    /// An operator hands leadership to a machine.
-    Transfer(Target),
-    /// An operator demotes or removes the replica on a machine.
-    TakeOut(Target),
+    /// Transfers leadership to a machine, as an operator does.
+    TransferLeadership(Target),
+    /// Demotes or removes the replica on a machine, as an operator does.
+    ChangeMembership(Target),
 }
 
-/// What is cut.
+/// Extent of a network partition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CutKind {
-    /// Two zones, in both directions.
+pub enum PartitionKind {
+    /// Between two zones, in both directions.
     Zones(Zone, Zone),
-    /// One zone to another, not back.
+    /// From the first zone to the second only.
     ZonesOneWay(Zone, Zone),
-    /// A machine from everything.
+    /// All messages to and from a machine.
     Machine(Target),
-    /// Everything to a machine.
+    /// All messages to a machine.
     Inbound(Target),
-    /// A machine to everything.
+    /// All messages from a machine.
     Outbound(Target),
 }
 
-/// The names that `--list` shows.
+/// Descriptions of the faults, as printed by `--list`.
 pub const FAULT_NAMES: [&str; 18] = [
-    "lost, repeated, reordered and late messages",
-    "cuts between zones",
-    "one-way cuts between zones",
-    "machines cut off from all, inbound, outbound or both",
-    "freezes",
+    "lost, duplicated, reordered and delayed messages",
+    "partitions between zones",
+    "one-way partitions between zones",
+    "machines isolated from the network: inbound, outbound or both",
+    "suspended processes",
     "killed processes",
     "power cuts at every disk operation",
     "all replicas killed at once",
     "crash loops, together with elections on a bad network",
     "lost disks",
-    "a lost and repaired disk, then a second machine lost before the first has caught up",
+    "a replaced disk, then a second machine lost before the first has caught up",
     "slow disks",
     "failed syncs",
     "full disks",
-    "damaged synced data",
-    "clocks that jump",
-    "leadership handed over",
-    "replicas taken out by an operator",
+    "corrupted synced data",
+    "clock jumps",
+    "leadership transfers",
+    "replicas demoted or removed by an operator",
 ];
 
-impl CutKind {
-    /// The cuts that it consists of; `node` finds the machine of a target.
-    pub fn parts(self, node: impl Fn(Target) -> Option<NodeId>) -> Vec<Cut> {
-        let of = |target, cut: fn(NodeId) -> Cut| node(target).map(cut).into_iter().collect();
+impl PartitionKind {
+    /// One-way partitions that make up this kind; `node` resolves a target to its node.
+    pub fn partitions(self, node: impl Fn(Target) -> Option<NodeId>) -> Vec<Partition> {
+        let single = |target, partition: fn(NodeId) -> Partition| {
+            node(target).map(partition).into_iter().collect()
+        };
         match self {
-            CutKind::Zones(one, other) => vec![Cut::Zones(one, other), Cut::Zones(other, one)],
-            CutKind::ZonesOneWay(from, to) => vec![Cut::Zones(from, to)],
-            CutKind::Inbound(target) => of(target, Cut::Inbound),
-            CutKind::Outbound(target) => of(target, Cut::Outbound),
-            CutKind::Machine(target) => {
-                let cuts = |node| [Cut::Inbound(node), Cut::Outbound(node)];
-                node(target).map(cuts).into_iter().flatten().collect()
+            PartitionKind::Zones(one, other) => {
+                vec![Partition::Zones(one, other), Partition::Zones(other, one)]
+            }
+            PartitionKind::ZonesOneWay(from, to) => vec![Partition::Zones(from, to)],
+            PartitionKind::Inbound(target) => single(target, Partition::Inbound),
+            PartitionKind::Outbound(target) => single(target, Partition::Outbound),
+            PartitionKind::Machine(target) => {
+                let both = |node| [Partition::Inbound(node), Partition::Outbound(node)];
+                node(target).map(both).into_iter().flatten().collect()
             }
         }
     }
 }
 
-/// A fault with the time at which it strikes.
-pub type Planned = (Micros, Fault);
+/// Fault with its injection time.
+pub type ScheduledFault = (Micros, Fault);
 
-/// Draws the faults of a run. Some runs have few, some have several at once.
-pub fn plan(random: &mut Random, machines: u64, start: Micros, end: Micros) -> Vec<Planned> {
+/// Draws the faults of a run, from `start` to `end`. Some strike at the same time.
+pub fn draw_schedule(
+    random: &mut Random,
+    machines: u64,
+    start: Micros,
+    end: Micros,
+) -> Vec<ScheduledFault> {
     let count = random.between(2, 14);
-    let mut planned = Vec::new();
+    let mut schedule = Vec::new();
     let mut at = start;
     for _ in 0..count {
-        // Two faults in five strike together with the one before.
+        // With 40% probability, the fault coincides with the previous one.
         if !random.chance(400) {
             at = random.between(start, end);
         }
-        planned.push((at + random.between(0, 30 * MILLI), draw(random, machines)));
+        schedule.push((at + random.between(0, 30 * MILLI), draw_fault(random, machines)));
     }
     if random.chance(250) {
-        planned.extend(unsteady_election(random, machines, start, end));
+        schedule.extend(unsteady_election(random, machines, start, end));
     }
-    planned.sort_by_key(|(at, _)| *at);
-    planned
+    schedule.sort_by_key(|(at, _)| *at);
+    schedule
 }
 
-/// The leader ends on a bad network while voters crash again and again: rival
-/// candidates in one term meet voters that have just restarted.
+/// Draws a leader crash with long network delays and crash-looping voters, so that rival
+/// candidates of one term meet voters that have just restarted.
 fn unsteady_election(
     random: &mut Random,
     machines: u64,
     start: Micros,
     end: Micros,
-) -> Vec<Planned> {
+) -> Vec<ScheduledFault> {
     let at = random.between(start, end);
     let conditions = Conditions { delay_max: random.between(50, 900) * MILLI, ..Conditions::GOOD };
     let time = random.between(2 * SECOND, 5 * SECOND);
-    let mut planned = vec![
+    let mut schedule = vec![
         (at, Fault::BadNetwork(conditions, time)),
         (at, Fault::Kill(Target::Leader, Kill::Process, time)),
     ];
     for _ in 0..random.between(1, 2) {
         let target = Target::Machine(random.between(0, machines - 1));
         let times = random.between(5, 40);
-        planned.push((at + MILLI, Fault::CrashLoop(target, draw_kill(random), times)));
+        schedule.push((at + MILLI, Fault::CrashLoop(target, draw_kill(random), times)));
     }
-    planned
+    schedule
 }
 
-fn draw(random: &mut Random, machines: u64) -> Fault {
+fn draw_fault(random: &mut Random, machines: u64) -> Fault {
     let target = match random.chance(450) {
         true => Target::Leader,
         false => Target::Machine(random.between(0, machines - 1)),
@@ -169,22 +179,22 @@
     let short = random.between(50 * MILLI, 2 * SECOND);
     let long = random.between(500 * MILLI, 7 * SECOND);
     match random.between(0, 19) {
-        0 | 1 => Fault::Cut(draw_cut(random, target), long),
+        0 | 1 => Fault::Partition(draw_partition(random, target), long),
         2 | 3 => Fault::BadNetwork(draw_conditions(random), long),
         4 => Fault::Freeze(target, long),
         5 => Fault::Kill(target, Kill::Process, short),
         6 => Fault::Kill(target, Kill::Power, short),
         7 | 8 => Fault::Kill(target, Kill::PowerAtOperation(random.between(0, 12)), short),
         9 => Fault::KillAll(draw_kill(random)),
-        10 | 11 => Fault::LoseDisk(target, short),
-        12 => Fault::LoseTwo(random.between(SECOND, 6 * SECOND)),
+        10 | 11 => Fault::ReplaceDisk(target, short),
+        12 => Fault::LoseTwoVoters(random.between(SECOND, 6 * SECOND)),
         13 => Fault::SlowDisk(target, random.between(5 * MILLI, 800 * MILLI), long),
         14 => Fault::FailSync(target, random.between(0, 6)),
         15 => Fault::FullDisk(target, random.between(0, 4_000) as usize, short),
-        16 => Fault::Damage(target, short),
+        16 => Fault::CorruptDisk(target, short),
         17 => Fault::ClockJump(target, random.between(0, 7_200_000) as i64 - 3_600_000),
-        18 => Fault::Transfer(Target::Machine(random.between(0, machines - 1))),
-        _ => Fault::TakeOut(Target::Machine(random.between(0, machines - 1))),
+        18 => Fault::TransferLeadership(Target::Machine(random.between(0, machines - 1))),
+        _ => Fault::ChangeMembership(Target::Machine(random.between(0, machines - 1))),
     }
 }
 
@@ -195,15 +205,15 @@
     }
 }
 
-fn draw_cut(random: &mut Random, target: Target) -> CutKind {
+fn draw_partition(random: &mut Random, target: Target) -> PartitionKind {
     let zone = random.between(0, 2);
     let other = (zone + random.between(1, 2)) % 3;
     match random.between(0, 4) {
-        0 => CutKind::Zones(zone, other),
-        1 => CutKind::ZonesOneWay(zone, other),
-        2 => CutKind::Machine(target),
-        3 => CutKind::Inbound(target),
-        _ => CutKind::Outbound(target),
+        0 => PartitionKind::Zones(zone, other),
+        1 => PartitionKind::ZonesOneWay(zone, other),
+        2 => PartitionKind::Machine(target),
+        3 => PartitionKind::Inbound(target),
+        _ => PartitionKind::Outbound(target),
     }
 }
 
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,9 +1,8 @@
 //! Deterministic simulated network, disk and clock, and runs of the control replicas on them.
 //!
-//! The ready-made simulators for Rust can't be had here, so this one is small
-//! and the project's own. It drives the real replicated log, the real storage
-//! and the real control state through [`world::run`]; what clients do and what
-//! they may expect comes from a [`Workload`]. Everything follows from one seed.
+//! [`world::run`] drives the production replicated log, storage and control state.
+//! A [`Workload`] supplies the client requests and checks their results. Equal seeds
+//! give equal runs.
 
 pub mod disk;
 pub mod fault;
--- a/crates/simulation/src/machine.rs
+++ b/crates/simulation/src/machine.rs
@@ -1,65 +1,64 @@
-//! A machine: its disk, its clock and the control process on it.
+//! Simulated machine with a disk, a clock and a control process.
 
 use juniper_consensus::{DiskIdentity, Membership, ReplicaConfig, ReplicaId, Status};
 use juniper_storage::{FormatError, OpenError, Storage, format};
 use juniper_types::{NodeId, ZoneName};
 
 use crate::disk::SimulatedDisk;
-use crate::network::{Place, Zone};
+use crate::network::{Endpoint, Zone};
 use crate::planted::Planted;
 use crate::process::{Process, ProcessOptions};
 use crate::queue::{Micros, SECOND};
 use crate::random::Random;
 
-/// Wall clock of a correct machine at the start of a run, in milliseconds since
-/// the Unix epoch.
+/// Correct wall clock time at the start of a run, in milliseconds since the Unix epoch.
 pub const START_MS: u64 = 1_800_000_000_000;
 
-/// Ordinary time of a sync.
+/// Default duration of a sync.
 const SYNC_TIME: Micros = 1_500;
 
-/// One machine.
+/// Simulated machine.
 #[derive(Debug)]
 pub struct Machine {
-    /// Its node.
+    /// Node name.
     pub node: NodeId,
-    /// Its zone.
+    /// Zone number.
     pub zone: Zone,
-    /// Who it is, with the disk that it has now.
+    /// Replica identity: the node and its present disk.
     pub id: ReplicaId,
-    /// The disk.
+    /// Simulated disk.
     pub disk: SimulatedDisk,
-    /// The process, while it runs.
+    /// Running process, if any.
     pub process: Option<Process>,
-    /// Counts the process's lives, so that events of an earlier one are dropped.
-    pub life: u64,
-    /// Whether the process stands still.
+    /// Incarnation of the process; events of earlier incarnations are dropped.
+    pub incarnation: u64,
+    /// Whether the process is suspended.
     pub frozen: bool,
-    /// Whether the disk's synced data was damaged on purpose.
+    /// Whether a fault damaged synced data on the disk.
     pub damaged: bool,
-    /// Time that a sync takes.
+    /// Typical duration of a sync.
     pub sync_time: Micros,
-    /// What the clock is wrong by, in milliseconds.
+    /// Offset of the wall clock from the correct time, in milliseconds.
     pub clock_error_ms: i64,
-    /// Last known standing of the replica.
+    /// Status of the replica when its process last stopped.
     pub last_status: Option<Status>,
     options: ProcessOptions,
     random: Random,
 }
 
-/// Name of a zone.
+/// Converts a zone number to a zone name.
 pub fn zone_name(zone: Zone) -> ZoneName {
     let name = ZoneName::new(format!("zone-{zone}"));
-    name.unwrap_or_else(|error| unreachable!("a valid name: {error}"))
+    name.unwrap_or_else(|error| unreachable!("zone name is invalid: {error}"))
 }
 
-/// The identity of a new disk of `node`.
+/// Draws a replica identity for a new disk of `node`.
 pub fn new_identity(node: NodeId, random: &mut Random) -> ReplicaId {
     ReplicaId { node, disk: DiskIdentity::from_random(random.large_number()) }
 }
 
 impl Machine {
-    /// A machine with an empty disk.
+    /// Creates a machine with an empty disk.
     pub fn new(id: ReplicaId, zone: Zone, options: ProcessOptions, mut random: Random) -> Self {
         Machine {
             node: id.node,
@@ -67,7 +66,7 @@
             id,
             disk: SimulatedDisk::new(random.fork()),
             process: None,
-            life: 0,
+            incarnation: 0,
             frozen: false,
             damaged: false,
             sync_time: SYNC_TIME,
@@ -78,29 +77,29 @@
         }
     }
 
-    /// Voters that the leader keeps up.
+    /// Number of voters that the leader maintains.
     pub fn target_voters(&self) -> usize {
         self.options.replica.target_voters
     }
 
-    /// Where it stands in the network.
-    pub fn place(&self) -> Place {
-        Place { zone: self.zone, node: Some(self.node) }
+    /// Network endpoint of the machine.
+    pub fn endpoint(&self) -> Endpoint {
+        Endpoint { zone: self.zone, node: Some(self.node) }
     }
 
-    /// Formats the disk, for a new cluster or to join one.
+    /// Formats the disk with the initial membership of a new cluster, or with `None` to join one.
     ///
     /// # Errors
     /// Fails when the disk does.
     pub fn format(&mut self, initial: Option<&Membership>) -> Result<(), FormatError> {
         format(&mut self.disk, self.id, initial)?;
         if self.options.planted == Some(Planted::NoSync) {
-            self.disk.lie_about_syncs();
+            self.disk.ignore_syncs();
         }
         Ok(())
     }
 
-    /// Puts an empty disk in the place of the one it has.
+    /// Replaces the disk with a newly formatted one.
     ///
     /// # Errors
     /// Fails when the new disk does.
@@ -114,7 +113,7 @@
         self.format(None)
     }
 
-    /// Starts the process.
+    /// Starts a process on the machine.
     ///
     /// # Errors
     /// Fails when the data folder can't be opened.
@@ -123,36 +122,36 @@
         let replica = ReplicaConfig { id: self.id, ..self.options.replica.clone() };
         let options = ProcessOptions { replica, ..self.options.clone() };
         self.process = Some(Process::new(options, storage, restored, self.random.number()));
-        self.life += 1;
+        self.incarnation += 1;
         self.frozen = false;
         Ok(())
     }
 
-    /// Ends the process. With `power`, what was not synced may be lost.
-    pub fn stop(&mut self, power: bool) {
+    /// Stops the process. With `power_lost`, unsynced data may be lost.
+    pub fn stop(&mut self, power_lost: bool) {
         if let Some(process) = self.process.take() {
             self.last_status = Some(process.replica().status());
         }
-        self.life += 1;
+        self.incarnation += 1;
         self.frozen = false;
-        match power {
+        match power_lost {
             true => self.disk.lose_power(),
             false => self.disk.end_process(),
         }
     }
 
-    /// Where its replica stands, or stood when it ended.
+    /// Status of the running replica, or its last status before the process stopped.
     pub fn status(&self) -> Option<Status> {
         let running = self.process.as_ref().map(|process| process.replica().status());
         running.or_else(|| self.last_status.clone())
     }
 
-    /// The machine's wall clock, in milliseconds since the Unix epoch.
+    /// Wall clock at virtual time `now`, in milliseconds since the Unix epoch.
     pub fn clock_ms(&self, now: Micros) -> u64 {
         (START_MS + now / 1_000).saturating_add_signed(self.clock_error_ms)
     }
 
-    /// Time that the next write takes.
+    /// Draws the duration of the next write.
     pub fn draw_sync_time(&mut self) -> Micros {
         self.random.between(self.sync_time / 2, self.sync_time.min(SECOND) * 2)
     }
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -1,4 +1,4 @@
-//! The network between machines and clients: delays, loss, copies and cuts.
+//! Simulated network between machines and clients: delay, loss, duplication and partitions.
 
 use std::collections::BTreeMap;
 
@@ -7,86 +7,86 @@
 use crate::queue::Micros;
 use crate::random::Random;
 
-/// Number of a zone.
+/// Zone number.
 pub type Zone = u64;
 
-/// Where a message starts or ends.
+/// Source or destination of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place {
-    /// The zone.
+pub struct Endpoint {
+    /// Zone of the machine or client.
     pub zone: Zone,
-    /// The machine; clients have none.
+    /// Node of the machine; `None` for a client.
     pub node: Option<NodeId>,
 }
 
-/// What the network does to messages.
+/// Loss, duplication and delay that apply to all messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Conditions {
-    /// Messages lost, of a thousand.
+    /// Lost messages, per mille.
     pub loss: u64,
-    /// Messages that arrive twice, of a thousand.
+    /// Messages delivered twice, per mille.
     pub duplication: u64,
     /// Shortest one-way delay.
     pub delay_min: Micros,
-    /// Longest one-way delay; delays that differ reorder messages.
+    /// Longest one-way delay; messages with different delays may be reordered.
     pub delay_max: Micros,
 }
 
 impl Conditions {
-    /// A good network: one to two milliseconds one way, as between today's zones.
+    /// Healthy network: no loss, one to two milliseconds one-way delay, typical between zones.
     pub const GOOD: Conditions =
         Conditions { loss: 0, duplication: 0, delay_min: 1_000, delay_max: 2_000 };
 }
 
-/// One thing that is cut off.
+/// One-way network partition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Cut {
-    /// Nothing gets from the first zone to the second.
+pub enum Partition {
+    /// Blocks messages from the first zone to the second.
     Zones(Zone, Zone),
-    /// Nothing reaches the machine.
+    /// Blocks all messages to the machine.
     Inbound(NodeId),
-    /// Nothing leaves the machine.
+    /// Blocks all messages from the machine.
     Outbound(NodeId),
 }
 
-/// The network.
+/// Simulated network.
 #[derive(Debug)]
 pub struct Network {
     random: Random,
-    /// What it does at the moment.
+    /// Conditions in force.
     pub conditions: Conditions,
-    /// Cuts in force, each with how often it was made and not mended.
-    cuts: BTreeMap<Cut, u64>,
+    /// Active partitions, each with the number of overlapping faults that cause it.
+    partitions: BTreeMap<Partition, u64>,
 }
 
 impl Network {
-    /// A good network.
+    /// Creates a network without faults.
     pub fn new(random: Random) -> Self {
-        Network { random, conditions: Conditions::GOOD, cuts: BTreeMap::new() }
+        Network { random, conditions: Conditions::GOOD, partitions: BTreeMap::new() }
     }
 
-    /// Makes a cut.
-    pub fn cut(&mut self, cut: Cut) {
-        *self.cuts.entry(cut).or_default() += 1;
+    /// Adds a partition; partitions of overlapping faults are counted.
+    pub fn add_partition(&mut self, partition: Partition) {
+        *self.partitions.entry(partition).or_default() += 1;
     }
 
-    /// Mends a cut once.
-    pub fn mend(&mut self, cut: Cut) {
-        if let Some(count) = self.cuts.get_mut(&cut) {
+    /// Removes one occurrence of a partition.
+    pub fn remove_partition(&mut self, partition: Partition) {
+        if let Some(count) = self.partitions.get_mut(&partition) {
             *count -= 1;
         }
-        self.cuts.retain(|_, count| *count > 0);
+        self.partitions.retain(|_, count| *count > 0);
     }
 
-    /// Mends everything.
+    /// Removes all partitions and restores good conditions.
     pub fn heal(&mut self) {
-        self.cuts.clear();
+        self.partitions.clear();
         self.conditions = Conditions::GOOD;
     }
 
-    /// Delays after which a message arrives: none if it is lost, two if it is copied.
-    pub fn deliveries(&mut self, from: Place, to: Place) -> Vec<Micros> {
-        if self.is_cut(from, to) || self.random.chance(self.conditions.loss) {
+    /// Delays after which copies of a message arrive: none if lost, two if duplicated.
+    pub fn delivery_delays(&mut self, from: Endpoint, to: Endpoint) -> Vec<Micros> {
+        if self.is_blocked(from, to) || self.random.chance(self.conditions.loss) {
             return Vec::new();
         }
         let copies = if self.random.chance(self.conditions.duplication) { 2 } else { 1 };
@@ -94,10 +94,10 @@
         (0..copies).map(|_| self.random.between(delay_min, delay_max)).collect()
     }
 
-    fn is_cut(&self, from: Place, to: Place) -> bool {
-        let is_cut = |cut: Cut| self.cuts.contains_key(&cut);
-        is_cut(Cut::Zones(from.zone, to.zone))
-            || from.node.is_some_and(|node| is_cut(Cut::Outbound(node)))
-            || to.node.is_some_and(|node| is_cut(Cut::Inbound(node)))
+    fn is_blocked(&self, from: Endpoint, to: Endpoint) -> bool {
+        let is_blocked = |partition: Partition| self.partitions.contains_key(&partition);
+        is_blocked(Partition::Zones(from.zone, to.zone))
+            || from.node.is_some_and(|node| is_blocked(Partition::Outbound(node)))
+            || to.node.is_some_and(|node| is_blocked(Partition::Inbound(node)))
     }
 }
--- a/crates/simulation/src/planted.rs
+++ b/crates/simulation/src/planted.rs
@@ -1,44 +1,44 @@
-//! Faults planted on purpose, to show that the checkers find them.
+//! Deliberate implementation faults, to verify that the checkers detect them.
 
-/// One deliberate fault in a step that protects an invariant.
+/// Deliberate fault in a step that protects an invariant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Planted {
-    /// Syncs report success and do nothing.
+    /// Syncs report success without writing.
     NoSync,
-    /// A replica acts on a write before it is on disk.
+    /// A replica acknowledges a write before it is durable.
     EarlyAcknowledgement,
-    /// A wiped disk keeps the identity of the lost one.
+    /// A wiped disk keeps its previous replica identity.
     WipedDiskVotes,
-    /// A restarted replica has forgotten whom it voted for.
+    /// A restarted replica loses its vote.
     VoteForgotten,
-    /// Reads are answered from the local state, without asking a quorum.
+    /// Reads are answered from local state, without a quorum.
     LocalRead,
-    /// Snapshots leave out the ids of accepted changes.
+    /// Snapshots omit the ids of accepted changes.
     ChangeIdsForgotten,
-    /// A router puts in force whatever revision it is handed.
+    /// A router applies any revision it receives, even an older one.
     StaleRevisionApplied,
-    /// A router without a disk takes the first revision that it meets.
+    /// A router without a disk accepts the first revision it receives, ignoring the revision floor.
     FloorSkipped,
-    /// Snapshots leave out the claims.
+    /// Snapshots omit the claims.
     ClaimsForgotten,
     /// A claim is granted when it is proposed, not when it is committed.
     GrantBeforeCommit,
-    /// A claim is granted by any replica whose own state has no such claim.
+    /// A replica other than the leader grants a claim that its local state does not hold.
     GrantWithoutLog,
-    /// A router runs a request again when a grant arrives a second time.
+    /// A router executes a request again when a duplicate grant arrives.
     GrantUsedTwice,
-    /// A router runs a request on a grant that arrives after it said "not run".
+    /// A router executes a request on a late grant, after reporting it as not executed.
     LateGrantUsed,
-    /// Snapshots leave out the fencing tokens.
+    /// Snapshots omit the fencing tokens.
     FencesForgotten,
-    /// An order-giver makes its fencing token up, without the log.
+    /// An order dispatcher uses a fencing token that was not issued by the log.
     TokenGuessed,
-    /// An order-giver that was fenced off sends its order under the newest token.
+    /// A fenced order dispatcher sends its order with the newest token.
     OrderRenumbered,
 }
 
 impl Planted {
-    /// Every planted fault with its name on the command line.
+    /// All planted faults with their command-line names.
     pub const ALL: [(Planted, &'static str); 16] = [
         (Planted::NoSync, "no-sync"),
         (Planted::EarlyAcknowledgement, "early-acknowledgement"),
@@ -58,7 +58,7 @@
         (Planted::OrderRenumbered, "order-renumbered"),
     ];
 
-    /// The fault with this name.
+    /// Finds a fault by its command-line name.
     pub fn named(name: &str) -> Option<Planted> {
         Planted::ALL.iter().find(|(_, known)| *known == name).map(|(planted, _)| *planted)
     }
--- a/crates/simulation/src/process.rs
+++ b/crates/simulation/src/process.rs
@@ -1,4 +1,5 @@
-//! One control process: the real replica, storage and state, driven as the daemon drives them.
+//! Control process: the production replica, storage and state, driven in the same
+//! order as in the control daemon.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
@@ -16,41 +17,41 @@
 use crate::request::{Call, Reply, Request};
 use crate::snapshots;
 
-/// Why a process ends by itself.
+/// Error that ends a process.
 #[derive(Debug, thiserror::Error)]
 pub enum ProcessError {
-    /// Storage failed; nothing may be acknowledged any more.
+    /// Storage failed, so no further write may be acknowledged.
     #[error(transparent)]
     Storage(#[from] StorageError),
-    /// A snapshot that was stored or received can't be read.
+    /// A stored or received snapshot can't be decoded.
     #[error(transparent)]
     Snapshot(#[from] SnapshotError),
-    /// A committed command can't be read.
-    #[error("the command at index {0} can't be decoded")]
+    /// A committed command can't be decoded.
+    #[error("cannot decode the command at index {0}")]
     Command(Index),
 }
 
-/// How a process is set up.
+/// Settings of a process.
 #[derive(Clone, Debug)]
 pub struct ProcessOptions {
-    /// Settings of the replica.
+    /// Replica settings.
     pub replica: ReplicaConfig,
-    /// Applied entries between snapshots.
+    /// Number of applied entries between snapshots.
     pub snapshot_every: u64,
-    /// The planted fault, if any.
+    /// Planted fault, if any.
     pub planted: Option<Planted>,
 }
 
-/// What a process did.
+/// Results of [`Process::run`].
 #[derive(Debug, Default)]
 pub struct Effects {
-    /// Messages for other replicas.
+    /// Messages to other replicas.
     pub messages: Vec<Message>,
-    /// Answers for clients.
+    /// Replies to clients.
     pub replies: Vec<(Call, Reply)>,
-    /// Writes handed to the disk.
+    /// Numbers of the writes started on the disk.
     pub writes: Vec<u64>,
-    /// Entries applied to the state, with a checksum of their content.
+    /// Positions of applied entries, with a checksum of their payloads.
     pub applied: Vec<(Position, u32)>,
 }
 
@@ -61,17 +62,18 @@
     storage: Storage<SimulatedDisk>,
     state: Rc<ControlState>,
     options: ProcessOptions,
-    /// Commands proposed here, by index, and who waits for the answer.
-    waiting: BTreeMap<Index, (Term, Call)>,
-    reads: BTreeMap<u64, Call>,
-    next_read: u64,
-    /// Writes acted on before they are saved: only with a planted fault.
-    unsaved: VecDeque<Write>,
+    /// Calls that wait for a proposed command, by log index.
+    pending_proposals: BTreeMap<Index, (Term, Call)>,
+    /// Calls that wait for a linearizable read, by read context.
+    pending_reads: BTreeMap<u64, Call>,
+    last_read_context: u64,
+    /// Writes acknowledged before they are saved, for [`Planted::EarlyAcknowledgement`].
+    unsaved_writes: VecDeque<Write>,
     clock_ms: u64,
 }
 
 impl Process {
-    /// Starts from what storage kept.
+    /// Creates a process from the state restored by storage.
     pub fn new(
         options: ProcessOptions,
         storage: Storage<SimulatedDisk>,
@@ -86,35 +88,35 @@
             storage,
             state: Rc::default(),
             options,
-            waiting: BTreeMap::new(),
-            reads: BTreeMap::new(),
-            next_read: 0,
-            unsaved: VecDeque::new(),
+            pending_proposals: BTreeMap::new(),
+            pending_reads: BTreeMap::new(),
+            last_read_context: 0,
+            unsaved_writes: VecDeque::new(),
             clock_ms: 0,
         }
     }
 
-    /// The replica.
+    /// Consensus replica.
     pub fn replica(&self) -> &Replica {
         &self.replica
     }
 
-    /// The replica, for an operator's orders.
+    /// Mutable replica, for operator commands.
     pub fn replica_mut(&mut self) -> &mut Replica {
         &mut self.replica
     }
 
-    /// The applied state.
+    /// Control state with all applied entries.
     pub fn state(&self) -> &Rc<ControlState> {
         &self.state
     }
 
-    /// Sets the machine's wall clock, in milliseconds since the Unix epoch.
+    /// Sets the wall clock, in milliseconds since the Unix epoch.
     pub fn set_clock(&mut self, clock_ms: u64) {
         self.clock_ms = clock_ms;
     }
 
-    /// Syncs the mark of the log.
+    /// Syncs the log's mark, see [`Storage::seal`].
     ///
     /// # Errors
     /// Fails when the disk does.
@@ -122,23 +124,23 @@
         self.storage.seal()
     }
 
-    /// One tick has passed.
+    /// Advances the replica by one tick.
     pub fn tick(&mut self) {
         self.replica.tick();
     }
 
-    /// A message has arrived.
+    /// Handles a message from another replica.
     pub fn step(&mut self, message: Message) {
         self.replica.step(message);
     }
 
-    /// The disk is done with a write.
+    /// Handles the completion of a disk write.
     ///
     /// # Errors
-    /// Fails when a write that was acted on early can't be saved.
-    pub fn saved(&mut self, number: u64) -> Result<(), ProcessError> {
-        while self.unsaved.front().is_some_and(|write| write.number <= number) {
-            if let Some(write) = self.unsaved.pop_front() {
+    /// Fails when a write that was acknowledged early can't be saved.
+    pub fn complete_write(&mut self, number: u64) -> Result<(), ProcessError> {
+        while self.unsaved_writes.front().is_some_and(|write| write.number <= number) {
+            if let Some(write) = self.unsaved_writes.pop_front() {
                 self.storage.save(&write)?;
             }
         }
@@ -146,8 +148,8 @@
         Ok(())
     }
 
-    /// Takes a client's question; returns the answer if there is one at once.
-    pub fn ask(&mut self, call: Call, request: Request) -> Option<Reply> {
+    /// Handles a client request; returns the reply if one is available immediately.
+    pub fn handle_request(&mut self, call: Call, request: Request) -> Option<Reply> {
         match request {
             Request::Propose(command) => self.propose(call, command),
             Request::Look => Some(Reply::State(Rc::clone(&self.state))),
@@ -158,34 +160,34 @@
         }
     }
 
-    fn refuse(&self) -> Option<Reply> {
+    fn refusal(&self) -> Option<Reply> {
         Some(Reply::Refused { leader: self.replica.status().leader_node() })
     }
 
     fn read(&mut self, call: Call) -> Option<Reply> {
-        self.next_read += 1;
-        if self.replica.read(self.next_read).is_err() {
-            return self.refuse();
+        self.last_read_context += 1;
+        if self.replica.read(self.last_read_context).is_err() {
+            return self.refusal();
         }
-        self.reads.insert(self.next_read, call);
+        self.pending_reads.insert(self.last_read_context, call);
         None
     }
 
     fn propose(&mut self, call: Call, command: Command) -> Option<Reply> {
-        let command = self.stamp(command);
-        if let Some(answer) = self.grant_early(&command) {
+        let command = self.set_timestamp(command);
+        if let Some(answer) = self.grant_uncommitted_claim(&command) {
             self.replica.propose(to_bytes(&command)).ok();
             return Some(Reply::Answer(answer));
         }
         let Ok(Proposal { term, index }) = self.replica.propose(to_bytes(&command)) else {
-            return self.refuse();
+            return self.refusal();
         };
-        self.waiting.insert(index, (term, call));
+        self.pending_proposals.insert(index, (term, call));
         None
     }
 
-    /// Grants a claim before the log has it, if that fault is planted.
-    fn grant_early(&self, command: &Command) -> Option<Answer> {
+    /// Grants a claim without a committed entry, if such a fault is planted.
+    fn grant_uncommitted_claim(&self, command: &Command) -> Option<Answer> {
         let is_leader = self.replica.is_leader();
         let planted = match self.options.planted {
             Some(Planted::GrantBeforeCommit) => is_leader,
@@ -200,8 +202,8 @@
         (answer == Answer::Claim(ClaimAnswer::Granted)).then_some(answer)
     }
 
-    /// Puts this machine's time on a command.
-    fn stamp(&self, mut command: Command) -> Command {
+    /// Sets the timestamp of a command to the machine's wall clock.
+    fn set_timestamp(&self, mut command: Command) -> Command {
         match &mut command {
             Command::ChangeSettings { header, .. } | Command::Rollback { header, .. } => {
                 header.at_ms = self.clock_ms;
@@ -212,10 +214,10 @@
         command
     }
 
-    /// Does everything that the replica asks for.
+    /// Handles the replica's pending work until none is left.
     ///
     /// # Errors
-    /// After an error the process must end.
+    /// The process must end after any error.
     pub fn run(&mut self) -> Result<Effects, ProcessError> {
         let mut effects = Effects::default();
         loop {
@@ -235,12 +237,12 @@
                 self.apply(entry, &mut effects)?;
             }
             for read in ready.reads {
-                let call = self.reads.remove(&read.context);
+                let call = self.pending_reads.remove(&read.context);
                 let reply = Reply::State(Rc::clone(&self.state));
                 effects.replies.extend(call.map(|call| (call, reply)));
             }
             for context in ready.dropped_reads {
-                let call = self.reads.remove(&context);
+                let call = self.pending_reads.remove(&context);
                 let reply = Reply::Refused { leader: None };
                 effects.replies.extend(call.map(|call| (call, reply)));
             }
@@ -251,7 +253,7 @@
     fn save(&mut self, write: Write) -> Result<(), ProcessError> {
         if self.options.planted == Some(Planted::EarlyAcknowledgement) {
             self.replica.persisted(write.number);
-            self.unsaved.push_back(write);
+            self.unsaved_writes.push_back(write);
             return Ok(());
         }
         Ok(self.storage.save(&write)?)
@@ -262,19 +264,19 @@
             true => Rc::default(),
             false => Rc::new(ControlState::from_snapshot(&snapshot.data)?),
         };
-        // What the snapshot covers comes out of the log no more; its askers ask again.
-        self.waiting.retain(|index, _| *index > snapshot.meta.position.index);
+        // Entries covered by the snapshot won't be applied here; their clients retry.
+        self.pending_proposals.retain(|index, _| *index > snapshot.meta.position.index);
         Ok(())
     }
 
     fn apply(&mut self, entry: Entry, effects: &mut Effects) -> Result<(), ProcessError> {
         let position = entry.position();
         effects.applied.push((position, snapshots::checksum(&entry.payload)));
-        let waiting = self.waiting.remove(&position.index);
+        let pending = self.pending_proposals.remove(&position.index);
         let Payload::Data(data) = entry.payload else { return Ok(()) };
         let command = minicbor::decode(&data).map_err(|_| ProcessError::Command(position.index))?;
         let answer = Rc::make_mut(&mut self.state).apply(position.index, command);
-        if let Some((term, call)) = waiting
+        if let Some((term, call)) = pending
             && term == position.term
         {
             effects.replies.push((call, Reply::Answer(answer)));
--- a/crates/simulation/src/queue.rs
+++ b/crates/simulation/src/queue.rs
@@ -1,4 +1,4 @@
-//! Events in the order of virtual time.
+//! Event queue ordered by virtual time.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -13,36 +13,36 @@
 /// Microseconds in a second.
 pub const SECOND: Micros = 1_000_000;
 
-/// Events that are due at some time. Those of one time come out in the order
-/// in which they were put in, so that a run follows from its seed alone.
+/// Queue of events by due time. Events due at the same time come out in insertion
+/// order, so that runs are deterministic.
 #[derive(Debug)]
 pub struct EventQueue<E> {
     order: BinaryHeap<Reverse<(Micros, u64)>>,
     events: BTreeMap<u64, E>,
-    next: u64,
+    next_number: u64,
     now: Micros,
 }
 
 impl<E> Default for EventQueue<E> {
     fn default() -> Self {
-        EventQueue { order: BinaryHeap::new(), events: BTreeMap::new(), next: 0, now: 0 }
+        EventQueue { order: BinaryHeap::new(), events: BTreeMap::new(), next_number: 0, now: 0 }
     }
 }
 
 impl<E> EventQueue<E> {
-    /// The time of the last event taken out.
+    /// Current virtual time: the due time of the last popped event.
     pub fn now(&self) -> Micros {
         self.now
     }
 
-    /// Makes `event` due after `delay`.
-    pub fn after(&mut self, delay: Micros, event: E) {
-        self.order.push(Reverse((self.now + delay, self.next)));
-        self.events.insert(self.next, event);
-        self.next += 1;
+    /// Schedules `event` after `delay`.
+    pub fn schedule_after(&mut self, delay: Micros, event: E) {
+        self.order.push(Reverse((self.now + delay, self.next_number)));
+        self.events.insert(self.next_number, event);
+        self.next_number += 1;
     }
 
-    /// Takes out the next event and moves the time on to it.
+    /// Removes the next event and advances the time to its due time.
     pub fn pop(&mut self) -> Option<E> {
         let Reverse((due, number)) = self.order.pop()?;
         self.now = due;
--- a/crates/simulation/src/random.rs
+++ b/crates/simulation/src/random.rs
@@ -1,47 +1,47 @@
-//! The one source of random numbers of a run.
+//! Deterministic random numbers of a run.
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Random numbers that follow from a seed alone.
+/// Random number generator determined by its seed.
 #[derive(Clone, Debug)]
 pub struct Random(ChaCha8Rng);
 
 impl Random {
-    /// Starts from `seed`.
+    /// Creates a generator from `seed`.
     pub fn new(seed: u64) -> Self {
         Random(ChaCha8Rng::seed_from_u64(seed))
     }
 
-    /// A source of its own, so that what one part draws doesn't shift another part's draws.
+    /// Derives an independent generator, so that components don't affect each other's draws.
     pub fn fork(&mut self) -> Random {
         Random::new(self.number())
     }
 
-    /// Any number.
+    /// Draws a uniform 64-bit number.
     pub fn number(&mut self) -> u64 {
         self.0.random()
     }
 
-    /// Any large number.
+    /// Draws a uniform 128-bit number.
     pub fn large_number(&mut self) -> u128 {
         self.0.random()
     }
 
-    /// A number from `low` to `high`, both included.
+    /// Draws a number from `low` to `high`, inclusive.
     pub fn between(&mut self, low: u64, high: u64) -> u64 {
         self.0.random_range(low..=high.max(low))
     }
 
-    /// True in `per_mille` of a thousand cases.
+    /// Draws `true` with a probability of `per_mille` / 1000.
     pub fn chance(&mut self, per_mille: u64) -> bool {
         self.between(0, 999) < per_mille
     }
 
-    /// One of `items`, if there is any.
+    /// Draws one of `items`; `None` if empty.
     pub fn pick<T: Clone>(&mut self, items: &[T]) -> Option<T> {
         let last = (items.len() as u64).checked_sub(1)?;
-        let place = usize::try_from(self.between(0, last)).unwrap_or(0);
-        items.get(place).cloned()
+        let index = usize::try_from(self.between(0, last)).unwrap_or(0);
+        items.get(index).cloned()
     }
 }
--- a/crates/simulation/src/request.rs
+++ b/crates/simulation/src/request.rs
@@ -1,40 +1,40 @@
-//! What clients ask a control replica and what it answers.
+//! Requests of clients to a control replica, and its replies.
 
 use std::rc::Rc;
 
 use juniper_control_state::{Answer, Command, ControlState};
 use juniper_types::NodeId;
 
-/// A question, as its asker knows it.
+/// Identity of a client request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Call {
-    /// The client.
+    /// Client number.
     pub client: usize,
-    /// Chosen by the client.
+    /// Token chosen by the client to match replies to requests.
     pub token: u64,
 }
 
-/// What a client asks.
+/// Client request.
 #[derive(Clone, Debug)]
 pub enum Request {
-    /// Put a command through the log. The replica stamps it with its own clock.
+    /// Proposes a command. The replica sets its timestamp.
     Propose(Command),
-    /// The state, no older than the moment of the question.
+    /// Linearizable read of the state.
     Read,
-    /// The state as the replica has it, however old.
+    /// Read of the replica's local state, possibly stale.
     Look,
 }
 
-/// What a replica answers.
+/// Reply of a replica.
 #[derive(Clone, Debug)]
 pub enum Reply {
-    /// The answer to a command that was committed.
+    /// Result of a committed command.
     Answer(Answer),
-    /// The state.
+    /// Result of a read.
     State(Rc<ControlState>),
-    /// Nothing was done; the leader may be elsewhere.
+    /// Request refused because the replica can't serve it, usually as it isn't the leader.
     Refused {
-        /// Where the leader may be.
+        /// Node of the presumed leader, if known.
         leader: Option<NodeId>,
     },
 }
--- a/crates/simulation/src/workload.rs
+++ b/crates/simulation/src/workload.rs
@@ -1,4 +1,4 @@
-//! What clients do in a run, and what they may expect.
+//! Client behaviour in a run, and the checks of its results.
 
 use std::fmt::Display;
 use std::rc::Rc;
@@ -11,14 +11,14 @@
 use crate::random::Random;
 use crate::request::{Call, Reply, Request};
 
-/// What a workload can see and do while it is called.
+/// Context of a workload callback: the time, random numbers, and requests and timers to issue.
 #[derive(Debug)]
 pub struct Bench {
-    /// The time.
+    /// Virtual time.
     pub now: Micros,
-    /// Random numbers of the workload's own.
+    /// Random number generator reserved for the workload.
     pub random: Random,
-    /// All control machines.
+    /// Nodes of all control machines.
     pub nodes: Vec<NodeId>,
     pub(crate) sent: Vec<(NodeId, Call, Request)>,
     pub(crate) timers: Vec<(Micros, Call)>,
@@ -37,7 +37,7 @@
         self.timers.push((delay, call));
     }
 
-    /// Any control machine.
+    /// Node of a random control machine.
     pub fn any_node(&mut self) -> NodeId {
         let nodes = std::mem::take(&mut self.nodes);
         let node = self.random.pick(&nodes).unwrap_or_default();
@@ -45,7 +45,7 @@
         node
     }
 
-    /// Writes a line into the trace.
+    /// Adds a line to the trace; `text` is evaluated only if tracing is enabled.
     pub fn note(&mut self, text: impl FnOnce() -> String) {
         if self.traced {
             self.notes.push(text());
@@ -53,29 +53,29 @@
     }
 }
 
-/// Clients and their checkers.
+/// Clients of a run and the checkers of their results.
 pub trait Workload {
-    /// What this workload's checkers find.
+    /// Violation reported by this workload's checkers.
     type Violation: Display;
 
-    /// Zones of the clients, by their number.
+    /// Zones of the clients, indexed by client number.
     fn clients(&self) -> Vec<Zone>;
 
-    /// The run begins.
+    /// Called at the start of the run.
     fn start(&mut self, bench: &mut Bench);
 
-    /// An answer has arrived, perhaps late or twice.
+    /// Called when a reply arrives, possibly late or duplicated.
     fn on_reply(&mut self, bench: &mut Bench, call: Call, reply: Reply);
 
-    /// A timer is due.
+    /// Called when a timer expires.
     fn on_timer(&mut self, bench: &mut Bench, call: Call);
 
-    /// Faults are over: finish what is open and look at the end.
+    /// Called after the last fault, to complete pending requests and read the final state.
     fn finish(&mut self, bench: &mut Bench);
 
-    /// Whether everything is finished.
+    /// Whether all client work has finished.
     fn is_finished(&self) -> bool;
 
-    /// Checks what was seen against the state that the replicas ended with.
-    fn check(&self, last: &Rc<ControlState>) -> Vec<Self::Violation>;
+    /// Checks the observed replies against the final state of the replicas.
+    fn check(&self, state: &Rc<ControlState>) -> Vec<Self::Violation>;
 }
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -1,8 +1,8 @@
-//! A whole run: machines, network, clients and faults in virtual time.
+//! Run of a simulated cluster: machines, network, clients and faults in virtual time.
 
+mod injection;
 mod observer;
 mod setup;
-mod strike;
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -13,7 +13,7 @@
 
 use crate::fault::Fault;
 use crate::machine::Machine;
-use crate::network::{Cut, Network, Place, Zone};
+use crate::network::{Endpoint, Network, Partition, Zone};
 use crate::process::ProcessError;
 use crate::queue::{EventQueue, MILLI, Micros, SECOND};
 use crate::random::Random;
@@ -24,60 +24,60 @@
 pub use observer::{ClusterViolation, Observer};
 pub use setup::{RunOptions, RunReport, run};
 
-/// One tick of the replicas.
+/// Interval between replica ticks.
 const TICK: Micros = 50 * MILLI;
 
-/// One message in so many is delivered as decoded from its bytes.
-const CODEC_SAMPLE: u64 = 16;
+/// Number of messages between those that are encoded and decoded before delivery.
+const CODEC_CHECK_INTERVAL: u64 = 16;
 
-/// Events in a run beyond which messages must be multiplying; an ordinary run has
-/// fewer than a tenth.
+/// Event limit of a run, to stop when messages multiply; ordinary runs have less than a
+/// tenth of it.
 const MAX_EVENTS: u64 = 400_000;
 
-/// Something that happens at a time.
+/// Scheduled event of a run.
 #[derive(Debug)]
 enum Event {
     Tick(NodeId, u64),
     Deliver(Message),
-    Saved(NodeId, u64, u64),
-    Ask(NodeId, Call, Request),
-    Answer(Call, Reply),
+    WritePersisted(NodeId, u64, u64),
+    Request(NodeId, Call, Request),
+    Reply(Call, Reply),
     Timer(Call),
-    Strike(Fault),
-    Mend(Mend),
+    InjectFault(Fault),
+    EndFault(FaultEnd),
     Start(NodeId),
     Resume(NodeId, u64),
 }
 
-/// The end of a fault.
+/// Fault condition to end.
 #[derive(Debug)]
-enum Mend {
-    Cut(Cut),
+enum FaultEnd {
+    Partition(Partition),
     Network,
     Disk(NodeId),
 }
 
-/// Everything in a run.
+/// State of a run.
 struct World<W> {
     queue: EventQueue<Event>,
     random: Random,
     network: Network,
     machines: BTreeMap<NodeId, Machine>,
-    /// What reached a process that stands still.
-    held: BTreeMap<NodeId, Vec<Event>>,
+    /// Events for suspended processes, delivered when they resume.
+    deferred: BTreeMap<NodeId, Vec<Event>>,
     observer: Observer,
     trace: Trace,
     workload: W,
     clients: Vec<Zone>,
     bench: Bench,
-    /// Whether the time of faults is over.
-    mended: bool,
+    /// Whether the fault phase is over; later faults are ignored.
+    faults_ended: bool,
     messages: u64,
     events: u64,
 }
 
 impl<W: Workload> World<W> {
-    /// Handles events until `end`.
+    /// Handles events until virtual time `end`, or until none is left.
     fn run_until(&mut self, end: Micros) {
         while self.queue.now() < end && self.events < MAX_EVENTS {
             let Some(event) = self.queue.pop() else { return };
@@ -85,7 +85,7 @@
             self.handle(event);
         }
         if self.events >= MAX_EVENTS {
-            self.observer.report(ClusterViolation::Storm { events: MAX_EVENTS });
+            self.observer.report(ClusterViolation::EventLimitExceeded { events: MAX_EVENTS });
         }
     }
 
@@ -95,98 +95,105 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Tick(node, life) => self.tick(node, life),
+            Event::Tick(node, incarnation) => self.tick(node, incarnation),
             Event::Deliver(ref message) => {
                 let node = message.to;
-                self.reach(node, event);
+                self.deliver_event(node, event);
             }
-            Event::Saved(node, ..) | Event::Ask(node, ..) => self.reach(node, event),
-            Event::Answer(call, reply) => {
+            Event::WritePersisted(node, ..) | Event::Request(node, ..) => {
+                self.deliver_event(node, event)
+            }
+            Event::Reply(call, reply) => {
                 self.with_workload(|workload, bench| workload.on_reply(bench, call, reply));
             }
             Event::Timer(call) => {
                 self.with_workload(|workload, bench| workload.on_timer(bench, call));
             }
-            Event::Strike(fault) if !self.mended => self.strike(fault),
-            Event::Strike(_) => {}
-            Event::Mend(mend) => self.mend(mend),
+            Event::InjectFault(fault) if !self.faults_ended => self.inject_fault(fault),
+            Event::InjectFault(_) => {}
+            Event::EndFault(end) => self.end_fault(end),
             Event::Start(node) => self.start_machine(node),
-            Event::Resume(node, life) => self.resume(node, life),
+            Event::Resume(node, incarnation) => self.resume(node, incarnation),
         }
     }
 
-    fn tick(&mut self, node: NodeId, life: u64) {
-        let Some(machine) = self.machines.get_mut(&node).filter(|m| m.life == life) else { return };
+    fn tick(&mut self, node: NodeId, incarnation: u64) {
+        let Some(machine) = self.machines.get_mut(&node).filter(|m| m.incarnation == incarnation)
+        else {
+            return;
+        };
         let frozen = machine.frozen;
         if let Some(process) = machine.process.as_mut().filter(|_| !frozen) {
             process.tick();
-            self.pump(node);
+            self.run_process(node);
         }
-        self.queue.after(TICK, Event::Tick(node, life));
+        self.queue.schedule_after(TICK, Event::Tick(node, incarnation));
     }
 
-    /// Hands an event to the process on `node`, now or when it goes on.
-    fn reach(&mut self, node: NodeId, event: Event) {
+    /// Delivers an event to the process on `node`, or defers it while the process is suspended.
+    fn deliver_event(&mut self, node: NodeId, event: Event) {
         let Some(machine) = self.machines.get_mut(&node) else { return };
         if machine.frozen {
-            self.held.entry(node).or_default().push(event);
+            self.deferred.entry(node).or_default().push(event);
             return;
         }
         let clock = machine.clock_ms(self.queue.now());
         let Some(process) = &mut machine.process else { return };
         process.set_clock(clock);
-        let mut replied = None;
-        let done = match event {
+        let mut immediate_reply = None;
+        let result = match event {
             Event::Deliver(message) => {
                 process.step(message);
                 Ok(())
             }
-            Event::Saved(_, life, number) if life == machine.life => process.saved(number),
-            Event::Ask(_, call, request) => {
-                replied = process.ask(call, request).map(|reply| (call, reply));
+            Event::WritePersisted(_, incarnation, number) if incarnation == machine.incarnation => {
+                process.complete_write(number)
+            }
+            Event::Request(_, call, request) => {
+                immediate_reply = process.handle_request(call, request).map(|reply| (call, reply));
                 Ok(())
             }
             _ => Ok(()),
         };
-        match done {
-            Ok(()) => self.pump(node),
+        match result {
+            Ok(()) => self.run_process(node),
             Err(error) => self.end_process(node, &error),
         }
-        if let Some((call, reply)) = replied {
-            self.answer(node, call, reply);
+        if let Some((call, reply)) = immediate_reply {
+            self.send_reply(node, call, reply);
         }
     }
 
-    /// Lets the process on `node` do what there is to do.
-    fn pump(&mut self, node: NodeId) {
+    /// Runs the process on `node` and schedules its writes, messages and replies.
+    fn run_process(&mut self, node: NodeId) {
         let Some(machine) = self.machines.get_mut(&node) else { return };
         let Some(process) = &mut machine.process else { return };
         let effects = match process.run() {
             Ok(effects) => effects,
             Err(error) => return self.end_process(node, &error),
         };
-        self.watch(node);
+        self.check_replica(node);
         for (position, checksum) in effects.applied {
-            self.observer.applied(node, position, checksum);
+            self.observer.observe_applied(node, position, checksum);
         }
         for number in effects.writes {
             let Some(machine) = self.machines.get_mut(&node) else { continue };
-            let (life, delay) = (machine.life, machine.draw_sync_time());
-            self.queue.after(delay, Event::Saved(node, life, number));
+            let (incarnation, delay) = (machine.incarnation, machine.draw_sync_time());
+            self.queue.schedule_after(delay, Event::WritePersisted(node, incarnation, number));
         }
         effects.messages.into_iter().for_each(|message| self.send(message));
         for (call, reply) in effects.replies {
-            self.answer(node, call, reply);
+            self.send_reply(node, call, reply);
         }
     }
 
-    /// Looks for breaches on one replica.
-    fn watch(&mut self, node: NodeId) {
+    /// Checks the invariants of the replica on `node`.
+    fn check_replica(&mut self, node: NodeId) {
         let process = self.machines.get(&node).and_then(|machine| machine.process.as_ref());
         let Some(replica) = process.map(|process| process.replica()) else { return };
         if replica.is_leader() {
             let status = replica.status();
-            self.observer.leads(status.term, status.id);
+            self.observer.observe_leader(status.term, status.id);
         }
         if let Some(reason) = replica.stop_reason() {
             self.observer.report(ClusterViolation::Stopped { node, reason });
@@ -195,80 +202,80 @@
 
     fn end_process(&mut self, node: NodeId, error: &ProcessError) {
         let Some(machine) = self.machines.get_mut(&node) else { return };
-        let power = machine.disk.is_without_power();
-        machine.stop(power);
+        let power_lost = machine.disk.is_without_power();
+        machine.stop(power_lost);
         if !matches!(error, ProcessError::Storage(_)) {
             let cause = error.to_string();
-            self.observer.report(ClusterViolation::Unreadable { node, cause });
+            self.observer.report(ClusterViolation::UndecodableState { node, cause });
         }
-        let kind = if power { "power cut" } else { "process ended" };
+        let kind = if power_lost { "power cut" } else { "process ended" };
         self.note(|| format!("{node} {kind}: {error}"));
-        self.start_later(node);
+        self.schedule_restart(node);
     }
 
-    fn start_later(&mut self, node: NodeId) {
+    fn schedule_restart(&mut self, node: NodeId) {
         let delay = self.random.between(50 * MILLI, 2 * SECOND);
-        self.queue.after(delay, Event::Start(node));
+        self.queue.schedule_after(delay, Event::Start(node));
     }
 
-    fn place_of(&self, node: NodeId) -> Place {
-        self.machines.get(&node).map_or(Place { zone: 0, node: Some(node) }, Machine::place)
+    fn endpoint_of(&self, node: NodeId) -> Endpoint {
+        self.machines.get(&node).map_or(Endpoint { zone: 0, node: Some(node) }, Machine::endpoint)
     }
 
-    fn client_place(&self, client: usize) -> Place {
-        Place { zone: self.clients.get(client).copied().unwrap_or(0), node: None }
+    fn client_endpoint(&self, client: usize) -> Endpoint {
+        Endpoint { zone: self.clients.get(client).copied().unwrap_or(0), node: None }
     }
 
     fn send(&mut self, message: Message) {
         self.messages += 1;
-        let message = match self.messages.is_multiple_of(CODEC_SAMPLE) {
-            true => self.recode(message),
+        let message = match self.messages.is_multiple_of(CODEC_CHECK_INTERVAL) {
+            true => self.round_trip(message),
             false => message,
         };
-        let (from, to) = (self.place_of(message.from.node), self.place_of(message.to));
-        for delay in self.network.deliveries(from, to) {
-            self.queue.after(delay, Event::Deliver(message.clone()));
+        let (from, to) = (self.endpoint_of(message.from.node), self.endpoint_of(message.to));
+        for delay in self.network.delivery_delays(from, to) {
+            self.queue.schedule_after(delay, Event::Deliver(message.clone()));
         }
     }
 
-    /// The message as it comes out of its own bytes.
-    fn recode(&mut self, message: Message) -> Message {
+    /// Encodes and decodes a message; reports a violation if the result differs.
+    fn round_trip(&mut self, message: Message) -> Message {
         let bytes = juniper_control_state::to_bytes(&message);
         match minicbor::decode::<Message>(&bytes) {
             Ok(decoded) if decoded == message => decoded,
             _ => {
-                self.observer.report(ClusterViolation::Codec { node: message.from.node });
+                self.observer.report(ClusterViolation::CodecMismatch { node: message.from.node });
                 message
             }
         }
     }
 
-    fn answer(&mut self, node: NodeId, call: Call, reply: Reply) {
-        let (from, to) = (self.place_of(node), self.client_place(call.client));
-        for delay in self.network.deliveries(from, to) {
-            self.queue.after(delay, Event::Answer(call, reply.clone()));
+    fn send_reply(&mut self, node: NodeId, call: Call, reply: Reply) {
+        let (from, to) = (self.endpoint_of(node), self.client_endpoint(call.client));
+        for delay in self.network.delivery_delays(from, to) {
+            self.queue.schedule_after(delay, Event::Reply(call, reply.clone()));
         }
     }
 
-    /// Calls the workload and does what it asked for.
-    fn with_workload(&mut self, act: impl FnOnce(&mut W, &mut Bench)) {
+    /// Calls the workload, then schedules the requests and timers that it issued.
+    fn with_workload(&mut self, callback: impl FnOnce(&mut W, &mut Bench)) {
         self.bench.now = self.queue.now();
-        act(&mut self.workload, &mut self.bench);
+        callback(&mut self.workload, &mut self.bench);
         for note in std::mem::take(&mut self.bench.notes) {
             self.note(|| note);
         }
         for (delay, call) in std::mem::take(&mut self.bench.timers) {
-            self.queue.after(delay, Event::Timer(call));
+            self.queue.schedule_after(delay, Event::Timer(call));
         }
         for (node, call, request) in std::mem::take(&mut self.bench.sent) {
-            let (from, to) = (self.client_place(call.client), self.place_of(node));
-            for delay in self.network.deliveries(from, to) {
-                self.queue.after(delay, Event::Ask(node, call, request.clone()));
+            let (from, to) = (self.client_endpoint(call.client), self.endpoint_of(node));
+            for delay in self.network.delivery_delays(from, to) {
+                self.queue.schedule_after(delay, Event::Request(node, call, request.clone()));
             }
         }
     }
 
-    /// The state of the leader, if every replica has arrived at it.
+    /// State of the leader, if all replicas have applied exactly its committed entries.
     fn agreed_state(&self) -> Option<Rc<ControlState>> {
         let processes = || self.machines.values().map(|machine| machine.process.as_ref());
         let leader = processes().flatten().find(|process| process.replica().is_leader())?;
@@ -281,7 +288,7 @@
         processes().all(agrees).then(|| Rc::clone(leader.state()))
     }
 
-    /// The state of the replica that has applied most.
+    /// State of the replica that has applied the most entries.
     fn latest_state(&self) -> Option<Rc<ControlState>> {
         let processes = self.machines.values().filter_map(|machine| machine.process.as_ref());
         let latest = processes.max_by_key(|process| process.state().applied())?;
--- a/crates/simulation/src/world/observer.rs
+++ b/crates/simulation/src/world/observer.rs
@@ -1,4 +1,4 @@
-//! What holds for the replicas at every moment, watched from outside.
+//! Checks of the invariants that hold for the replicas at all times.
 
 use std::collections::BTreeMap;
 
@@ -7,80 +7,80 @@
 
 use crate::queue::Micros;
 
-/// A breach of what the replicas promise.
+/// Violation of an invariant of the cluster.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ClusterViolation {
-    /// Two replicas led in one term.
-    #[error("{first} and {second} both led in term {term}")]
+    /// Two replicas were leaders in the same term.
+    #[error("{first} and {second} were both leaders in term {term}")]
     TwoLeaders {
-        /// The term.
+        /// Common term.
         term: Term,
-        /// One.
+        /// First observed leader.
         first: ReplicaId,
-        /// The other.
+        /// Second observed leader.
         second: ReplicaId,
     },
     /// Two replicas applied different entries at one index.
-    #[error("{node} applied another entry at index {index} than was applied before")]
+    #[error("{node} applied an entry at index {index} that differs from the one applied earlier")]
     Fork {
-        /// The replica that differs.
+        /// Node of the replica that applied the later entry.
         node: NodeId,
-        /// The index.
+        /// Log index.
         index: Index,
     },
-    /// A replica stopped for good.
+    /// A replica stopped permanently.
     #[error("the replica on {node} stopped: {reason}")]
     Stopped {
-        /// The machine.
+        /// Node of the machine.
         node: NodeId,
-        /// Why.
+        /// Reason of the stop.
         reason: StopReason,
     },
-    /// A disk that only lost what was not synced reads as damaged.
-    #[error("the good disk of {node} can't be opened: {cause}")]
-    GoodDiskRefused {
-        /// The machine.
+    /// Storage rejected a disk that lost only unsynced data.
+    #[error("cannot open the intact disk of {node}: {cause}")]
+    IntactDiskRejected {
+        /// Node of the machine.
         node: NodeId,
-        /// What storage said.
+        /// Storage error.
         cause: String,
     },
-    /// A damaged disk was opened as if nothing had happened.
-    #[error("damage to synced data of {node} went unnoticed")]
-    DamageUnnoticed {
-        /// The machine.
+    /// Storage opened a disk with corrupted synced data.
+    #[error("corruption of synced data on {node} was not detected")]
+    UndetectedCorruption {
+        /// Node of the machine.
         node: NodeId,
     },
-    /// A message does not survive its own encoding.
-    #[error("a message from {node} can't be decoded as it was encoded")]
-    Codec {
-        /// The sender.
+    /// A message differs after encoding and decoding.
+    #[error("a message from {node} differs after encoding and decoding")]
+    CodecMismatch {
+        /// Sender of the message.
         node: NodeId,
     },
-    /// Applied commands or snapshots can't be read.
+    /// A committed command or a snapshot can't be decoded.
     #[error("the process on {node} ended: {cause}")]
-    Unreadable {
-        /// The machine.
+    UndecodableState {
+        /// Node of the machine.
         node: NodeId,
-        /// What it said.
+        /// Error that ended the process.
         cause: String,
     },
-    /// Messages multiply.
-    #[error("the run was stopped after {events} events")]
-    Storm {
-        /// Events handled.
+    /// The run exceeded its event limit, so messages are probably multiplying.
+    #[error("the run exceeded the limit of {events} events")]
+    EventLimitExceeded {
+        /// Number of handled events.
         events: u64,
     },
-    /// Long after the last fault, something is not finished.
-    #[error("no progress {waited_seconds} s after the last fault: {what}")]
+    /// The run did not complete in time after the last fault.
+    #[error("run not completed {waited_seconds} s after the last fault: {what}")]
     NoProgress {
-        /// How long the run waited.
+        /// Waiting time in seconds.
         waited_seconds: Micros,
-        /// What is not finished.
+        /// Condition that was not reached.
         what: &'static str,
     },
 }
 
-/// Watches the replicas.
+/// Checker of cluster invariants.
 #[derive(Debug, Default)]
 pub struct Observer {
     leaders: BTreeMap<Term, ReplicaId>,
@@ -89,16 +89,16 @@
 }
 
 impl Observer {
-    /// A replica says that it leads.
-    pub fn leads(&mut self, term: Term, id: ReplicaId) {
+    /// Records that a replica is the leader of a term.
+    pub fn observe_leader(&mut self, term: Term, id: ReplicaId) {
         let first = *self.leaders.entry(term).or_insert(id);
         if first != id {
             self.report(ClusterViolation::TwoLeaders { term, first, second: id });
         }
     }
 
-    /// A replica has applied an entry.
-    pub fn applied(&mut self, node: NodeId, position: Position, checksum: u32) {
+    /// Records that a replica applied an entry.
+    pub fn observe_applied(&mut self, node: NodeId, position: Position, checksum: u32) {
         let Position { term, index } = position;
         let first = *self.applied.entry(index).or_insert((term, checksum));
         if first != (term, checksum) {
@@ -106,14 +106,14 @@
         }
     }
 
-    /// Something is wrong.
+    /// Adds a violation unless it is already recorded.
     pub fn report(&mut self, violation: ClusterViolation) {
         if !self.violations.contains(&violation) {
             self.violations.push(violation);
         }
     }
 
-    /// Everything that was wrong.
+    /// Recorded violations.
     pub fn violations(&self) -> &[ClusterViolation] {
         &self.violations
     }
--- a/crates/simulation/src/world/setup.rs
+++ b/crates/simulation/src/world/setup.rs
@@ -1,4 +1,4 @@
-//! Sets a run up, takes it through its faults and to its end.
+//! Phases of a run: cluster creation, faults, recovery and final checks.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -18,51 +18,51 @@
 use crate::trace::Trace;
 use crate::workload::{Bench, Workload};
 
-/// Time before the first fault.
+/// Start of the fault phase.
 const QUIET_START: Micros = 2 * SECOND;
 
-/// Time at which the last fault strikes and everything is mended.
+/// End of the fault phase; all faults end here.
 const FAULTS_END: Micros = 20 * SECOND;
 
-/// Longest time for everything to be finished after that.
+/// Time limit for the run to complete after the fault phase.
 const FINISH_LIMIT: Micros = 90 * SECOND;
 
 const ZONES: u64 = 3;
 
-/// What to run.
+/// Options of a run.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RunOptions {
-    /// Everything follows from it.
+    /// Seed of all random decisions.
     pub seed: u64,
-    /// The planted fault, if any.
+    /// Planted fault, if any.
     pub planted: Option<Planted>,
-    /// Whether to keep a trace.
+    /// Whether to record a trace.
     pub traced: bool,
 }
 
-/// What came of a run.
+/// Result of a run.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RunReport {
-    /// What was wrong, in words.
+    /// Descriptions of the violations found.
     pub violations: Vec<String>,
-    /// The trace, if it was asked for.
+    /// Trace lines, if tracing was enabled.
     pub trace: Vec<String>,
-    /// Events handled; equal for equal seeds.
+    /// Number of handled events; equal for equal seeds.
     pub events: u64,
 }
 
-/// Runs a workload against replicas under the faults that the seed brings.
+/// Runs a workload against a simulated cluster, with faults drawn from the seed.
 pub fn run<W: Workload>(options: RunOptions, workload: W) -> RunReport {
     let mut world = World::new(options, workload);
-    world.found();
+    world.create_cluster();
     world.run_until(FAULTS_END);
     world.heal();
-    let state = world.finish();
+    let state = world.wait_for_completion();
     world.report(state)
 }
 
-/// Settings of the replicas that make everything happen often: small windows,
-/// small chunks, early snapshots, early replacement of lost voters.
+/// Draws process options with small windows and chunks, frequent snapshots and early
+/// replacement of lost voters, so that rare code paths run often.
 fn draw_options(random: &mut Random, options: RunOptions, machines: u64) -> ProcessOptions {
     let nodes: Vec<NodeId> = (1..=machines).map(NodeId).collect();
     let own = new_identity(NodeId(0), random);
@@ -105,25 +105,25 @@
             network: Network::new(random.fork()),
             random,
             machines,
-            held: BTreeMap::new(),
+            deferred: BTreeMap::new(),
             observer: Observer::default(),
             trace: Trace::new(options.traced),
             clients: workload.clients(),
             workload,
             bench,
-            mended: false,
+            faults_ended: false,
             messages: 0,
             events: 0,
         }
     }
 
-    /// Makes a new cluster, starts everything and plans the faults.
-    fn found(&mut self) {
-        // Founded on one machine as an operator does, or with all voters at once.
-        let target = if self.random.chance(200) { 1 } else { self.target_voters() };
-        let voters = self.machines.values().take(target).map(|m| (m.id, zone_name(m.zone)));
+    /// Creates a cluster, starts machines and workload, and schedules the faults.
+    fn create_cluster(&mut self) {
+        // One initial voter, as when an operator creates a cluster, or all at once.
+        let voter_count = if self.random.chance(200) { 1 } else { self.target_voters() };
+        let voters = self.machines.values().take(voter_count).map(|m| (m.id, zone_name(m.zone)));
         let membership = Membership::of_voters(ClusterEpoch::first(self.random.number()), voters);
-        self.note(|| format!("{target} voters: {membership:?}"));
+        self.note(|| format!("{voter_count} voters: {membership:?}"));
         for machine in self.machines.values_mut() {
             let initial = Some(&membership).filter(|membership| membership.contains(machine.id));
             let formatted = machine.format(initial);
@@ -132,8 +132,8 @@
         let nodes = self.bench.nodes.clone();
         nodes.into_iter().for_each(|node| self.start_machine(node));
         let count = self.machines.len() as u64;
-        for (at, fault) in fault::plan(&mut self.random, count, QUIET_START, FAULTS_END) {
-            self.queue.after(at, Event::Strike(fault));
+        for (at, fault) in fault::draw_schedule(&mut self.random, count, QUIET_START, FAULTS_END) {
+            self.queue.schedule_after(at, Event::InjectFault(fault));
         }
         self.with_workload(|workload, bench| workload.start(bench));
     }
@@ -142,7 +142,7 @@
         self.machines.values().next().map_or(0, Machine::target_voters)
     }
 
-    /// Starts the process on `node`, unless it runs.
+    /// Starts the process on `node` unless it is already running.
     pub(super) fn start_machine(&mut self, node: NodeId) {
         let Some(machine) = self.machines.get_mut(&node) else { return };
         if machine.process.is_some() {
@@ -150,39 +150,39 @@
         }
         match machine.start() {
             Ok(()) => {
-                let (id, life, damaged) = (machine.id, machine.life, machine.damaged);
+                let (id, incarnation, damaged) = (machine.id, machine.incarnation, machine.damaged);
                 if damaged {
-                    self.observer.report(ClusterViolation::DamageUnnoticed { node });
+                    self.observer.report(ClusterViolation::UndetectedCorruption { node });
                 }
                 self.note(|| format!("{node} starts as {id}"));
                 let first_tick = self.random.between(0, TICK);
-                self.queue.after(first_tick, Event::Tick(node, life));
-                self.pump(node);
+                self.queue.schedule_after(first_tick, Event::Tick(node, incarnation));
+                self.run_process(node);
             }
-            Err(error) => self.start_failed(node, &error),
+            Err(error) => self.handle_start_failure(node, &error),
         }
     }
 
-    /// Mends everything.
+    /// Ends all faults, starts all machines and lets the workload finish.
     fn heal(&mut self) {
-        self.note(|| "everything is mended".to_owned());
-        self.mended = true;
+        self.note(|| "all faults ended".to_owned());
+        self.faults_ended = true;
         self.network.heal();
         for node in self.bench.nodes.clone() {
             if let Some(machine) = self.machines.get_mut(&node) {
                 machine.disk.repair();
                 machine.sync_time = 2 * MILLI;
-                let life = machine.life;
-                self.resume(node, life);
+                let incarnation = machine.incarnation;
+                self.resume(node, incarnation);
                 self.start_machine(node);
             }
         }
         self.with_workload(|workload, bench| workload.finish(bench));
     }
 
-    /// Waits until the clients are done and all replicas agree. Returns the state
-    /// that they agree on, or else the latest there is.
-    fn finish(&mut self) -> Option<Rc<ControlState>> {
+    /// Waits until the workload has finished and all replicas agree. Returns the agreed state,
+    /// or the latest state after a timeout.
+    fn wait_for_completion(&mut self) -> Option<Rc<ControlState>> {
         let limit = self.queue.now() + FINISH_LIMIT;
         while self.queue.now() < limit && self.events < MAX_EVENTS {
             let next = self.queue.now() + 500 * MILLI;
@@ -195,15 +195,15 @@
         }
         self.note_statuses();
         let what = match self.workload.is_finished() {
-            true => "the replicas do not agree",
-            false => "clients wait for answers",
+            true => "replica states differ",
+            false => "the workload has not finished",
         };
         let waited_seconds = FINISH_LIMIT / SECOND;
         self.observer.report(ClusterViolation::NoProgress { waited_seconds, what });
         self.latest_state()
     }
 
-    /// Writes down where every replica stands.
+    /// Adds the status of all replicas to the trace.
     fn note_statuses(&mut self) {
         let statuses: Vec<_> = self.machines.values().map(Machine::status).collect();
         for status in statuses.into_iter().flatten() {
@@ -212,8 +212,8 @@
     }
 
     fn report(mut self, state: Option<Rc<ControlState>>) -> RunReport {
-        let seen = state.map_or(Vec::new(), |state| self.workload.check(&state));
-        let mut violations: Vec<String> = seen.iter().map(ToString::to_string).collect();
+        let found = state.map_or(Vec::new(), |state| self.workload.check(&state));
+        let mut violations: Vec<String> = found.iter().map(ToString::to_string).collect();
         violations.extend(self.observer.violations().iter().map(ToString::to_string));
         for violation in violations.clone() {
             self.note(|| format!("VIOLATION: {violation}"));
--- a/crates/simulation/tests/storage.rs
+++ b/crates/simulation/tests/storage.rs
@@ -123,10 +123,10 @@
 fn a_full_disk_stops_acknowledging_until_there_is_room_again() {
     for room in (0..6_000).step_by(97) {
         let disk = new_disk(room as u64);
-        disk.limit_room(Some(room));
+        disk.limit_free_space(Some(room));
         let acknowledged = write_all(&disk, Position::default());
         disk.end_process();
-        disk.limit_room(None);
+        disk.limit_free_space(None);
         let what = format!("room {room}");
         let (_, restored) = open(&disk).unwrap_or_else(|error| panic!("{what}: {error}"));
         check(&restored, acknowledged, &what);
@@ -153,7 +153,7 @@
 fn a_disk_that_lies_about_syncs_is_not_trusted_by_these_tests() {
     let lost = (0..50).any(|seed| {
         let disk = new_disk(seed);
-        disk.lie_about_syncs();
+        disk.ignore_syncs();
         let acknowledged = write_all(&disk, Position::default());
         disk.lose_power();
         open(&disk).map_or(true, |(_, restored)| restored.last() < acknowledged)
