--- a/crates/simulation/examples/storage_speed.rs
+++ b/crates/simulation/examples/storage_speed.rs
@@ -1,4 +1,4 @@
-//! Measures storage on a real folder: group commit and start-up after many changes.
+//! Benchmark of storage on a real folder: group commit, and start-up after many changes.
 //!
 //! Usage: cargo run --release -p juniper-simulation --example storage_speed -- FOLDER
 
@@ -20,21 +20,21 @@
 const ENTRY_BYTES: usize = 300;
 const WRITES: u64 = 400;
 
-/// Bytes of applied commands between snapshots, at least, as in the control daemon.
+/// Minimum bytes of applied commands between snapshots, as in the control daemon.
 const SNAPSHOT_INTERVAL_BYTES: usize = 8 << 20;
 
-/// Entries of one write while the log is made; it only saves time.
-const BATCH: u64 = 500;
+/// Entries per write while filling the log; large, to save time.
+const FILL_BATCH: u64 = 500;
 
-/// Distinct nodes in the tree that is written.
+/// Number of distinct nodes in the written settings tree.
 const PATHS: u64 = 400;
 
 #[derive(Debug, thiserror::Error)]
 enum MeasureError {
-    #[error("a folder to work in is needed")]
-    NoFolder,
-    #[error("a name is not valid")]
-    Name,
+    #[error("missing argument: FOLDER")]
+    MissingFolder,
+    #[error("a zone name or change id is invalid")]
+    InvalidName,
     #[error(transparent)]
     Disk(#[from] DiskError),
     #[error(transparent)]
@@ -43,12 +43,12 @@
     Open(#[from] OpenError),
     #[error(transparent)]
     Storage(#[from] StorageError),
-    #[error("a snapshot or command can't be read back")]
+    #[error("cannot decode a snapshot or command")]
     Decode,
 }
 
 fn main() -> ExitCode {
-    let folder = std::env::args().nth(1).map(PathBuf::from).ok_or(MeasureError::NoFolder);
+    let folder = std::env::args().nth(1).map(PathBuf::from).ok_or(MeasureError::MissingFolder);
     match folder.and_then(|folder| measure(&folder)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
@@ -63,26 +63,26 @@
         measure_commits(&folder.join(format!("commits-{batch}")), batch)?;
     }
     for changes in [1_000, 100_000] {
-        measure_start(&folder.join(format!("start-{changes}")), changes)?;
+        measure_startup(&folder.join(format!("start-{changes}")), changes)?;
     }
     Ok(())
 }
 
-fn own() -> ReplicaId {
+fn replica_id() -> ReplicaId {
     ReplicaId { node: NODE, disk: DiskIdentity::from_random(1) }
 }
 
 fn zone() -> Result<ZoneName, MeasureError> {
-    ZoneName::new("zone-1").map_err(|_| MeasureError::Name)
+    ZoneName::new("zone-1").map_err(|_| MeasureError::InvalidName)
 }
 
 fn membership() -> Result<Membership, MeasureError> {
-    Ok(Membership::of_voters(ClusterEpoch::first(1), [(own(), zone()?)]))
+    Ok(Membership::of_voters(ClusterEpoch::first(1), [(replica_id(), zone()?)]))
 }
 
 fn new_storage(path: &Path) -> Result<Storage<Folder>, MeasureError> {
     let mut disk = Folder::new(path)?;
-    format(&mut disk, own(), Some(&membership()?))?;
+    format(&mut disk, replica_id(), Some(&membership()?))?;
     Ok(Storage::open(disk, NODE)?.0)
 }
 
@@ -103,52 +103,54 @@
         let entry = |index| Entry { term: TERM, index, payload: payload.clone() };
         let entries: Vec<Entry> = (first..first + batch).map(entry).collect();
         let last = Position { term: TERM, index: first + batch - 1 };
-        let begun = Instant::now();
+        let write_start = Instant::now();
         storage.save(&write(number + 1, entries, last))?;
-        times.push(begun.elapsed().as_micros());
+        times.push(write_start.elapsed().as_micros());
     }
     let seconds = start.elapsed().as_secs_f64();
     times.sort_unstable();
-    let at = |share: usize| times[times.len() * share / 100];
+    let percentile = |percent: usize| times[times.len() * percent / 100];
     println!(
         "commits batch={batch} entries_per_s={:.0} syncs_per_s={:.0} p50_us={} p99_us={}",
         (WRITES * batch) as f64 / seconds,
         WRITES as f64 / seconds,
-        at(50),
-        at(99)
+        percentile(50),
+        percentile(99)
     );
     Ok(())
 }
 
-fn change(number: u64) -> Result<Command, MeasureError> {
-    let zone = ZoneName::new(format!("zone-{}", number % PATHS)).map_err(|_| MeasureError::Name)?;
+fn settings_change(number: u64) -> Result<Command, MeasureError> {
+    let zone =
+        ZoneName::new(format!("zone-{}", number % PATHS)).map_err(|_| MeasureError::InvalidName)?;
     let mut node = SettingsNode::default();
     node.overrides.concurrency = Some((number % 1_000_000) as u32);
     let edit = Edit::Put { path: SettingsPath::Zone(zone), node: Box::new(node) };
     let header = WriteHeader {
         base: Revision(number),
-        change_id: ChangeId::new(format!("change-{number}")).map_err(|_| MeasureError::Name)?,
+        change_id: ChangeId::new(format!("change-{number}"))
+            .map_err(|_| MeasureError::InvalidName)?,
         author: "measure".to_owned(),
         at_ms: number * 1_000,
     };
     Ok(Command::ChangeSettings { header, change: ChangeSet { edits: vec![edit] } })
 }
 
-/// Fills a folder as a replica does: changes, and a snapshot every so often.
-fn fill(path: &Path, changes: u64) -> Result<(), MeasureError> {
+/// Fills a folder with changes and regular snapshots, as a replica does.
+fn fill_folder(path: &Path, changes: u64) -> Result<(), MeasureError> {
     let mut storage = new_storage(path)?;
     let mut state = ControlState::default();
     let mut entries = Vec::new();
     let (mut bytes, mut snapshot_bytes) = (0, SNAPSHOT_INTERVAL_BYTES);
     for number in 0..changes {
         let index = number + 2;
-        let command = change(number)?;
+        let command = settings_change(number)?;
         let data = to_bytes(&command);
         bytes += data.len();
         entries.push(Entry { term: TERM, index, payload: Payload::Data(data) });
         state.apply(index, command);
         let snapshot_due = bytes >= snapshot_bytes;
-        if entries.len() as u64 == BATCH || snapshot_due || number + 1 == changes {
+        if entries.len() as u64 == FILL_BATCH || snapshot_due || number + 1 == changes {
             let last = Position { term: TERM, index };
             storage.save(&write(number, std::mem::take(&mut entries), last))?;
             if snapshot_due {
@@ -163,12 +165,12 @@
     Ok(())
 }
 
-fn measure_start(path: &Path, changes: u64) -> Result<(), MeasureError> {
-    fill(path, changes)?;
+fn measure_startup(path: &Path, changes: u64) -> Result<(), MeasureError> {
+    fill_folder(path, changes)?;
     let start = Instant::now();
     let (storage, restored) = Storage::open(Folder::new(path)?, NODE)?;
-    let opened = start.elapsed();
-    let kept = restored.entries.len();
+    let open_time = start.elapsed();
+    let replayed = restored.entries.len();
     let config = ReplicaConfig::new(storage.id(), zone()?, vec![NODE]);
     let mut replica = Replica::new(config, restored, 1);
     let mut state = ControlState::default();
@@ -194,8 +196,8 @@
     }
     let revision = state.settings().revision();
     println!(
-        "start changes={changes} revision={revision} replayed={kept} open_ms={:.1} total_ms={:.1}",
-        opened.as_secs_f64() * 1e3,
+        "start changes={changes} revision={revision} replayed={replayed} open_ms={:.1} total_ms={:.1}",
+        open_time.as_secs_f64() * 1e3,
         start.elapsed().as_secs_f64() * 1e3
     );
     Ok(())
--- a/crates/simulation/tests/storage.rs
+++ b/crates/simulation/tests/storage.rs
@@ -1,4 +1,5 @@
-//! Storage on a simulated disk: power cuts at every operation, failed syncs, a full disk.
+//! Storage on a simulated disk with power loss at any operation, failed syncs, a full disk and
+//! corrupted data.
 
 use juniper_consensus::{
     ClusterEpoch, DiskIdentity, Entry, HardState, Membership, Payload, Position, ReplicaId,
@@ -11,17 +12,17 @@
 const NODE: NodeId = NodeId(1);
 const ENTRIES: u64 = 24;
 
-fn id() -> ReplicaId {
+fn replica_id() -> ReplicaId {
     ReplicaId { node: NODE, disk: DiskIdentity::from_random(1) }
 }
 
 fn membership() -> Membership {
-    Membership::of_voters(ClusterEpoch::first(5), [(id(), ZoneName::new("taf").unwrap())])
+    Membership::of_voters(ClusterEpoch::first(5), [(replica_id(), ZoneName::new("taf").unwrap())])
 }
 
 fn new_disk(seed: u64) -> SimulatedDisk {
     let mut disk = SimulatedDisk::new(Random::new(seed));
-    format(&mut disk, id(), Some(&membership())).unwrap();
+    format(&mut disk, replica_id(), Some(&membership())).unwrap();
     disk
 }
 
@@ -29,15 +30,15 @@
     Storage::open(disk.clone(), NODE)
 }
 
-/// Opens as a daemon does that is started again after the disk failed once.
-fn open_again(disk: &SimulatedDisk) -> Result<(Storage<SimulatedDisk>, Restored), OpenError> {
+/// Opens storage, with one retry after a disk error, as a restarted daemon does.
+fn open_with_retry(disk: &SimulatedDisk) -> Result<(Storage<SimulatedDisk>, Restored), OpenError> {
     match open(disk) {
         Err(OpenError::Disk(_)) => open(disk),
         opened => opened,
     }
 }
 
-/// The write that follows `last`; every eighth entry comes with a snapshot.
+/// Returns the write after `last`; every eighth entry has a snapshot.
 fn next_write(number: u64, last: Position) -> Write {
     let index = last.index + 1;
     let payload = Payload::Data(vec![index as u8; 300]);
@@ -54,7 +55,7 @@
     }
 }
 
-/// Writes until the end or a fault; returns the last entry that was acknowledged.
+/// Writes up to `ENTRIES` entries or to the first failure; returns the last acknowledged position.
 fn write_all(disk: &SimulatedDisk, acknowledged: Position) -> Position {
     let Ok((mut storage, restored)) = open(disk) else { return acknowledged };
     let mut last = restored.last();
@@ -72,19 +73,25 @@
     last
 }
 
-fn check(restored: &Restored, acknowledged: Position, what: &str) {
-    assert!(restored.last() >= acknowledged, "{what}: {acknowledged:?} is lost");
+fn assert_restored(restored: &Restored, acknowledged: Position, context: &str) {
+    assert!(
+        restored.last() >= acknowledged,
+        "{context}: acknowledged entry {acknowledged:?} is lost"
+    );
     let start = restored.snapshot.as_ref().map_or(0, |s| s.meta.position.index);
-    for (place, entry) in restored.entries.iter().enumerate() {
-        assert_eq!(entry.index, start + place as u64 + 1, "{what}: a gap");
+    for (offset, entry) in restored.entries.iter().enumerate() {
+        assert_eq!(entry.index, start + offset as u64 + 1, "{context}: gap in the log");
         if let Payload::Data(data) = &entry.payload {
-            assert!(data.iter().all(|byte| u64::from(*byte) == entry.index), "{what}: mixed up");
+            assert!(
+                data.iter().all(|byte| u64::from(*byte) == entry.index),
+                "{context}: wrong payload"
+            );
         }
     }
 }
 
 #[test]
-fn a_power_cut_at_any_operation_loses_nothing_that_was_acknowledged() {
+fn power_loss_at_any_operation_keeps_acknowledged_entries() {
     for cut in 0..160 {
         for seed in 0..6 {
             let disk = new_disk(seed);
@@ -94,15 +101,15 @@
             disk.cut_power_after(cut % 13);
             acknowledged = write_all(&disk, acknowledged).max(acknowledged);
             disk.lose_power();
-            let what = format!("cut {cut} seed {seed}");
-            let (_, restored) = open(&disk).unwrap_or_else(|error| panic!("{what}: {error}"));
-            check(&restored, acknowledged, &what);
+            let context = format!("cut {cut} seed {seed}");
+            let (_, restored) = open(&disk).unwrap_or_else(|error| panic!("{context}: {error}"));
+            assert_restored(&restored, acknowledged, &context);
         }
     }
 }
 
 #[test]
-fn a_failed_sync_stops_acknowledging_and_loses_nothing_before_it() {
+fn failed_sync_stops_writes_and_keeps_acknowledged_entries() {
     for failing in 0..60 {
         for cut in 0..24 {
             let disk = new_disk(failing * 31 + cut);
@@ -112,30 +119,31 @@
             disk.cut_power_after(cut);
             let acknowledged = write_all(&disk, acknowledged).max(acknowledged);
             disk.lose_power();
-            let what = format!("failing {failing} cut {cut}");
-            let (_, restored) = open_again(&disk).unwrap_or_else(|error| panic!("{what}: {error}"));
-            check(&restored, acknowledged, &what);
+            let context = format!("failing {failing} cut {cut}");
+            let (_, restored) =
+                open_with_retry(&disk).unwrap_or_else(|error| panic!("{context}: {error}"));
+            assert_restored(&restored, acknowledged, &context);
         }
     }
 }
 
 #[test]
-fn a_full_disk_stops_acknowledging_until_there_is_room_again() {
-    for room in (0..6_000).step_by(97) {
-        let disk = new_disk(room as u64);
-        disk.limit_free_space(Some(room));
+fn full_disk_stops_writes_until_space_is_available() {
+    for free_space in (0..6_000).step_by(97) {
+        let disk = new_disk(free_space as u64);
+        disk.limit_free_space(Some(free_space));
         let acknowledged = write_all(&disk, Position::default());
         disk.end_process();
         disk.limit_free_space(None);
-        let what = format!("room {room}");
-        let (_, restored) = open(&disk).unwrap_or_else(|error| panic!("{what}: {error}"));
-        check(&restored, acknowledged, &what);
+        let context = format!("free space {free_space}");
+        let (_, restored) = open(&disk).unwrap_or_else(|error| panic!("{context}: {error}"));
+        assert_restored(&restored, acknowledged, &context);
         assert_eq!(write_all(&disk, Position::default()).index, ENTRIES);
     }
 }
 
 #[test]
-fn damage_to_sealed_data_is_always_noticed() {
+fn corruption_of_sealed_data_is_always_detected() {
     for seed in 0..200 {
         let disk = new_disk(seed);
         write_all(&disk, Position::default());
@@ -150,7 +158,7 @@
 }
 
 #[test]
-fn a_disk_that_lies_about_syncs_is_not_trusted_by_these_tests() {
+fn ignored_syncs_lose_acknowledged_entries() {
     let lost = (0..50).any(|seed| {
         let disk = new_disk(seed);
         disk.ignore_syncs();
@@ -158,5 +166,5 @@
         disk.lose_power();
         open(&disk).map_or(true, |(_, restored)| restored.last() < acknowledged)
     });
-    assert!(lost, "the simulated disk keeps what was never synced");
+    assert!(lost, "the simulated disk kept all unsynced data");
 }
