--- a/crates/lab/src/prove/areas.rs
+++ b/crates/lab/src/prove/areas.rs
@@ -1,7 +1,7 @@
-//! The areas that can be proved.
+//! Areas under test.
 //!
-//! An area is one entry in [`AREAS`]: a name, the faults it draws, the faults
-//! that can be planted in it and a function that runs one seed.
+//! Each entry of [`AREAS`] has a name, the faults that are injected at random, the
+//! faults that can be planted and a function that runs one seed.
 
 use juniper_simulation::{FAULT_NAMES, Planted, RunOptions, RunReport, run};
 
@@ -10,41 +10,41 @@
 use super::decisions;
 use super::orders::{ORDER_FAULTS, Orders};
 
-/// One seed to run.
+/// Parameters of the run of one seed.
 #[derive(Clone, Copy, Debug)]
 pub struct SeedRun {
-    /// Everything follows from it.
+    /// Seed of all random choices of the run.
     pub seed: u64,
-    /// Name of the planted fault; one of the area's own.
+    /// Name of the planted fault, one of [`Area::planted`].
     pub planted: Option<&'static str>,
-    /// Whether to keep a trace.
+    /// Whether to record a trace.
     pub traced: bool,
 }
 
-/// What came of a seed.
+/// Result of the run of one seed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SeedOutcome {
-    /// What was wrong, one line each.
+    /// Descriptions of the violations, one line each.
     pub violations: Vec<String>,
-    /// What happened, one line for each event, if a trace was asked for.
+    /// Trace with one line per event; empty unless requested.
     pub trace: Vec<String>,
 }
 
-/// One area.
+/// Set of invariants that is checked under one workload.
 pub struct Area {
-    /// Its name on the command line.
+    /// Name on the command line.
     pub name: &'static str,
-    /// What it proves.
+    /// Invariants that are checked.
     pub summary: &'static str,
-    /// The faults that it draws from the seed.
+    /// Faults that are injected at random, depending on the seed.
     pub faults: &'static [&'static str],
-    /// The faults that can be planted in it.
+    /// Faults that can be planted to check that they are detected.
     pub planted: &'static [&'static str],
     /// Runs one seed.
     pub run: fn(SeedRun) -> SeedOutcome,
 }
 
-/// All areas.
+/// All areas, in the order of `--list`.
 pub const AREAS: &[Area] = &[
     Area {
         name: "configuration",
@@ -107,13 +107,13 @@
     },
 ];
 
-/// The area with this name.
+/// Finds the area called `name`.
 pub fn find(name: &str) -> Option<&'static Area> {
     AREAS.iter().find(|area| area.name == name)
 }
 
 impl Area {
-    /// The planted fault of this area with this name.
+    /// Finds the planted fault of this area called `name`.
     pub fn planted(&self, name: &str) -> Option<&'static str> {
         self.planted.iter().find(|known| **known == name).copied()
     }
--- a/crates/lab/src/prove/campaign.rs
+++ b/crates/lab/src/prove/campaign.rs
@@ -1,4 +1,4 @@
-//! Runs many seeds of an area on a few threads.
+//! Runs many seeds of an area on several threads.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::mpsc;
@@ -6,42 +6,42 @@
 
 use super::areas::{Area, SeedRun};
 
-/// Most threads that a campaign takes; the machine may have other work.
+/// Maximum number of threads of a campaign.
 pub const MAX_THREADS: usize = 6;
 
-/// What to run.
+/// Parameters of a campaign.
 #[derive(Clone, Copy, Debug)]
 pub struct Campaign {
     /// First seed.
     pub first_seed: u64,
     /// Number of seeds.
     pub seeds: u64,
-    /// The planted fault, if any.
+    /// Name of the planted fault, if any.
     pub planted: Option<&'static str>,
     /// Whether to stop at the first seed with a violation.
     pub stop_at_first: bool,
 }
 
-/// A seed that showed a violation.
+/// Seed whose run violated an invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FailedSeed {
-    /// The seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// What was wrong.
+    /// Descriptions of the violations.
     pub violations: Vec<String>,
 }
 
-/// What came of a campaign.
+/// Result of a campaign.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Summary {
-    /// Seeds run.
+    /// Number of seeds that were run.
     pub runs: u64,
-    /// Seeds with violations, in order.
+    /// Seeds with violations, in ascending order.
     pub failed: Vec<FailedSeed>,
 }
 
-/// Runs a campaign on `threads` threads. The result does not depend on their number,
-/// except that more seeds may have been run when it stops at the first violation.
+/// Runs a campaign on `threads` threads. The result does not depend on the number of
+/// threads, except that a campaign that stops at the first violation may run more seeds.
 pub fn run(area: &Area, campaign: Campaign, threads: usize) -> Summary {
     let next = AtomicU64::new(0);
     let stop_before = AtomicU64::new(campaign.seeds);
@@ -50,14 +50,14 @@
         for _ in 0..threads.clamp(1, MAX_THREADS) {
             let sender = sender.clone();
             let (next, stop_before) = (&next, &stop_before);
-            scope.spawn(move || work(area, campaign, next, stop_before, &sender));
+            scope.spawn(move || run_seeds(area, campaign, next, stop_before, &sender));
         }
         drop(sender);
-        collect(&results)
+        summarize(&results)
     })
 }
 
-fn work(
+fn run_seeds(
     area: &Area,
     campaign: Campaign,
     next: &AtomicU64,
@@ -65,14 +65,14 @@
     sender: &mpsc::Sender<FailedSeed>,
 ) {
     loop {
-        let place = next.fetch_add(1, Ordering::Relaxed);
-        if place >= stop_before.load(Ordering::Relaxed) {
+        let offset = next.fetch_add(1, Ordering::Relaxed);
+        if offset >= stop_before.load(Ordering::Relaxed) {
             return;
         }
-        let seed = campaign.first_seed + place;
+        let seed = campaign.first_seed + offset;
         let outcome = (area.run)(SeedRun { seed, planted: campaign.planted, traced: false });
         if campaign.stop_at_first && !outcome.violations.is_empty() {
-            stop_before.fetch_min(place, Ordering::Relaxed);
+            stop_before.fetch_min(offset, Ordering::Relaxed);
         }
         if sender.send(FailedSeed { seed, violations: outcome.violations }).is_err() {
             return;
@@ -80,7 +80,7 @@
     }
 }
 
-fn collect(results: &mpsc::Receiver<FailedSeed>) -> Summary {
+fn summarize(results: &mpsc::Receiver<FailedSeed>) -> Summary {
     let mut summary = Summary::default();
     for result in results {
         summary.runs += 1;
--- a/crates/lab/src/prove/claims/check.rs
+++ b/crates/lab/src/prove/claims/check.rs
@@ -1,4 +1,4 @@
-//! What must hold of claims.
+//! Invariants of claims.
 
 use std::collections::BTreeMap;
 
@@ -7,42 +7,42 @@
 use super::linear::is_key_linearizable;
 use super::record::Record;
 
-/// A breach of what callers are promised.
+/// Violation of a guarantee to callers.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ClaimViolation {
-    /// A request that runs at most once ran more often.
-    #[error("the request {key} ran {times} times")]
-    RanTwice {
-        /// Its key.
+    /// An at-most-once request was executed more than once.
+    #[error("request {key} was executed {times} times")]
+    ExecutedTwice {
+        /// Key of the request.
         key: ClaimKey,
-        /// How often it ran.
+        /// Number of executions.
         times: usize,
     },
-    /// A caller was told "not run" of an attempt that ran.
-    #[error("the caller of {key} was told that attempt {attempt:x} did not run, and it ran")]
-    UntrueRefusal {
-        /// The key.
+    /// An attempt was reported as not run although it was executed.
+    #[error("attempt {attempt:x} of request {key} was reported as not run but was executed")]
+    FalseRefusal {
+        /// Key of the request.
         key: ClaimKey,
-        /// The attempt.
+        /// Id of the attempt.
         attempt: u64,
     },
-    /// The answers about a key contradict each other.
-    #[error("the answers about {0} are not linearizable")]
+    /// The operations on a key are not linearizable.
+    #[error("the operations on key {0} are not linearizable")]
     NotLinearizable(ClaimKey),
 }
 
-/// Everything that is wrong with what routers saw and ran.
+/// Returns all violations in the record.
 pub fn check(record: &Record) -> Vec<ClaimViolation> {
     let mut times: BTreeMap<&ClaimKey, usize> = BTreeMap::new();
-    record.runs.iter().for_each(|(key, _)| *times.entry(key).or_default() += 1);
-    let twice = times.into_iter().filter(|(_, times)| *times > 1);
-    let twice = twice.map(|(key, times)| ClaimViolation::RanTwice { key: key.clone(), times });
-    let untrue = record.refused.iter().filter(|refused| record.runs.contains(refused));
-    let untrue = untrue.map(|(key, attempt)| ClaimViolation::UntrueRefusal {
-        key: key.clone(),
-        attempt: *attempt,
-    });
-    let tangled = record.keys.iter().filter(|key| !is_key_linearizable(record, key));
-    let tangled = tangled.map(|key| ClaimViolation::NotLinearizable(key.clone()));
-    twice.chain(untrue).chain(tangled).collect()
+    record.executions.iter().for_each(|(key, _)| *times.entry(key).or_default() += 1);
+    let repeated = times.into_iter().filter(|(_, times)| *times > 1);
+    let repeated =
+        repeated.map(|(key, times)| ClaimViolation::ExecutedTwice { key: key.clone(), times });
+    let falsely_refused =
+        record.refused.iter().filter(|refused| record.executions.contains(refused));
+    let falsely_refused = falsely_refused
+        .map(|(key, attempt)| ClaimViolation::FalseRefusal { key: key.clone(), attempt: *attempt });
+    let not_linearizable = record.keys.iter().filter(|key| !is_key_linearizable(record, key));
+    let not_linearizable = not_linearizable.map(|key| ClaimViolation::NotLinearizable(key.clone()));
+    repeated.chain(falsely_refused).chain(not_linearizable).collect()
 }
--- a/crates/lab/src/prove/claims/linear.rs
+++ b/crates/lab/src/prove/claims/linear.rs
@@ -1,13 +1,13 @@
-//! The sequential specification of one key, for the library's linearizability checker.
+//! Sequential specification of one key, for the linearizability checker.
 
 use juniper_control_state::{Answer, SettleAnswer};
 use juniper_types::{ClaimAnswer, ClaimKey};
 use todc_utils::specifications::Specification;
 
-use super::record::{Asked, Operation, Record};
+use super::record::{Invocation, Operation, Record};
 use crate::prove::history::Translated;
 
-/// One operation as it concerns one key; no answer means that it isn't known.
+/// Effect of an operation on one key; `answer` is `None` while unknown.
 #[derive(Clone, Debug)]
 enum KeyOperation {
     Claim { made_at: u64, attempt: u64, answer: Option<ClaimAnswer> },
@@ -15,14 +15,15 @@
     Advance { made_at: u64, to: u64, answer: Option<u64> },
 }
 
-/// Who holds the claim, and whether it is settled.
+/// Horizon, and the attempt that holds the claim with whether it is settled.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct KeyState {
     horizon: u64,
     holder: Option<(u64, bool)>,
 }
 
-/// One key: granted to one attempt at most, until the horizon has passed it.
+/// Specification of one key: at most one attempt is granted before the horizon
+/// passes the key.
 struct KeySpecification;
 
 impl Specification for KeySpecification {
@@ -57,7 +58,7 @@
     }
 }
 
-/// The right answer to a claim, and the state after it.
+/// Returns the expected answer to a claim and the resulting state.
 fn claim(made_at: u64, attempt: u64, state: &KeyState) -> (ClaimAnswer, KeyState) {
     if made_at < state.horizon {
         return (ClaimAnswer::Expired { horizon: state.horizon }, *state);
@@ -67,38 +68,39 @@
             let holder = Some((attempt, false));
             (ClaimAnswer::Granted, KeyState { holder, ..*state })
         }
-        Some((holder, true)) => (ClaimAnswer::Settled(super::caller::outcome_of(holder)), *state),
+        Some((holder, true)) => (ClaimAnswer::Settled(super::router::outcome_of(holder)), *state),
         Some((holder, false)) if holder == attempt => (ClaimAnswer::Granted, *state),
         Some(_) => (ClaimAnswer::OutcomeUnknown, *state),
     }
 }
 
-/// The operation as it concerns `key`, if it does.
+/// Translates an operation to its effect on `key`; `None` if it has none.
 ///
-/// An answer of "too early" counts as none: another sending of the same question
-/// may have met a replica with a better clock later. So does a settlement that is
-/// told "expired": an earlier sending may have been kept before the horizon moved.
-fn concerning(key: &ClaimKey, operation: &Operation) -> Option<KeyOperation> {
+/// A claim that was answered "too early" counts as unanswered: a resent claim may
+/// have reached a replica whose clock is ahead. A settlement that was answered
+/// "expired" counts as unanswered too: an earlier attempt to send it may have been
+/// applied before the horizon moved.
+fn operation_on_key(key: &ClaimKey, operation: &Operation) -> Option<KeyOperation> {
     let made_at = key.made_at();
-    match (&operation.asked, &operation.answered) {
-        (Asked::Claim { key: asked, attempt }, answered) if asked == key => {
-            let answer = match answered {
+    match (&operation.invocation, &operation.response) {
+        (Invocation::Claim { key: claimed, attempt }, response) if claimed == key => {
+            let answer = match response {
                 Some(Answer::Claim(ClaimAnswer::TooEarly)) | None => None,
                 Some(Answer::Claim(answer)) => Some(answer.clone()),
                 Some(_) => Some(ClaimAnswer::KeyReused),
             };
             Some(KeyOperation::Claim { made_at, attempt: *attempt, answer })
         }
-        (Asked::Settle { key: asked, attempt }, answered) if asked == key => {
-            let answer = match answered {
+        (Invocation::Settle { key: claimed, attempt }, response) if claimed == key => {
+            let answer = match response {
                 Some(Answer::Settle(SettleAnswer::Expired { .. })) => None,
                 Some(Answer::Settle(answer)) => Some(*answer),
                 _ => None,
             };
             Some(KeyOperation::Settle { attempt: *attempt, answer })
         }
-        (Asked::Advance { to }, answered) => {
-            let answer = match answered {
+        (Invocation::Advance { to }, response) => {
+            let answer = match response {
                 Some(Answer::Horizon(horizon)) => Some(*horizon),
                 _ => None,
             };
@@ -116,10 +118,10 @@
     }
 }
 
-/// Whether everything that was said about `key` fits one order of all operations.
+/// Whether the operations on `key` are linearizable.
 pub fn is_key_linearizable(record: &Record, key: &ClaimKey) -> bool {
-    record.history.is_linearizable::<KeySpecification>(|_, known| {
-        let operation = concerning(key, known)?;
-        Some(Translated { is_open: is_open(&operation), operation })
+    record.history.is_linearizable::<KeySpecification>(|_, operation| {
+        let key_operation = operation_on_key(key, operation)?;
+        Some(Translated { is_open: is_open(&key_operation), operation: key_operation })
     })
 }
--- a/crates/lab/src/prove/claims/mod.rs
+++ b/crates/lab/src/prove/claims/mod.rs
@@ -1,33 +1,34 @@
-//! Area `claims`: routers claim requests that run at most once, run and settle them.
+//! Area `claims`: routers claim at-most-once requests, execute and settle them.
 
-mod caller;
 mod check;
 mod linear;
 mod record;
+mod router;
 
 use std::rc::Rc;
 
 use juniper_control_state::ControlState;
 use juniper_simulation::{Bench, Call, Planted, Reply, Workload, Zone};
 
-use caller::Caller;
 use check::ClaimViolation;
 use record::Record;
+use router::ClaimingRouter;
 
-const CALLERS: usize = 5;
+const ROUTERS: usize = 5;
 const ZONES: u64 = 3;
 
-/// Routers that claim, and what they saw and ran.
+/// Workload of routers that claim requests, with a record of all operations.
 pub struct ClaimsWorkload {
-    callers: Vec<Caller>,
+    routers: Vec<ClaimingRouter>,
     record: Record,
 }
 
 impl ClaimsWorkload {
-    /// All routers, with a planted fault if one is given.
+    /// Creates all routers, with a planted fault if one is given.
     pub fn new(planted: Option<Planted>) -> Self {
-        let callers = (0..CALLERS).map(|client| Caller::new(client, CALLERS, planted)).collect();
-        ClaimsWorkload { callers, record: Record::default() }
+        let routers =
+            (0..ROUTERS).map(|client| ClaimingRouter::new(client, ROUTERS, planted)).collect();
+        ClaimsWorkload { routers, record: Record::default() }
     }
 }
 
@@ -35,31 +36,31 @@
     type Violation = ClaimViolation;
 
     fn clients(&self) -> Vec<Zone> {
-        (0..CALLERS as u64).map(|client| client % ZONES).collect()
+        (0..ROUTERS as u64).map(|client| client % ZONES).collect()
     }
 
     fn start(&mut self, bench: &mut Bench) {
-        self.callers.iter_mut().for_each(|caller| caller.start(bench));
+        self.routers.iter_mut().for_each(|router| router.start(bench));
     }
 
     fn on_reply(&mut self, bench: &mut Bench, call: Call, reply: Reply) {
-        if let Some(caller) = self.callers.get_mut(call.client) {
-            caller.on_reply(bench, call.token, reply, &mut self.record);
+        if let Some(router) = self.routers.get_mut(call.client) {
+            router.on_reply(bench, call.token, reply, &mut self.record);
         }
     }
 
     fn on_timer(&mut self, bench: &mut Bench, call: Call) {
-        if let Some(caller) = self.callers.get_mut(call.client) {
-            caller.on_timer(bench, call.token, &mut self.record);
+        if let Some(router) = self.routers.get_mut(call.client) {
+            router.on_timer(bench, call.token, &mut self.record);
         }
     }
 
     fn finish(&mut self, _bench: &mut Bench) {
-        self.callers.iter_mut().for_each(Caller::finish);
+        self.routers.iter_mut().for_each(ClaimingRouter::finish);
     }
 
     fn is_finished(&self) -> bool {
-        self.callers.iter().all(Caller::is_finished)
+        self.routers.iter().all(ClaimingRouter::is_finished)
     }
 
     fn check(&self, _last: &Rc<ControlState>) -> Vec<ClaimViolation> {
--- a/crates/lab/src/prove/claims/record.rs
+++ b/crates/lab/src/prove/claims/record.rs
@@ -1,46 +1,46 @@
-//! What routers asked, were told and ran.
+//! Record of the operations and executions of routers.
 
 use juniper_control_state::Answer;
 use juniper_types::ClaimKey;
 
 use crate::prove::history::History;
 
-/// What was asked.
+/// Arguments of an operation.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Asked {
-    /// The right to run the request with this key.
+pub enum Invocation {
+    /// Claims the right to execute the request with this key.
     Claim {
-        /// The key.
+        /// Key of the request.
         key: ClaimKey,
-        /// The attempt.
+        /// Random id of the attempt.
         attempt: u64,
     },
-    /// To keep the outcome of the request.
+    /// Stores the outcome of the request.
     Settle {
-        /// The key.
+        /// Key of the request.
         key: ClaimKey,
-        /// The attempt.
+        /// Random id of the attempt.
         attempt: u64,
     },
-    /// To forget keys made before this second.
+    /// Moves the horizon, which expires older keys.
     Advance {
-        /// The second since the Unix epoch.
+        /// New horizon, in seconds since the Unix epoch.
         to: u64,
     },
 }
 
-/// One operation of one router.
-pub type Operation = crate::prove::history::Operation<Asked, Answer>;
+/// Operation of one router.
+pub type Operation = crate::prove::history::Operation<Invocation, Answer>;
 
-/// Everything the routers did.
+/// Operations and executions of all routers.
 #[derive(Clone, Debug, Default)]
 pub struct Record {
-    /// What they asked and were told.
-    pub history: History<Asked, Answer>,
-    /// Keys that callers have used.
+    /// Operations on the replicated state.
+    pub history: History<Invocation, Answer>,
+    /// Keys that were generated, oldest first.
     pub keys: Vec<ClaimKey>,
-    /// Requests that reached a back end, by key and attempt.
-    pub runs: Vec<(ClaimKey, u64)>,
-    /// Attempts of which the caller was told that they did not run.
+    /// Key and attempt of each request that reached a back end.
+    pub executions: Vec<(ClaimKey, u64)>,
+    /// Key and attempt of each request that was reported as not run.
     pub refused: Vec<(ClaimKey, u64)>,
 }
--- a/crates/lab/src/prove/configuration/check.rs
+++ b/crates/lab/src/prove/configuration/check.rs
@@ -1,4 +1,4 @@
-//! What must hold of the settings, checked against the state in the end.
+//! Invariants of the settings, checked against the final state.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -7,79 +7,79 @@
 use juniper_settings::{SettingsPath, SettingsTree};
 use juniper_types::{ChangeId, Revision};
 
-use super::linear::{Effects, is_key_linearizable, is_revision_linearizable};
-use super::record::{Answered, Asked, Operation, Record, Values, values_of};
-use super::router::Trail;
+use super::linear::{AppliedWrites, is_key_linearizable, is_revision_linearizable};
+use super::record::{Invocation, Operation, Record, Response, Values, values_of};
+use super::router::AppliedRevisions;
 
-/// A breach of what writers and routers are promised.
+/// Violation of a guarantee to writers or routers.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConfigurationViolation {
-    /// A writer was told that its write made a revision which holds another write.
+    /// A write was accepted as a revision that holds another write.
     #[error("write {id:?} was accepted as revision {revision}, which holds {found:?}")]
-    Lost {
-        /// The write.
+    AcceptedWriteLost {
+        /// Change id of the write.
         id: ChangeId,
-        /// The revision it was told.
+        /// Revision named in the answer.
         revision: Revision,
-        /// What the revision holds.
+        /// Change id that the revision holds, if any.
         found: Option<ChangeId>,
     },
-    /// A writer was told that a write was not accepted, and it was.
-    #[error("write {id:?} was refused, yet it made revision {revision}")]
+    /// A write was refused although it was applied.
+    #[error("write {id:?} was refused but applied as revision {revision}")]
     RefusedButApplied {
-        /// The write.
+        /// Change id of the write.
         id: ChangeId,
-        /// The revision it made.
+        /// Revision made by the write.
         revision: Revision,
     },
-    /// One write made two revisions.
-    #[error("write {0:?} made two revisions")]
+    /// A write was applied as two revisions.
+    #[error("write {0:?} was applied as two revisions")]
     AppliedTwice(ChangeId),
-    /// A resent write got another answer than the first.
-    #[error("the write that made revision {revision} was sent again and got {answer}")]
-    OtherAnswer {
-        /// The revision it made.
+    /// A resent write was answered differently from the first attempt.
+    #[error("the write that made revision {revision} was resent and answered with {answer}")]
+    ResendAnswerDiffers {
+        /// Revision made by the write.
         revision: Revision,
-        /// The later answer.
+        /// Answer to the resent write.
         answer: String,
     },
-    /// Revisions are not linearizable.
-    #[error("the revisions that writers saw are not linearizable")]
+    /// The operations on the revision are not linearizable.
+    #[error("the operations on the revision are not linearizable")]
     RevisionsNotLinearizable,
-    /// A key is not linearizable.
-    #[error("the values of {0} that writers saw are not linearizable")]
+    /// The operations on a key are not linearizable.
+    #[error("the operations on key {0} are not linearizable")]
     KeyNotLinearizable(SettingsPath),
-    /// A router went back.
-    #[error("router {router} had revision {before} in force and {after} after it")]
-    WentBack {
-        /// The router.
+    /// A router put an older revision in force.
+    #[error("router {router} put revision {after} in force after revision {before}")]
+    RevisionDecreased {
+        /// Index of the router.
         router: usize,
-        /// The higher revision.
+        /// Newer revision, which was in force first.
         before: Revision,
-        /// The lower one.
+        /// Older revision.
         after: Revision,
     },
-    /// A router had other values in force than the revision holds.
-    #[error("router {router} had other values in force as revision {revision}")]
-    OtherValues {
-        /// The router.
+    /// The values that a router had in force differ from those of the revision.
+    #[error("router {router} had values in force that differ from revision {revision}")]
+    ValuesDiffer {
+        /// Index of the router.
         router: usize,
-        /// The revision.
+        /// Revision that the router had in force.
         revision: Revision,
     },
-    /// The replicas no longer hold the whole history, so nothing can be said.
-    #[error("the history in the end begins at revision {0}")]
-    HistoryCut(Revision),
+    /// The replicas no longer hold the whole history, which makes checks impossible.
+    #[error("the final history is truncated; it begins at revision {0}")]
+    HistoryTruncated(Revision),
 }
 
-/// Each revision's change id and values.
+/// Change id and values of each revision.
 struct Revisions {
     ids: BTreeMap<Revision, ChangeId>,
     values: BTreeMap<Revision, Values>,
 }
 
 impl Revisions {
-    fn of(last: &ControlState) -> Self {
+    fn from_state(last: &ControlState) -> Self {
         let mut tree = SettingsTree::default();
         let mut ids = BTreeMap::new();
         let mut values = BTreeMap::from([(Revision::default(), Values::new())]);
@@ -96,7 +96,7 @@
         Revisions { ids, values }
     }
 
-    /// What each revision that changed `key` set it to.
+    /// New value of `key` for each revision that changed it.
     fn written(&self, key: &SettingsPath) -> BTreeMap<Revision, u32> {
         let mut before = 0;
         let mut written = BTreeMap::new();
@@ -111,21 +111,21 @@
     }
 }
 
-/// Everything that is wrong with what writers and routers saw.
+/// Returns all violations in the record and in the routers' applied revisions.
 pub fn check(
     record: &Record,
-    trails: &[&Trail],
+    applied_by_router: &[&AppliedRevisions],
     last: &Rc<ControlState>,
 ) -> Vec<ConfigurationViolation> {
     let oldest = last.settings().history().oldest(last.settings().revision());
     if oldest != Revision::default() {
-        return vec![ConfigurationViolation::HistoryCut(oldest)];
+        return vec![ConfigurationViolation::HistoryTruncated(oldest)];
     }
-    let revisions = Revisions::of(last);
+    let revisions = Revisions::from_state(last);
     let mut violations = check_writes(record, &revisions);
     violations.extend(check_order(record, &revisions));
-    for (router, trail) in trails.iter().enumerate() {
-        violations.extend(check_trail(router, trail, &revisions));
+    for (router, applied) in applied_by_router.iter().enumerate() {
+        violations.extend(check_applied_revisions(router, applied, &revisions));
     }
     violations
 }
@@ -138,72 +138,79 @@
             violations.push(ConfigurationViolation::AppliedTwice(id.clone()));
         }
     }
-    violations.extend(record.operations().iter().filter_map(|one| check_write(one, revisions)));
+    violations.extend(
+        record.operations().iter().filter_map(|operation| check_write(operation, revisions)),
+    );
     violations
 }
 
 fn check_write(operation: &Operation, revisions: &Revisions) -> Option<ConfigurationViolation> {
-    let Some(Answered::Write(answer)) = &operation.answered else { return None };
-    match (&operation.asked, answer) {
-        (Asked::Again { revision }, WriteAnswer::Accepted { revision: again })
-            if revision == again =>
+    let Some(Response::Write(answer)) = &operation.response else { return None };
+    match (&operation.invocation, answer) {
+        (Invocation::Resend { revision }, WriteAnswer::Accepted { revision: answered })
+            if revision == answered =>
         {
             None
         }
-        (Asked::Again { revision }, answer) => {
+        (Invocation::Resend { revision }, answer) => {
             let answer = format!("{answer:?}");
-            Some(ConfigurationViolation::OtherAnswer { revision: *revision, answer })
+            Some(ConfigurationViolation::ResendAnswerDiffers { revision: *revision, answer })
         }
-        (Asked::Write { id, .. }, WriteAnswer::Accepted { revision }) => {
+        (Invocation::Write { id, .. }, WriteAnswer::Accepted { revision }) => {
             let found = revisions.ids.get(revision).cloned();
             let lost = found.as_ref() != Some(id);
             let (id, revision) = (id.clone(), *revision);
-            lost.then_some(ConfigurationViolation::Lost { id, revision, found })
+            lost.then_some(ConfigurationViolation::AcceptedWriteLost { id, revision, found })
         }
-        (Asked::Write { id, .. }, _) => {
-            let revision = made(id, revisions)?;
+        (Invocation::Write { id, .. }, _) => {
+            let revision = revision_of(id, revisions)?;
             Some(ConfigurationViolation::RefusedButApplied { id: id.clone(), revision })
         }
-        (Asked::Read, _) => None,
+        (Invocation::Read, _) => None,
     }
 }
 
-/// The revision that a write made.
-fn made(id: &ChangeId, revisions: &Revisions) -> Option<Revision> {
+/// Finds the revision made by a write.
+fn revision_of(id: &ChangeId, revisions: &Revisions) -> Option<Revision> {
     revisions.ids.iter().find(|(_, made)| *made == id).map(|(revision, _)| *revision)
 }
 
 fn check_order(record: &Record, revisions: &Revisions) -> Vec<ConfigurationViolation> {
-    let effect = |(place, operation): (usize, &Operation)| match &operation.asked {
-        Asked::Write { id, .. } => Some((place, made(id, revisions)?)),
+    let applied_write = |(index, operation): (usize, &Operation)| match &operation.invocation {
+        Invocation::Write { id, .. } => Some((index, revision_of(id, revisions)?)),
         _ => None,
     };
-    let effects: Effects = record.operations().iter().enumerate().filter_map(effect).collect();
+    let applied_writes: AppliedWrites =
+        record.operations().iter().enumerate().filter_map(applied_write).collect();
     let mut violations = Vec::new();
-    if !is_revision_linearizable(record, &effects) {
+    if !is_revision_linearizable(record, &applied_writes) {
         violations.push(ConfigurationViolation::RevisionsNotLinearizable);
     }
     let keys: BTreeSet<&SettingsPath> = revisions.values.values().flat_map(|v| v.keys()).collect();
     for key in keys {
-        if !is_key_linearizable(record, &effects, key, &revisions.written(key)) {
+        if !is_key_linearizable(record, &applied_writes, key, &revisions.written(key)) {
             violations.push(ConfigurationViolation::KeyNotLinearizable(key.clone()));
         }
     }
     violations
 }
 
-fn check_trail(router: usize, trail: &Trail, revisions: &Revisions) -> Vec<ConfigurationViolation> {
+fn check_applied_revisions(
+    router: usize,
+    applied: &AppliedRevisions,
+    revisions: &Revisions,
+) -> Vec<ConfigurationViolation> {
     let mut violations = Vec::new();
-    for pair in trail.windows(2) {
+    for pair in applied.windows(2) {
         let (before, after) = (pair[0].0, pair[1].0);
         if after < before {
-            violations.push(ConfigurationViolation::WentBack { router, before, after });
+            violations.push(ConfigurationViolation::RevisionDecreased { router, before, after });
         }
     }
-    for (revision, values) in trail {
+    for (revision, values) in applied {
         if revisions.values.get(revision) != Some(values) {
             let revision = *revision;
-            violations.push(ConfigurationViolation::OtherValues { router, revision });
+            violations.push(ConfigurationViolation::ValuesDiffer { router, revision });
         }
     }
     violations
--- a/crates/lab/src/prove/configuration/linear.rs
+++ b/crates/lab/src/prove/configuration/linear.rs
@@ -1,4 +1,4 @@
-//! Sequential specifications for the library's linearizability checker.
+//! Sequential specifications for the linearizability checker.
 
 use std::collections::BTreeMap;
 
@@ -7,21 +7,21 @@
 use juniper_types::Revision;
 use todc_utils::specifications::Specification;
 
-use super::record::{Answered, Asked, Operation, Record, Values};
+use super::record::{Invocation, Operation, Record, Response, Values};
 use crate::prove::history::Translated;
 
-/// What a write or a read says about the revision.
+/// Effect of a write or read on the revision.
 #[derive(Clone, Debug)]
 enum RevisionOperation {
-    /// The write made this revision of the one before.
+    /// A write made this revision from the previous one.
     Accept(u64),
-    /// The write built on `base` while the revision was `current`.
+    /// A write based on `base` was refused while the revision was `current`.
     Conflict { base: u64, current: u64 },
-    /// The revision was read.
+    /// A read returned this revision.
     Read(u64),
 }
 
-/// The revision: a register that a write compares and raises by one.
+/// Specification of the revision: a register that a write compares and increments.
 struct RevisionSpecification;
 
 impl Specification for RevisionSpecification {
@@ -44,18 +44,17 @@
     }
 }
 
-/// What a write or a read says about one key.
+/// Effect of a write or read on one key.
 #[derive(Clone, Debug)]
 enum KeyOperation {
-    /// The write changed the key, which had last changed with `previous`.
+    /// A write changed the key, which was last changed by `previous`.
     Write { previous: Revision, revision: Revision, value: u32 },
-    /// The value was read.
+    /// A read returned this value.
     Read(u32),
 }
 
-/// One key: a register whose writes follow each other in the order of their
-/// revisions. Blind writes in any order would let the search for an order of a
-/// faulty history take exponential time.
+/// Specification of one key: a register with writes in the order of their revisions.
+/// Unordered writes would make the check of an invalid history take exponential time.
 struct KeySpecification;
 
 impl Specification for KeySpecification {
@@ -77,36 +76,40 @@
     }
 }
 
-/// Accepted writes by place in the record, each with the revision it made;
-/// those whose writer never learned it included.
-pub type Effects = BTreeMap<usize, Revision>;
+/// Revision of each applied write by index in the record, including writes whose
+/// writer received no answer.
+pub type AppliedWrites = BTreeMap<usize, Revision>;
 
-/// Whether the revisions seen fit one order of all operations.
-pub fn is_revision_linearizable(record: &Record, effects: &Effects) -> bool {
-    let operation = |place: usize, operation: &Operation| {
-        if let Some(revision) = effects.get(&place) {
+/// Whether the operations on the revision are linearizable.
+pub fn is_revision_linearizable(record: &Record, applied: &AppliedWrites) -> bool {
+    let translate = |index: usize, operation: &Operation| {
+        if let Some(revision) = applied.get(&index) {
             return Some(RevisionOperation::Accept(revision.0));
         }
-        match (&operation.asked, operation.answered.as_ref()?) {
-            (Asked::Write { base, .. }, Answered::Write(WriteAnswer::Conflict { current, .. })) => {
-                Some(RevisionOperation::Conflict { base: base.0, current: current.0 })
-            }
-            (Asked::Read, Answered::Read { revision, .. }) => {
+        match (&operation.invocation, operation.response.as_ref()?) {
+            (
+                Invocation::Write { base, .. },
+                Response::Write(WriteAnswer::Conflict { current, .. }),
+            ) => Some(RevisionOperation::Conflict { base: base.0, current: current.0 }),
+            (Invocation::Read, Response::Read { revision, .. }) => {
                 Some(RevisionOperation::Read(revision.0))
             }
             _ => None,
         }
     };
-    record.is_linearizable::<RevisionSpecification>(|place, known| {
-        Some(Translated { operation: operation(place, known)?, is_open: known.answered.is_none() })
+    record.is_linearizable::<RevisionSpecification>(|index, operation| {
+        Some(Translated {
+            operation: translate(index, operation)?,
+            is_open: operation.response.is_none(),
+        })
     })
 }
 
-/// Whether the values of one key seen fit one order of all operations.
-/// `written` holds what each revision that changed the key set it to.
+/// Whether the operations on `key` are linearizable. `written` maps each revision
+/// that changed the key to the new value.
 pub fn is_key_linearizable(
     record: &Record,
-    effects: &Effects,
+    applied: &AppliedWrites,
     key: &SettingsPath,
     written: &BTreeMap<Revision, u32>,
 ) -> bool {
@@ -117,16 +120,19 @@
         let previous = previous.map_or(Revision::default(), |(revision, _)| *revision);
         Some(KeyOperation::Write { previous, revision, value })
     };
-    let operation = |place: usize, operation: &Operation| {
-        if let Some(revision) = effects.get(&place) {
+    let translate = |index: usize, operation: &Operation| {
+        if let Some(revision) = applied.get(&index) {
             return write(*revision);
         }
-        match operation.answered.as_ref()? {
-            Answered::Read { values, .. } => Some(KeyOperation::Read(read(values))),
-            Answered::Write(_) => None,
+        match operation.response.as_ref()? {
+            Response::Read { values, .. } => Some(KeyOperation::Read(read(values))),
+            Response::Write(_) => None,
         }
     };
-    record.is_linearizable::<KeySpecification>(|place, known| {
-        Some(Translated { operation: operation(place, known)?, is_open: known.answered.is_none() })
+    record.is_linearizable::<KeySpecification>(|index, operation| {
+        Some(Translated {
+            operation: translate(index, operation)?,
+            is_open: operation.response.is_none(),
+        })
     })
 }
--- a/crates/lab/src/prove/configuration/mod.rs
+++ b/crates/lab/src/prove/configuration/mod.rs
@@ -1,4 +1,5 @@
-//! Area `configuration`: writers race, resend and roll back; routers follow.
+//! Area `configuration`: writers write concurrently, resend and roll back, while
+//! routers poll the settings.
 
 mod check;
 mod linear;
@@ -14,24 +15,24 @@
 
 use check::ConfigurationViolation;
 use record::{Record, highest_accepted};
-use router::FollowingRouter;
+use router::PollingRouter;
 use writer::Writer;
 
 const WRITERS: usize = 4;
 const ROUTERS: usize = 3;
 const ZONES: u64 = 3;
 
-/// Writers and routers, and what they saw.
+/// Workload of writers and routers, with a record of the writers' operations.
 pub struct Configuration {
     writers: Vec<Writer>,
-    routers: Vec<FollowingRouter>,
+    routers: Vec<PollingRouter>,
     record: Record,
 }
 
 impl Configuration {
-    /// All clients, with a planted fault if one is given.
+    /// Creates all writers and routers, with a planted fault if one is given.
     pub fn new(planted: Option<Planted>) -> Self {
-        let router = |number| FollowingRouter::new(WRITERS + number, planted);
+        let router = |number| PollingRouter::new(WRITERS + number, planted);
         Configuration {
             writers: (0..WRITERS).map(Writer::new).collect(),
             routers: (0..ROUTERS).map(router).collect(),
@@ -39,7 +40,7 @@
         }
     }
 
-    fn accepted(&self) -> Revision {
+    fn highest_accepted(&self) -> Revision {
         highest_accepted(&self.record)
     }
 }
@@ -83,13 +84,13 @@
     }
 
     fn is_finished(&self) -> bool {
-        let accepted = self.accepted();
+        let accepted = self.highest_accepted();
         self.writers.iter().all(Writer::is_finished)
             && self.routers.iter().all(|router| router.in_force() >= accepted)
     }
 
     fn check(&self, last: &Rc<ControlState>) -> Vec<ConfigurationViolation> {
-        let trails: Vec<_> = self.routers.iter().map(FollowingRouter::trail).collect();
-        check::check(&self.record, &trails, last)
+        let applied: Vec<_> = self.routers.iter().map(PollingRouter::applied).collect();
+        check::check(&self.record, &applied, last)
     }
 }
--- a/crates/lab/src/prove/configuration/record.rs
+++ b/crates/lab/src/prove/configuration/record.rs
@@ -1,4 +1,4 @@
-//! What the writers asked and were told, in the order of invocation and response.
+//! Record of the writers' operations in the order of invocations and responses.
 
 use std::collections::BTreeMap;
 
@@ -8,10 +8,10 @@
 
 use crate::prove::history::History;
 
-/// The value that each key has; a key that is not there has none.
+/// Value of each key that is set.
 pub type Values = BTreeMap<SettingsPath, u32>;
 
-/// The values in a tree.
+/// Extracts the values from a settings tree.
 pub fn values_of(tree: &SettingsTree) -> Values {
     let value = |(path, node): (&SettingsPath, &juniper_settings::SettingsNode)| {
         node.overrides.concurrency.map(|value| (path.clone(), value))
@@ -19,49 +19,49 @@
     tree.nodes.iter().filter_map(value).collect()
 }
 
-/// What was asked.
+/// Arguments of an operation.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Asked {
-    /// A write upon a revision, under an id.
+pub enum Invocation {
+    /// Conditional write.
     Write {
-        /// The id.
+        /// Change id of the write.
         id: ChangeId,
-        /// The revision it builds on.
+        /// Revision on which the write is based.
         base: Revision,
     },
-    /// A write sent once more, long after it was accepted as `revision`.
-    Again {
-        /// The revision that it made.
+    /// Write that is resent after it was accepted as `revision`.
+    Resend {
+        /// Revision made by the write.
         revision: Revision,
     },
     /// A linearizable read.
     Read,
 }
 
-/// What was answered.
+/// Result of an operation.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Answered {
-    /// The answer to a write.
+pub enum Response {
+    /// Answer to a write.
     Write(WriteAnswer),
-    /// What was read.
+    /// Result of a read.
     Read {
-        /// The revision.
+        /// Current revision.
         revision: Revision,
-        /// The values.
+        /// Values at that revision.
         values: Values,
     },
 }
 
-/// One operation of one writer.
-pub type Operation = crate::prove::history::Operation<Asked, Answered>;
+/// Operation of one writer.
+pub type Operation = crate::prove::history::Operation<Invocation, Response>;
 
-/// Everything the writers did.
-pub type Record = History<Asked, Answered>;
+/// Operations of all writers.
+pub type Record = History<Invocation, Response>;
 
-/// The highest revision that a writer knows as accepted.
+/// Highest revision that was returned to a writer as accepted.
 pub fn highest_accepted(record: &Record) -> Revision {
-    let accepted = record.operations().iter().filter_map(|operation| match &operation.answered {
-        Some(Answered::Write(WriteAnswer::Accepted { revision })) => Some(*revision),
+    let accepted = record.operations().iter().filter_map(|operation| match &operation.response {
+        Some(Response::Write(WriteAnswer::Accepted { revision })) => Some(*revision),
         _ => None,
     });
     accepted.max().unwrap_or_default()
--- a/crates/lab/src/prove/configuration/router.rs
+++ b/crates/lab/src/prove/configuration/router.rs
@@ -1,4 +1,4 @@
-//! A router that follows the settings, with the real logic of what is in force.
+//! Router that polls the settings and applies them with the production code.
 
 use std::rc::Rc;
 
@@ -12,80 +12,80 @@
 
 use super::record::{Values, values_of};
 
-/// Restarts, of a thousand polls.
-const RESTARTS: u64 = 30;
+/// Restarts per thousand polls.
+const RESTARTS_PER_THOUSAND: u64 = 30;
 
-/// What was in force, in order.
-pub type Trail = Vec<(Revision, Values)>;
+/// Revisions that were in force, in order, with their values.
+pub type AppliedRevisions = Vec<(Revision, Values)>;
 
-/// One router, polling control replicas at random for what they have.
-pub struct FollowingRouter {
+/// Simulated router that polls random control replicas for the settings.
+pub struct PollingRouter {
     client: usize,
     planted: Option<Planted>,
-    /// Whether it keeps what is in force over a restart.
+    /// Whether the settings in force are persisted across restarts.
     has_disk: bool,
-    kept: Option<(Revision, SettingsTree)>,
+    persisted: Option<(Revision, SettingsTree)>,
     in_force: InForce,
-    /// Lowest revision that may come into force in this life, once known.
+    /// Lowest revision that may be put in force since the last restart, once known.
     floor: Option<Revision>,
-    /// Number of the last question; only its answer counts.
-    asked: u64,
-    trail: Trail,
+    /// Number of the latest poll; answers to earlier polls are ignored.
+    poll_number: u64,
+    applied: AppliedRevisions,
 }
 
-impl FollowingRouter {
-    /// The router that is client number `client`. One in three has a disk.
+impl PollingRouter {
+    /// Creates the router with client number `client`. One in three has a disk.
     pub fn new(client: usize, planted: Option<Planted>) -> Self {
-        FollowingRouter {
+        PollingRouter {
             client,
             planted,
             has_disk: client.is_multiple_of(3),
-            kept: None,
+            persisted: None,
             in_force: InForce::default(),
             floor: None,
-            asked: 0,
-            trail: Trail::new(),
+            poll_number: 0,
+            applied: AppliedRevisions::new(),
         }
     }
 
-    /// Begins.
+    /// Schedules the first poll.
     pub fn start(&mut self, bench: &mut Bench) {
-        self.poll_later(bench);
+        self.schedule_poll(bench);
     }
 
-    /// What is in force now.
+    /// Revision that is in force.
     pub fn in_force(&self) -> Revision {
         self.in_force.revision
     }
 
-    /// Everything that was in force.
-    pub fn trail(&self) -> &Trail {
-        &self.trail
+    /// Revisions that were in force, in order.
+    pub fn applied(&self) -> &AppliedRevisions {
+        &self.applied
     }
 
-    fn poll_later(&self, bench: &mut Bench) {
+    fn schedule_poll(&self, bench: &mut Bench) {
         let time = bench.random.between(20 * MILLI, 500 * MILLI);
         bench.wake_after(time, Call { client: self.client, token: 0 });
     }
 
-    /// Polls a replica, or restarts.
+    /// Polls a replica. Restarts the router first, at random.
     pub fn on_timer(&mut self, bench: &mut Bench) {
-        if bench.random.chance(RESTARTS) {
+        if bench.random.chance(RESTARTS_PER_THOUSAND) {
             self.restart(bench);
         }
-        self.asked += 1;
+        self.poll_number += 1;
         let request = if self.floor.is_some() { Request::Look } else { Request::Read };
         let node = bench.any_node();
-        bench.send(node, Call { client: self.client, token: self.asked }, request);
-        self.poll_later(bench);
+        bench.send(node, Call { client: self.client, token: self.poll_number }, request);
+        self.schedule_poll(bench);
     }
 
     fn restart(&mut self, bench: &mut Bench) {
-        self.in_force = match &self.kept {
+        self.in_force = match &self.persisted {
             Some((revision, tree)) => InForce::new(*revision, tree.clone()),
             None => InForce::default(),
         };
-        self.floor = self.kept.as_ref().map(|(revision, _)| *revision);
+        self.floor = self.persisted.as_ref().map(|(revision, _)| *revision);
         if self.planted == Some(Planted::FloorSkipped) {
             self.floor = Some(Revision::default());
         }
@@ -93,10 +93,10 @@
         bench.note(|| format!("router {} restarts with {revision}", self.client));
     }
 
-    /// A replica has shown its state.
+    /// Handles the state returned by a replica.
     pub fn on_reply(&mut self, bench: &mut Bench, token: u64, reply: Reply) {
         let Reply::State(state) = reply else { return };
-        if token != self.asked {
+        if token != self.poll_number {
             return;
         }
         let Some(floor) = self.floor else {
@@ -105,7 +105,7 @@
         };
         for push in self.pushes(&state) {
             let next = match self.planted {
-                Some(Planted::StaleRevisionApplied) => obey(push),
+                Some(Planted::StaleRevisionApplied) => accept_any(push),
                 _ => self.in_force.after(push).unwrap_or_default(),
             };
             if let Some(next) = next.filter(|next| next.revision >= floor) {
@@ -114,12 +114,12 @@
         }
     }
 
-    /// What the replica would push to this router.
+    /// Pushes that the replica would send to this router.
     fn pushes(&self, state: &Rc<ControlState>) -> Vec<Push> {
         let settings = state.settings();
-        let follows_blindly = self.planted == Some(Planted::StaleRevisionApplied);
+        let accepts_any = self.planted == Some(Planted::StaleRevisionApplied);
         let changes = settings.changes_after(self.in_force.revision);
-        match changes.filter(|_| self.in_force.revision.0 > 0 && !follows_blindly) {
+        match changes.filter(|_| self.in_force.revision.0 > 0 && !accepts_any) {
             Some(changes) => {
                 let delta = |entry: &juniper_control_state::HistoryEntry| {
                     let change = to_change_set(&entry.changes);
@@ -137,16 +137,16 @@
     fn put_in_force(&mut self, bench: &mut Bench, next: InForce) {
         let revision = next.revision;
         bench.note(|| format!("router {} has {revision} in force", self.client));
-        self.trail.push((revision, values_of(next.tree())));
+        self.applied.push((revision, values_of(next.tree())));
         if self.has_disk {
-            self.kept = Some((revision, next.tree().clone()));
+            self.persisted = Some((revision, next.tree().clone()));
         }
         self.in_force = next;
     }
 }
 
-/// The planted fault: whatever arrives comes into force.
-fn obey(push: Push) -> Option<InForce> {
+/// Planted fault: accepts any snapshot, also an older one.
+fn accept_any(push: Push) -> Option<InForce> {
     match push {
         Push::Snapshot { revision, tree } => Some(InForce::new(revision, tree)),
         _ => None,
--- a/crates/lab/src/prove/configuration/writer.rs
+++ b/crates/lab/src/prove/configuration/writer.rs
@@ -1,50 +1,51 @@
-//! A writer: automation that rewrites settings, races with others and resends.
+//! Writer that changes settings concurrently with others and resends writes.
 
 use juniper_control_state::{Answer, Command, WriteAnswer, WriteHeader};
 use juniper_settings::{ChangeSet, Edit, SettingsNode, SettingsPath};
 use juniper_simulation::{Bench, MILLI, Micros, Reply, Request};
 use juniper_types::{ChangeId, Revision, ZoneName};
 
-use super::record::{Answered, Asked, Record, values_of};
-use crate::prove::asker::{Asker, Wake};
+use super::record::{Invocation, Record, Response, values_of};
+use crate::prove::retrying_client::{RetryingClient, TimerEvent};
 
-/// Keys that all writers share.
+/// Number of keys, shared by all writers.
 const KEYS: u64 = 4;
 
-/// Operations of a writer before it only finishes.
+/// Maximum number of operations of a writer before the final phase.
 const MAX_OPERATIONS: usize = 28;
 
 const THINK_TIME: Micros = 1_200 * MILLI;
 
-/// How far a writer is with finishing.
+/// Phase of a writer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     Working,
-    /// One more write has to be accepted, then one read made.
+    /// One more write must be accepted before the final read.
     LastWrite,
     LastRead,
     Done,
 }
 
-/// One writer.
+/// Simulated writer.
 pub struct Writer {
     client: usize,
-    asker: Asker,
+    requests: RetryingClient,
+    /// Highest revision in an answer to this writer.
     known: Revision,
-    /// Writes of its own that were accepted.
+    /// Accepted writes of this writer, with their revisions.
     accepted: Vec<(Command, Revision)>,
-    /// The command and the place in the record of the operation under way.
+    /// Pending operation: the command, if it is a new write, and the index in the record.
     current: Option<(Option<Command>, usize)>,
     operations: usize,
     phase: Phase,
 }
 
 impl Writer {
-    /// The writer that is client number `client`.
+    /// Creates the writer with client number `client`.
     pub fn new(client: usize) -> Self {
         Writer {
             client,
-            asker: Asker::new(client),
+            requests: RetryingClient::new(client),
             known: Revision::default(),
             accepted: Vec::new(),
             current: None,
@@ -53,49 +54,49 @@
         }
     }
 
-    /// Begins.
+    /// Schedules the first operation.
     pub fn start(&mut self, bench: &mut Bench) {
-        self.pause(bench);
+        self.schedule_next(bench);
     }
 
-    /// Asks for the end: one more accepted write and one read.
+    /// Starts the final phase: one more accepted write and one read.
     pub fn finish(&mut self) {
         self.phase = Phase::LastWrite;
     }
 
-    /// Whether the end is reached.
+    /// Whether the final phase is complete.
     pub fn is_finished(&self) -> bool {
         self.phase == Phase::Done
     }
 
-    fn pause(&mut self, bench: &mut Bench) {
+    fn schedule_next(&mut self, bench: &mut Bench) {
         let time = match self.phase {
             Phase::Working => bench.random.between(5 * MILLI, THINK_TIME),
             _ => bench.random.between(5 * MILLI, 200 * MILLI),
         };
-        self.asker.think(bench, time);
+        self.requests.schedule_next(bench, time);
     }
 
-    /// A timer is due.
+    /// Handles a timer: starts an operation, or abandons a pending one at random.
     pub fn on_timer(&mut self, bench: &mut Bench, token: u64, record: &mut Record) {
-        match self.asker.on_timer(bench, token) {
-            Wake::Think => self.begin(bench, record),
-            Wake::Resent if self.phase == Phase::Working && bench.random.chance(40) => {
-                self.asker.give_up();
+        match self.requests.on_timer(bench, token) {
+            TimerEvent::ThinkTimeOver => self.start_operation(bench, record),
+            TimerEvent::Resent if self.phase == Phase::Working && bench.random.chance(40) => {
+                self.requests.abandon();
                 self.current = None;
-                self.pause(bench);
+                self.schedule_next(bench);
             }
             _ => {}
         }
     }
 
-    fn begin(&mut self, bench: &mut Bench, record: &mut Record) {
+    fn start_operation(&mut self, bench: &mut Bench, record: &mut Record) {
         self.operations += 1;
         match self.phase {
-            Phase::Working if self.operations > MAX_OPERATIONS => self.pause(bench),
+            Phase::Working if self.operations > MAX_OPERATIONS => self.schedule_next(bench),
             Phase::Working => match bench.random.between(0, 99) {
                 0..35 => self.read(bench, record),
-                35..45 => self.send_again(bench, record),
+                35..45 => self.resend_accepted_write(bench, record),
                 45..55 => self.roll_back(bench, record),
                 _ => self.write(bench, record),
             },
@@ -108,7 +109,7 @@
     fn header(&self, bench: &mut Bench) -> WriteHeader {
         let id = ChangeId::new(format!("w{}-{}", self.client, self.operations));
         let id = id.unwrap_or_else(|error| unreachable!("a valid id: {error}"));
-        // Now and then a writer builds on a revision that it should know is old.
+        // Some writes are based on a revision that is known to be stale.
         let stale = bench.random.chance(80);
         let base = if stale { Revision(self.known.0.saturating_sub(1)) } else { self.known };
         WriteHeader { base, change_id: id, author: format!("writer-{}", self.client), at_ms: 0 }
@@ -138,54 +139,54 @@
         else {
             return;
         };
-        let asked = Asked::Write { id: header.change_id.clone(), base: header.base };
-        bench.note(|| format!("writer {} asks {asked:?}", self.client));
-        self.current = Some((Some(command.clone()), record.call(asked)));
-        self.asker.ask(bench, Request::Propose(command));
+        let invocation = Invocation::Write { id: header.change_id.clone(), base: header.base };
+        bench.note(|| format!("writer {} sends {invocation:?}", self.client));
+        self.current = Some((Some(command.clone()), record.record_invocation(invocation)));
+        self.requests.send_new(bench, Request::Propose(command));
     }
 
-    /// Sends an accepted write once more, as automation does that lost the answer.
-    fn send_again(&mut self, bench: &mut Bench, record: &mut Record) {
+    /// Resends an accepted write, as after a lost answer.
+    fn resend_accepted_write(&mut self, bench: &mut Bench, record: &mut Record) {
         let Some((command, revision)) = bench.random.pick(&self.accepted) else {
             return self.read(bench, record);
         };
-        bench.note(|| format!("writer {} sends {revision} again", self.client));
-        self.current = Some((None, record.call(Asked::Again { revision })));
-        self.asker.ask(bench, Request::Propose(command));
+        bench.note(|| format!("writer {} resends the write of revision {revision}", self.client));
+        self.current = Some((None, record.record_invocation(Invocation::Resend { revision })));
+        self.requests.send_new(bench, Request::Propose(command));
     }
 
     fn read(&mut self, bench: &mut Bench, record: &mut Record) {
         bench.note(|| format!("writer {} reads", self.client));
-        self.current = Some((None, record.call(Asked::Read)));
-        self.asker.ask(bench, Request::Read);
+        self.current = Some((None, record.record_invocation(Invocation::Read)));
+        self.requests.send_new(bench, Request::Read);
     }
 
-    /// An answer has arrived.
+    /// Handles the answer to the pending operation.
     pub fn on_reply(&mut self, bench: &mut Bench, token: u64, reply: Reply, record: &mut Record) {
-        let Some(answer) = self.asker.on_reply(bench, token, reply) else { return };
-        let Some((command, place)) = self.current.take() else { return };
+        let Some(answer) = self.requests.on_reply(bench, token, reply) else { return };
+        let Some((command, index)) = self.current.take() else { return };
         match answer {
             Reply::State(state) => {
                 let revision = state.settings().revision();
-                bench.note(|| format!("writer {} has read {revision}", self.client));
+                bench.note(|| format!("writer {} received revision {revision}", self.client));
                 let values = values_of(state.settings().tree().tree());
                 self.known = self.known.max(revision);
-                record.response(place, Answered::Read { revision, values });
+                record.record_response(index, Response::Read { revision, values });
                 if self.phase == Phase::LastRead {
                     self.phase = Phase::Done;
                 }
             }
             Reply::Answer(Answer::Write(answer)) => {
-                bench.note(|| format!("writer {} is told {answer:?}", self.client));
-                self.learn(&answer, command);
-                record.response(place, Answered::Write(answer));
+                bench.note(|| format!("writer {} received {answer:?}", self.client));
+                self.apply_answer(&answer, command);
+                record.record_response(index, Response::Write(answer));
             }
             _ => {}
         }
-        self.pause(bench);
+        self.schedule_next(bench);
     }
 
-    fn learn(&mut self, answer: &WriteAnswer, command: Option<Command>) {
+    fn apply_answer(&mut self, answer: &WriteAnswer, command: Option<Command>) {
         match answer {
             WriteAnswer::Accepted { revision } => {
                 self.known = self.known.max(*revision);
--- a/crates/lab/src/prove/history.rs
+++ b/crates/lab/src/prove/history.rs
@@ -1,102 +1,103 @@
-//! Histories of operations with the order of their invocations and responses,
-//! and the library's check that they are linearizable.
+//! Operation histories in the order of invocations and responses, and their
+//! linearizability check.
 
 use todc_utils::specifications::Specification;
 use todc_utils::{Action, History as LibraryHistory, WGLChecker};
 
-/// One operation of one client.
+/// Operation of one client.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Operation<Asked, Answered> {
-    /// What was asked.
-    pub asked: Asked,
-    /// The answer; `None` while it isn't known.
-    pub answered: Option<Answered>,
+pub struct Operation<Invocation, Response> {
+    /// Arguments of the operation.
+    pub invocation: Invocation,
+    /// Response; `None` while the client hasn't received one.
+    pub response: Option<Response>,
 }
 
-/// One end of an operation, by its place among all.
+/// Invocation or response of an operation, by index of the operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum End {
-    /// The first sending.
+enum Event {
     Call(usize),
-    /// The answer.
     Response(usize),
 }
 
-/// Everything that clients asked and were told.
+/// Operations of all clients, with the order of invocations and responses.
 #[derive(Clone, Debug)]
-pub struct History<Asked, Answered> {
-    operations: Vec<Operation<Asked, Answered>>,
-    ends: Vec<End>,
+pub struct History<Invocation, Response> {
+    operations: Vec<Operation<Invocation, Response>>,
+    events: Vec<Event>,
 }
 
-/// An operation in the terms of a specification.
+/// Operation translated for a sequential specification.
 #[derive(Clone, Debug)]
 pub struct Translated<SpecificationOperation> {
-    /// The operation with its answer.
+    /// Operation of the specification, with its response.
     pub operation: SpecificationOperation,
-    /// Whether the client doesn't know the answer. Such an operation may take
-    /// effect at any time from its call on.
+    /// Whether the response is unknown. Such an operation may take effect at any
+    /// time after its invocation.
     pub is_open: bool,
 }
 
-impl<Asked, Answered> Default for History<Asked, Answered> {
+impl<Invocation, Response> Default for History<Invocation, Response> {
     fn default() -> Self {
-        History { operations: Vec::new(), ends: Vec::new() }
+        History { operations: Vec::new(), events: Vec::new() }
     }
 }
 
-impl<Asked, Answered> History<Asked, Answered> {
-    /// The operations, in the order of their calls.
-    pub fn operations(&self) -> &[Operation<Asked, Answered>] {
+impl<Invocation, Response> History<Invocation, Response> {
+    /// Operations in the order of their invocations.
+    pub fn operations(&self) -> &[Operation<Invocation, Response>] {
         &self.operations
     }
 
-    /// An operation begins; returns its place.
-    pub fn call(&mut self, asked: Asked) -> usize {
-        self.operations.push(Operation { asked, answered: None });
-        let place = self.operations.len() - 1;
-        self.ends.push(End::Call(place));
-        place
+    /// Records the invocation of an operation and returns the operation's index.
+    pub fn record_invocation(&mut self, invocation: Invocation) -> usize {
+        self.operations.push(Operation { invocation, response: None });
+        let index = self.operations.len() - 1;
+        self.events.push(Event::Call(index));
+        index
     }
 
-    /// An operation has its answer.
-    pub fn response(&mut self, place: usize, answered: Answered) {
-        self.ends.push(End::Response(place));
-        if let Some(operation) = self.operations.get_mut(place) {
-            operation.answered = Some(answered);
+    /// Records the response to the operation at `index`.
+    pub fn record_response(&mut self, index: usize, response: Response) {
+        self.events.push(Event::Response(index));
+        if let Some(operation) = self.operations.get_mut(index) {
+            operation.response = Some(response);
         }
     }
 
-    /// Whether the operations that `translate` knows fit one order that keeps to
-    /// the specification and to real time.
+    /// Whether the operations that `translate` returns are linearizable under the
+    /// specification `S`.
     pub fn is_linearizable<S: Specification>(
         &self,
-        translate: impl Fn(usize, &Operation<Asked, Answered>) -> Option<Translated<S::Operation>>,
+        translate: impl Fn(usize, &Operation<Invocation, Response>) -> Option<Translated<S::Operation>>,
     ) -> bool {
         let translated: Vec<Option<Translated<S::Operation>>> = self
             .operations
             .iter()
             .enumerate()
-            .map(|(place, operation)| translate(place, operation))
+            .map(|(index, operation)| translate(index, operation))
             .collect();
-        let known = |place: usize| translated.get(place).and_then(Option::as_ref);
+        let translation = |index: usize| translated.get(index).and_then(Option::as_ref);
         let mut actions = Vec::new();
-        for end in &self.ends {
-            match *end {
-                End::Call(place) => {
-                    let call = known(place).map(|found| Action::Call(found.operation.clone()));
-                    actions.extend(call.map(|call| (place, call)));
+        for event in &self.events {
+            match *event {
+                Event::Call(index) => {
+                    let invocation = translation(index)
+                        .map(|translation| Action::Call(translation.operation.clone()));
+                    actions.extend(invocation.map(|invocation| (index, invocation)));
                 }
-                End::Response(place) => {
-                    let answered = known(place).filter(|found| !found.is_open);
-                    let answer = answered.map(|found| Action::Response(found.operation.clone()));
-                    actions.extend(answer.map(|answer| (place, answer)));
+                Event::Response(index) => {
+                    let completed = translation(index).filter(|translation| !translation.is_open);
+                    let response = completed
+                        .map(|translation| Action::Response(translation.operation.clone()));
+                    actions.extend(response.map(|response| (index, response)));
                 }
             }
         }
-        for (place, found) in translated.into_iter().enumerate() {
-            let open = found.filter(|found| found.is_open);
-            actions.extend(open.map(|found| (place, Action::Response(found.operation))));
+        for (index, translation) in translated.into_iter().enumerate() {
+            let open = translation.filter(|translation| translation.is_open);
+            actions
+                .extend(open.map(|translation| (index, Action::Response(translation.operation))));
         }
         actions.is_empty()
             || WGLChecker::<S>::is_linearizable(LibraryHistory::from_actions(actions))
--- a/crates/lab/src/prove/mod.rs
+++ b/crates/lab/src/prove/mod.rs
@@ -1,13 +1,13 @@
-//! Fault campaigns in the simulator.
+//! Command `prove`: runs fault-injection campaigns in the simulator.
 
 pub mod areas;
-mod asker;
 pub mod campaign;
 pub mod claims;
 pub mod configuration;
 pub mod decisions;
 mod history;
 pub mod orders;
+mod retrying_client;
 
 use std::fs;
 use std::io;
@@ -41,26 +41,26 @@
 const DEFAULT_SEEDS: u64 = 100;
 const DEFAULT_THREADS: usize = 4;
 
-/// Failed seeds that are shown in full.
+/// Maximum number of failed seeds whose violations are printed.
 const MAX_SHOWN: usize = 10;
 
-/// Why a campaign's trace can't be kept.
+/// Failure to write a trace file.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
-#[error("the trace can't be written to {file}")]
+#[error("failed to write the trace to {file}")]
 pub struct TraceError {
-    /// The file.
+    /// Path of the trace file.
     file: String,
-    /// What the system said.
+    /// Underlying I/O error.
     #[source]
     source: io::Error,
 }
 
-/// What the command line asks for.
+/// Options of the command line.
 struct Options {
     area: Option<String>,
     campaign: Campaign,
     planted: Option<String>,
-    single: Option<u64>,
+    single_seed: Option<u64>,
     threads: usize,
     trace_folder: PathBuf,
 }
@@ -68,7 +68,7 @@
 /// Runs the command with the arguments that follow its name.
 ///
 /// # Errors
-/// Fails when the arguments are faulty or the run itself fails.
+/// Fails if the arguments are invalid or a trace can't be written.
 pub fn run(parser: &mut lexopt::Parser) -> miette::Result<ExitCode> {
     let Some(mut options) = parse(parser)? else { return Ok(ExitCode::SUCCESS) };
     let name = options.area.take().ok_or(ArgumentError::Missing("--area"))?;
@@ -82,13 +82,13 @@
         options.campaign.planted = Some(found);
         options.campaign.stop_at_first = true;
     }
-    match options.single {
+    match options.single_seed {
         Some(seed) => run_one(area, seed, &options),
         None => run_many(area, &options),
     }
 }
 
-/// Reads the arguments; `None` if they asked for a text that is printed already.
+/// Parses the arguments; `None` if the requested help or list has been printed.
 fn parse(parser: &mut lexopt::Parser) -> Result<Option<Options>, ArgumentError> {
     let campaign =
         Campaign { first_seed: 1, seeds: DEFAULT_SEEDS, planted: None, stop_at_first: false };
@@ -96,7 +96,7 @@
         area: None,
         campaign,
         planted: None,
-        single: None,
+        single_seed: None,
         threads: DEFAULT_THREADS,
         trace_folder: PathBuf::from("."),
     };
@@ -107,7 +107,7 @@
             Arg::Long("first-seed") => {
                 options.campaign.first_seed = parsed(parser, "--first-seed", "a number")?;
             }
-            Arg::Long("seed") => options.single = Some(parsed(parser, "--seed", "a number")?),
+            Arg::Long("seed") => options.single_seed = Some(parsed(parser, "--seed", "a number")?),
             Arg::Long("planted") => options.planted = Some(parsed(parser, "--planted", "a name")?),
             Arg::Long("threads") => {
                 let threads: usize = parsed(parser, "--threads", "a number")?;
@@ -117,7 +117,7 @@
                 options.trace_folder = parsed(parser, "--trace-folder", "a folder")?;
             }
             Arg::Long("list") => {
-                list();
+                print_areas();
                 return Ok(None);
             }
             Arg::Long("help") | Arg::Short('h') => {
@@ -130,7 +130,7 @@
     Ok(Some(options))
 }
 
-fn list() {
+fn print_areas() {
     for area in AREAS {
         println!("{}: {}", area.name, area.summary);
         println!("  faults:");
@@ -143,36 +143,36 @@
 fn run_one(area: &Area, seed: u64, options: &Options) -> miette::Result<ExitCode> {
     let violations = write_trace(area, seed, options)?;
     println!("runs=1 violations={}", violations.len());
-    Ok(verdict(violations.is_empty()))
+    Ok(exit_code(violations.is_empty()))
 }
 
 fn run_many(area: &Area, options: &Options) -> miette::Result<ExitCode> {
     let summary = campaign::run(area, options.campaign, options.threads);
-    show(&summary);
+    print_violations(&summary);
     if let Some(first) = summary.failed.first() {
         write_trace(area, first.seed, options)?;
     }
     println!("runs={} violations={}", summary.runs, summary.failed.len());
-    Ok(verdict(summary.failed.is_empty()))
+    Ok(exit_code(summary.failed.is_empty()))
 }
 
-fn show(summary: &Summary) {
+fn print_violations(summary: &Summary) {
     for failed in summary.failed.iter().take(MAX_SHOWN) {
         for violation in &failed.violations {
             println!("seed={} violation=\"{violation}\"", failed.seed);
         }
     }
-    let hidden = summary.failed.len().saturating_sub(MAX_SHOWN);
-    if hidden > 0 {
-        println!("{hidden} more seeds with violations are not shown");
+    let omitted = summary.failed.len().saturating_sub(MAX_SHOWN);
+    if omitted > 0 {
+        println!("{omitted} more seeds with violations are not shown");
     }
 }
 
-fn verdict(is_clean: bool) -> ExitCode {
+fn exit_code(is_clean: bool) -> ExitCode {
     if is_clean { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-/// Runs a seed with a trace, writes it to a file and returns what was wrong.
+/// Runs a seed with a trace, writes the trace to a file and returns the violations.
 fn write_trace(area: &Area, seed: u64, options: &Options) -> Result<Vec<String>, TraceError> {
     let planted = options.campaign.planted;
     let outcome = (area.run)(SeedRun { seed, planted, traced: true });
--- a/crates/lab/src/prove/orders/check.rs
+++ b/crates/lab/src/prove/orders/check.rs
@@ -1,79 +1,81 @@
-//! What must hold of tokens and orders.
+//! Invariants of fencing tokens and orders.
 
 use std::collections::BTreeMap;
 
 use juniper_emulators::engine::orders::OrderNumber;
 
-use super::record::{Draw, Record};
-use super::target::Target;
+use super::record::{Record, TokenRequest};
+use super::target::TargetEngine;
 
-/// A breach of what fencing promises.
+/// Violation of a fencing invariant.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum OrderViolation {
-    /// Two order-givers hold one token.
-    #[error("givers {first} and {second} both drew token {token}")]
-    TokenDrawnTwice {
-        /// The token.
+    /// Two order dispatchers received the same token.
+    #[error("dispatchers {first} and {second} both received token {token}")]
+    DuplicateToken {
+        /// Token that was issued twice.
         token: u64,
-        /// One.
+        /// Client number of one dispatcher.
         first: usize,
-        /// The other.
+        /// Client number of the other dispatcher.
         second: usize,
     },
-    /// A token is not higher than one that was known before it was asked for.
-    #[error("token {later} was drawn after {earlier} had been answered")]
-    TokenWentBack {
-        /// The earlier one.
+    /// A token is lower than one that had been issued before it was requested.
+    #[error("token {later} was requested after {earlier} had been issued")]
+    TokenDecreased {
+        /// Token issued first.
         earlier: u64,
-        /// The later one.
+        /// Token requested afterwards.
         later: u64,
     },
-    /// Orders took effect out of order.
+    /// An order took effect after one with the same or a higher number.
     #[error("engine {engine}: {after:?} took effect after {before:?}")]
     OutOfOrder {
-        /// The engine.
+        /// Index of the engine.
         engine: usize,
-        /// The higher number.
+        /// Number of the order that took effect first.
         before: OrderNumber,
-        /// The lower one.
+        /// Number of the order that took effect next.
         after: OrderNumber,
     },
-    /// An order took effect under a token that its giver doesn't hold.
-    #[error("engine {engine}: giver {giver} had an order take effect under {number:?} of another")]
+    /// An order took effect under a token that was issued to another dispatcher.
+    #[error(
+        "engine {engine}: order {number:?} of dispatcher {dispatcher} took effect under a foreign token"
+    )]
     ForeignToken {
-        /// The engine.
+        /// Index of the engine.
         engine: usize,
-        /// Who gave the order.
-        giver: usize,
-        /// Its number.
+        /// Client number of the dispatcher that sent the order.
+        dispatcher: usize,
+        /// Number of the order.
         number: OrderNumber,
     },
-    /// The engine itself saw a breach.
-    #[error("engine {engine} saw {breach}")]
-    Witnessed {
-        /// The engine.
+    /// The engine's witness recorded a breach.
+    #[error("engine {engine} recorded a breach: {breach}")]
+    WitnessedBreach {
+        /// Index of the engine.
         engine: usize,
-        /// What it saw.
+        /// Kind and details of the breach.
         breach: String,
     },
 }
 
-/// Everything that is wrong.
-pub fn check(record: &Record, engines: &[Target]) -> Vec<OrderViolation> {
+/// Returns all violations.
+pub fn check(record: &Record, engines: &[TargetEngine]) -> Vec<OrderViolation> {
     let mut violations = check_tokens(record);
     let owners = owners(record);
-    for (place, engine) in engines.iter().enumerate() {
-        violations.extend(check_engine(place, engine, &owners));
+    for (index, engine) in engines.iter().enumerate() {
+        violations.extend(check_engine(index, engine, &owners));
     }
     violations
 }
 
-/// Who drew each token first.
+/// Client number of the first dispatcher that received each token.
 fn owners(record: &Record) -> BTreeMap<u64, usize> {
     let mut owners = BTreeMap::new();
-    for draw in &record.draws {
-        if let Some((_, token)) = draw.answered {
-            owners.entry(token).or_insert(draw.giver);
+    for request in &record.token_requests {
+        if let Some((_, token)) = request.issued {
+            owners.entry(token).or_insert(request.dispatcher);
         }
     }
     owners
@@ -81,25 +83,26 @@
 
 fn check_tokens(record: &Record) -> Vec<OrderViolation> {
     let mut violations = Vec::new();
-    let answered: Vec<(&Draw, u64, u64)> = record
-        .draws
+    let issued: Vec<(&TokenRequest, u64, u64)> = record
+        .token_requests
         .iter()
-        .filter_map(|draw| draw.answered.map(|(at, token)| (draw, at, token)))
+        .filter_map(|request| request.issued.map(|(at, token)| (request, at, token)))
         .collect();
-    for (place, (draw, at, token)) in answered.iter().enumerate() {
-        for (other, other_at, other_token) in &answered[place + 1..] {
+    for (index, (request, at, token)) in issued.iter().enumerate() {
+        for (other, other_at, other_token) in &issued[index + 1..] {
             if token == other_token {
-                let (first, second) = (draw.giver, other.giver);
+                let (first, second) = (request.dispatcher, other.dispatcher);
                 let token = *token;
-                violations.push(OrderViolation::TokenDrawnTwice { token, first, second });
+                violations.push(OrderViolation::DuplicateToken { token, first, second });
             }
-            let (earlier, later) = match (*at < other.called, *other_at < draw.called) {
-                (true, _) => (*token, *other_token),
-                (_, true) => (*other_token, *token),
-                _ => continue,
-            };
+            let (earlier, later) =
+                match (*at < other.requested_at, *other_at < request.requested_at) {
+                    (true, _) => (*token, *other_token),
+                    (_, true) => (*other_token, *token),
+                    _ => continue,
+                };
             if later < earlier {
-                violations.push(OrderViolation::TokenWentBack { earlier, later });
+                violations.push(OrderViolation::TokenDecreased { earlier, later });
             }
         }
     }
@@ -107,27 +110,28 @@
 }
 
 fn check_engine(
-    place: usize,
-    target: &Target,
+    index: usize,
+    target: &TargetEngine,
     owners: &BTreeMap<u64, usize>,
 ) -> Vec<OrderViolation> {
     let breaches = target.engine().witness().described().iter();
-    let witnessed = breaches.map(|breach| OrderViolation::Witnessed {
-        engine: place,
+    let witnessed = breaches.map(|breach| OrderViolation::WitnessedBreach {
+        engine: index,
         breach: format!("{:?} {}", breach.kind, breach.detail),
     });
     let applied = target.applied();
-    let disordered = applied.windows(2).filter(|pair| pair[1].0 <= pair[0].0);
-    let disordered = disordered.map(|pair| OrderViolation::OutOfOrder {
-        engine: place,
+    let out_of_order = applied.windows(2).filter(|pair| pair[1].0 <= pair[0].0);
+    let out_of_order = out_of_order.map(|pair| OrderViolation::OutOfOrder {
+        engine: index,
         before: pair[0].0,
         after: pair[1].0,
     });
-    let foreign = applied.iter().filter(|(number, giver)| owners.get(&number.token) != Some(giver));
-    let foreign = foreign.map(|(number, giver)| OrderViolation::ForeignToken {
-        engine: place,
-        giver: *giver,
+    let foreign =
+        applied.iter().filter(|(number, dispatcher)| owners.get(&number.token) != Some(dispatcher));
+    let foreign = foreign.map(|(number, dispatcher)| OrderViolation::ForeignToken {
+        engine: index,
+        dispatcher: *dispatcher,
         number: *number,
     });
-    witnessed.chain(disordered).chain(foreign).collect()
+    witnessed.chain(out_of_order).chain(foreign).collect()
 }
--- a/crates/lab/src/prove/orders/mod.rs
+++ b/crates/lab/src/prove/orders/mod.rs
@@ -1,11 +1,11 @@
-//! Area `orders`: holders of fencing tokens give orders to engines.
+//! Area `orders`: order dispatchers with fencing tokens send orders to engines.
 //!
-//! Tokens come out of the replicated log, orders reach the emulated engines late,
-//! twice, crossed or never, and engines restart. Several holders are at work at
-//! once, because none knows that its token has been succeeded.
+//! Tokens are issued by the replicated log. Orders to the emulated engines are
+//! delayed, duplicated, reordered or lost, and engines restart. Several dispatchers
+//! are active at once, because none knows that its token was superseded.
 
 mod check;
-mod giver;
+mod dispatcher;
 mod record;
 mod target;
 
@@ -15,15 +15,15 @@
 use juniper_simulation::{Bench, Call, Planted, Reply, Workload, Zone};
 
 use check::OrderViolation;
-use giver::Giver;
+use dispatcher::SimulatedDispatcher;
 use record::Record;
-use target::Target;
+use target::TargetEngine;
 
-const GIVERS: usize = 4;
+const DISPATCHERS: usize = 4;
 const ENGINES: usize = 2;
 const ZONES: u64 = 3;
 
-/// The faults of this area: those of the replicas and those of the engines' side.
+/// Injected faults, of the replicas and of the engines.
 pub const ORDER_FAULTS: [&str; 4] = [
     "all faults of the control replicas (see configuration)",
     "orders lost, repeated, crossed and up to six seconds late",
@@ -31,19 +31,21 @@
     "several holders at work at once",
 ];
 
-/// Order-givers and engines.
+/// Workload of order dispatchers and engines.
 pub struct Orders {
-    givers: Vec<Giver>,
-    engines: Vec<Target>,
+    dispatchers: Vec<SimulatedDispatcher>,
+    engines: Vec<TargetEngine>,
     record: Record,
 }
 
 impl Orders {
-    /// All order-givers and engines, with a planted fault if one is given.
+    /// Creates all dispatchers and engines, with a planted fault if one is given.
     pub fn new(planted: Option<Planted>) -> Self {
         Orders {
-            givers: (0..GIVERS).map(|client| Giver::new(client, planted)).collect(),
-            engines: (0..ENGINES).map(|number| Target::new(GIVERS + number)).collect(),
+            dispatchers: (0..DISPATCHERS)
+                .map(|client| SimulatedDispatcher::new(client, planted))
+                .collect(),
+            engines: (0..ENGINES).map(|number| TargetEngine::new(DISPATCHERS + number)).collect(),
             record: Record::default(),
         }
     }
@@ -53,25 +55,27 @@
     type Violation = OrderViolation;
 
     fn clients(&self) -> Vec<Zone> {
-        (0..(GIVERS + ENGINES) as u64).map(|client| client % ZONES).collect()
+        (0..(DISPATCHERS + ENGINES) as u64).map(|client| client % ZONES).collect()
     }
 
     fn start(&mut self, bench: &mut Bench) {
-        self.givers.iter_mut().for_each(|giver| giver.start(bench));
-        self.engines.iter_mut().for_each(|engine| engine.start(bench));
+        self.dispatchers.iter_mut().for_each(|dispatcher| dispatcher.start(bench));
+        self.engines.iter_mut().for_each(|engine| engine.schedule_restart(bench));
     }
 
     fn on_reply(&mut self, bench: &mut Bench, call: Call, reply: Reply) {
-        if let Some(giver) = self.givers.get_mut(call.client) {
-            giver.on_reply(bench, call.token, reply, &mut self.record);
+        if let Some(dispatcher) = self.dispatchers.get_mut(call.client) {
+            dispatcher.on_reply(bench, call.token, reply, &mut self.record);
         }
     }
 
     fn on_timer(&mut self, bench: &mut Bench, call: Call) {
-        match self.givers.get_mut(call.client) {
-            Some(giver) => giver.on_timer(bench, call.token, &mut self.record, &self.engines),
+        match self.dispatchers.get_mut(call.client) {
+            Some(dispatcher) => {
+                dispatcher.on_timer(bench, call.token, &mut self.record, &self.engines)
+            }
             None => {
-                if let Some(engine) = self.engines.get_mut(call.client - GIVERS) {
+                if let Some(engine) = self.engines.get_mut(call.client - DISPATCHERS) {
                     engine.on_timer(bench, call.token, &mut self.record);
                 }
             }
@@ -79,11 +83,11 @@
     }
 
     fn finish(&mut self, _bench: &mut Bench) {
-        self.givers.iter_mut().for_each(Giver::finish);
+        self.dispatchers.iter_mut().for_each(SimulatedDispatcher::finish);
     }
 
     fn is_finished(&self) -> bool {
-        self.givers.iter().all(Giver::is_finished)
+        self.dispatchers.iter().all(SimulatedDispatcher::is_finished)
     }
 
     fn check(&self, _last: &Rc<ControlState>) -> Vec<OrderViolation> {
--- a/crates/lab/src/prove/orders/record.rs
+++ b/crates/lab/src/prove/orders/record.rs
@@ -1,54 +1,57 @@
-//! Tokens that were drawn and orders that were sent.
+//! Record of token requests and sent orders.
 
 use juniper_emulators::engine::orders::{Order, OrderRefusal};
 
-/// One draw of a fencing token.
+/// Request for a fencing token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Draw {
-    /// Who drew.
-    pub giver: usize,
-    /// Place of the question among all questions and answers.
-    pub called: u64,
-    /// Place of the answer, and the token.
-    pub answered: Option<(u64, u64)>,
+pub struct TokenRequest {
+    /// Client number of the requesting dispatcher.
+    pub dispatcher: usize,
+    /// Logical time of the request.
+    pub requested_at: u64,
+    /// Logical time of the answer, and the token.
+    pub issued: Option<(u64, u64)>,
 }
 
-/// One order on its way.
+/// Order that was sent to an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SentOrder {
-    /// Who gave it.
-    pub giver: usize,
-    /// The engine's place among all.
+    /// Client number of the sending dispatcher.
+    pub dispatcher: usize,
+    /// Index of the engine.
     pub engine: usize,
-    /// The order.
     pub order: Order,
-    /// What the engine said to it last, if it was refused.
+    /// Engine's latest refusal, if any.
     pub refusal: Option<OrderRefusal>,
 }
 
-/// Everything that the order-givers did.
+/// Token requests and orders of all dispatchers.
 #[derive(Clone, Debug, Default)]
 pub struct Record {
     clock: u64,
-    /// The draws.
-    pub draws: Vec<Draw>,
-    /// The orders, in the order of their first sending.
+    /// Token requests, oldest first.
+    pub token_requests: Vec<TokenRequest>,
+    /// Orders, oldest first.
     pub orders: Vec<SentOrder>,
 }
 
 impl Record {
-    /// A draw begins; returns its place.
-    pub fn draw(&mut self, giver: usize) -> usize {
+    /// Records a token request and returns its index.
+    pub fn record_request(&mut self, dispatcher: usize) -> usize {
         self.clock += 1;
-        self.draws.push(Draw { giver, called: self.clock, answered: None });
-        self.draws.len() - 1
+        self.token_requests.push(TokenRequest {
+            dispatcher,
+            requested_at: self.clock,
+            issued: None,
+        });
+        self.token_requests.len() - 1
     }
 
-    /// A draw has its token.
-    pub fn drawn(&mut self, place: usize, token: u64) {
+    /// Records the token issued for the request at `index`.
+    pub fn record_token(&mut self, index: usize, token: u64) {
         self.clock += 1;
-        if let Some(draw) = self.draws.get_mut(place) {
-            draw.answered = Some((self.clock, token));
+        if let Some(request) = self.token_requests.get_mut(index) {
+            request.issued = Some((self.clock, token));
         }
     }
 }
