--- a/crates/lab/src/prove/decisions/fleet.rs
+++ b/crates/lab/src/prove/decisions/fleet.rs
@@ -1,4 +1,4 @@
-//! Engines, routers, callers and faults of one run.
+//! Engines, routers, requests and faults of one run.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -20,32 +20,34 @@
 const ROUTERS: usize = 2;
 const STEP: Duration = Duration::from_millis(10);
 
-/// Steps with traffic and faults, then without, until everything has settled:
-/// longer than the life of a prediction and of every delay.
+/// Steps with traffic and faults.
 const BUSY_STEPS: u64 = 1_500;
+
+/// Steps without traffic and faults, longer than the lifetime of predictions and all
+/// delays.
 const QUIET_STEPS: u64 = 800;
 
-/// Small caches, so that evictions are frequent.
+/// Cache capacity of an engine in blocks, small enough for frequent evictions.
 const CACHE_BLOCKS: u32 = 96;
 const PREFIX_BLOCKS: usize = 12;
-const OWN_BLOCKS: usize = 3;
+const UNIQUE_BLOCKS: usize = 3;
 const PREFIXES: u64 = 12;
 
-/// Time that an engine stays down, and that a leaving one has left.
+/// Steps until a crashed engine restarts, and until a departing engine stops.
 const DOWN_STEPS: u64 = 60;
-const LEAVING_STEPS: u64 = 500;
+const DEPARTURE_STEPS: u64 = 500;
 
-/// Age of the platform's list: beyond the time allowed for a drain, so that
-/// only the engine's own word is in time.
+/// Delay of the platform's list. Longer than the limit for a drain, so that only
+/// the engine's own report is in time.
 const PLATFORM_LAG_STEPS: u64 = 300;
 
-/// Chances in a step, or of a poll.
+/// Probabilities per step, or per poll.
 const REQUEST_CHANCE: f64 = 0.5;
 const CRASH_CHANCE: f64 = 0.002;
 const RESTART_CHANCE: f64 = 0.002;
 const LOST_POLL_CHANCE: f64 = 0.1;
 
-/// Steps between polls of events and of load.
+/// Intervals between polls of events and of load, in steps.
 const EVENT_POLL_STEPS: u64 = 5;
 const LOAD_POLL_STEPS: u64 = 20;
 
@@ -53,7 +55,7 @@
 enum EngineState {
     Up,
     Down { until: u64 },
-    Leaving { since: u64 },
+    Departing { since: u64 },
 }
 
 pub(super) struct Fleet {
@@ -69,7 +71,7 @@
     in_flight: HashMap<RequestId, usize>,
     chains: Vec<Arc<[BlockHash]>>,
     requests: u64,
-    lives: u64,
+    last_incarnation: u64,
     step: u64,
     trace: Vec<String>,
 }
@@ -108,7 +110,7 @@
             in_flight: HashMap::new(),
             chains: Vec::new(),
             requests: 0,
-            lives: ENGINES as u64,
+            last_incarnation: ENGINES as u64,
             step: 0,
             trace: Vec::new(),
         })
@@ -126,14 +128,14 @@
                 self.draw_faults();
             }
             self.advance_engines();
-            self.poll(busy);
+            self.poll_engines(busy);
             if busy && self.random.random_bool(REQUEST_CHANCE) {
-                self.request();
+                self.dispatch_request();
             }
         }
     }
 
-    fn note(&mut self, event: std::fmt::Arguments<'_>) {
+    fn record_event(&mut self, event: std::fmt::Arguments<'_>) {
         self.trace.push(format!("at_ms={} {event}", self.now().as_millis()));
     }
 
@@ -142,25 +144,25 @@
         if self.states[engine] == EngineState::Up && self.random.random_bool(CRASH_CHANCE) {
             match self.focus {
                 Focus::Routing => self.crash(engine),
-                Focus::Drain => self.leave(engine),
+                Focus::Drain => self.start_departure(engine),
             }
         }
         if self.random.random_bool(RESTART_CHANCE) {
             let router = self.random.random_range(0..ROUTERS);
-            self.restart(router);
-            self.note(format_args!("event=router_restart router={router}"));
+            self.restart_router(router);
+            self.record_event(format_args!("event=router_restart router={router}"));
         }
     }
 
-    /// A router that starts reads the platform's list and every engine's load at
-    /// once, as its feeds do.
-    fn restart(&mut self, router: usize) {
+    /// Restarts a router, which reads the platform's list and every engine's load at
+    /// once.
+    fn restart_router(&mut self, router: usize) {
         let now = self.now();
         self.routers[router] = Router::new(ENGINES, &self.zone, self.planted);
         for (position, engine) in self.engines.iter().enumerate() {
-            let listed = matches!(self.states[position], EngineState::Leaving { since }
+            let listed = matches!(self.states[position], EngineState::Departing { since }
                 if since + PLATFORM_LAG_STEPS <= self.step);
-            self.routers[router].platform_says(position, listed);
+            self.routers[router].apply_platform_departure(position, listed);
             if !self.random.random_bool(LOST_POLL_CHANCE) {
                 self.routers[router].poll_load(position, engine, now);
             }
@@ -171,26 +173,26 @@
         let now = self.now();
         self.engines[engine].crash(now);
         self.states[engine] = EngineState::Down { until: self.step + DOWN_STEPS };
-        self.note(format_args!("event=engine_crash engine={engine}"));
+        self.record_event(format_args!("event=engine_crash engine={engine}"));
     }
 
-    fn leave(&mut self, engine: usize) {
+    fn start_departure(&mut self, engine: usize) {
         let now = self.now();
         self.engines[engine].leave(now);
-        self.states[engine] = EngineState::Leaving { since: self.step };
-        self.note(format_args!("event=engine_leaves engine={engine}"));
+        self.states[engine] = EngineState::Departing { since: self.step };
+        self.record_event(format_args!("event=engine_leaves engine={engine}"));
     }
 
-    /// The engine is back, or has been replaced, with an empty cache.
+    /// Starts an engine or its replacement, with an empty cache.
     fn start(&mut self, engine: usize) {
         let now = self.now();
-        self.lives += 1;
-        self.engines[engine].start(Incarnation(self.lives), now);
+        self.last_incarnation += 1;
+        self.engines[engine].start(Incarnation(self.last_incarnation), now);
         self.states[engine] = EngineState::Up;
         for router in &mut self.routers {
-            router.platform_says(engine, false);
+            router.apply_platform_departure(engine, false);
         }
-        self.note(format_args!("event=engine_start engine={engine}"));
+        self.record_event(format_args!("event=engine_start engine={engine}"));
     }
 
     fn advance_engines(&mut self) {
@@ -198,21 +200,23 @@
         for engine in 0..ENGINES {
             match self.states[engine] {
                 EngineState::Down { until } if until <= self.step => self.start(engine),
-                EngineState::Leaving { since } if since + LEAVING_STEPS <= self.step => {
+                EngineState::Departing { since } if since + DEPARTURE_STEPS <= self.step => {
                     self.crash(engine);
                 }
-                EngineState::Leaving { since } if since + PLATFORM_LAG_STEPS == self.step => {
-                    self.routers.iter_mut().for_each(|router| router.platform_says(engine, true));
+                EngineState::Departing { since } if since + PLATFORM_LAG_STEPS == self.step => {
+                    self.routers
+                        .iter_mut()
+                        .for_each(|router| router.apply_platform_departure(engine, true));
                 }
                 _ => {}
             }
             for output in self.engines[engine].advance(now) {
-                self.take_output(engine, &output, now);
+                self.handle_output(engine, &output, now);
             }
         }
     }
 
-    fn take_output(&mut self, engine: usize, output: &Output, now: Timestamp) {
+    fn handle_output(&mut self, engine: usize, output: &Output, now: Timestamp) {
         if let Output::LoadNeeded { load, .. } = output {
             self.engines[engine].complete_load(load, now);
             return;
@@ -233,32 +237,32 @@
         }
     }
 
-    fn poll(&mut self, may_fail: bool) {
+    fn poll_engines(&mut self, may_fail: bool) {
         let now = self.now();
         for (number, router) in self.routers.iter_mut().enumerate() {
             for (position, engine) in self.engines.iter().enumerate() {
-                let turn = self.step + (number * ENGINES + position) as u64;
+                let poll_step = self.step + (number * ENGINES + position) as u64;
                 let lost = may_fail && self.random.random_bool(LOST_POLL_CHANCE);
-                if turn.is_multiple_of(LOAD_POLL_STEPS) && !lost {
+                if poll_step.is_multiple_of(LOAD_POLL_STEPS) && !lost {
                     router.poll_load(position, engine, now);
                 }
-                if turn.is_multiple_of(EVENT_POLL_STEPS) && !lost {
+                if poll_step.is_multiple_of(EVENT_POLL_STEPS) && !lost {
                     router.poll_events(position, engine, now);
                 }
             }
         }
     }
 
-    /// A prompt: every tenant uses the same words.
+    /// Block hashes of a prompt. All tenants use the same prompts.
     fn chain(&self, scope: &CacheScope, prefix: u64) -> Arc<[BlockHash]> {
         let seed = match self.planted {
-            Some(PlantedFault::TenantLeftOut) => {
+            Some(PlantedFault::TenantNotHashed) => {
                 CacheScope { tenant: self.tenants[0].clone(), ..scope.clone() }.seed()
             }
             _ => scope.seed(),
         };
         let mut previous = seed;
-        (0..PREFIX_BLOCKS + OWN_BLOCKS)
+        (0..PREFIX_BLOCKS + UNIQUE_BLOCKS)
             .map(|depth| {
                 let word = if depth < PREFIX_BLOCKS { prefix } else { self.requests + PREFIXES };
                 previous = previous.next(&word.to_be_bytes());
@@ -267,7 +271,7 @@
             .collect()
     }
 
-    fn request(&mut self) {
+    fn dispatch_request(&mut self) {
         let now = self.now();
         self.requests += 1;
         let tenant = self.tenants[self.random.random_range(0..2)].clone();
@@ -301,22 +305,22 @@
             return;
         };
         let engine = decision.engine.0 as usize;
-        let taken = self.engines[engine].submit(request, now);
-        match &taken {
+        let result = self.engines[engine].submit(request, now);
+        match &result {
             Ok(()) => {
                 self.in_flight.insert(id, number);
             }
             Err(_) => self.routers[number].finished(engine, id, now),
         }
-        let outcome = taken.map_or_else(|refusal| refusal.to_string(), |()| "taken".to_owned());
-        self.note(format_args!(
+        let outcome = result.map_or_else(|refusal| refusal.to_string(), |()| "taken".to_owned());
+        self.record_event(format_args!(
             "event=routed request={id} router={number} engine={engine} expected_blocks={} \
              outcome=\"{outcome}\"",
             decision.expected_blocks
         ));
     }
 
-    /// What the engines' witnesses counted, and what routers believe wrongly.
+    /// Violations counted by the engines' witnesses, and overestimated cache contents.
     pub(super) fn violations(&self) -> Vec<String> {
         let mut violations = Vec::new();
         for (position, engine) in self.engines.iter().enumerate() {
@@ -325,10 +329,11 @@
             }
         }
         for (number, router) in self.routers.iter().enumerate() {
-            let believed = |chain| router.believed_too_much(chain, &self.engines, self.now());
-            if let Some((engine, excess)) = self.chains.iter().find_map(|chain| believed(chain)) {
+            let overestimate = |chain| router.find_overestimate(chain, &self.engines, self.now());
+            if let Some((engine, excess)) = self.chains.iter().find_map(|chain| overestimate(chain))
+            {
                 violations.push(format!(
-                    "router {number}: {excess} blocks believed on {engine} are not there"
+                    "router {number} overestimates the cached prefix on {engine} by {excess} blocks"
                 ));
             }
         }
--- a/crates/lab/src/prove/decisions/mod.rs
+++ b/crates/lab/src/prove/decisions/mod.rs
@@ -1,11 +1,11 @@
-//! Areas `routing` and `drain`: the routers' decision code in front of engine
-//! models, in virtual time.
+//! Areas `routing` and `drain`: the routers' decision code with emulated engines,
+//! in virtual time.
 //!
-//! Two routers with an index and a table each route prompts of two tenants that
-//! share every word. Events are late and lost, polls fail, engines crash and
-//! come back empty, leave and are replaced, routers restart and know nothing.
-//! The engines' own witness counts what broke; at the end, when everything has
-//! settled, no router may believe more than is true.
+//! Two routers, each with a prefix index and an engine table, route identical prompts
+//! of two tenants. Events are delayed and lost, polls fail, engines crash, restart
+//! with an empty cache, depart and are replaced, and routers restart without state.
+//! The engines' witnesses count violations. At the end, after a phase without
+//! faults, no router may overestimate the cached prefix of an engine.
 
 mod fleet;
 mod router;
@@ -13,35 +13,35 @@
 use super::areas::{SeedOutcome, SeedRun};
 use fleet::Fleet;
 
-/// What a run concentrates on.
+/// Kind of engine failure in a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Focus {
-    /// Crashes, restarts and lost events.
+    /// Engines that crash.
     Routing,
-    /// Engines that leave while the platform's list lags.
+    /// Engines that depart while the platform's list lags.
     Drain,
 }
 
-/// A deliberate fault.
+/// Fault that is planted to check that the campaign detects it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlantedFault {
-    /// The tenant isn't part of the block hash.
-    TenantLeftOut,
-    /// A gap in an engine's events is passed over.
-    GapIgnored,
-    /// Nobody's word about leaving is taken.
-    DrainIgnored,
-    /// The engine's own word about leaving isn't taken.
-    OwnWordIgnored,
+    /// Block hashes don't depend on the tenant.
+    TenantNotHashed,
+    /// Gaps in an engine's events are ignored.
+    EventGapIgnored,
+    /// Departures are ignored, from any source.
+    DepartureIgnored,
+    /// Departures reported by the engine itself are ignored.
+    EngineReportIgnored,
 }
 
-/// The planted faults of area `routing`.
+/// Planted faults of area `routing`.
 pub const ROUTING_PLANTED: &[&str] = &["tenant-left-out-of-hash", "event-gap-ignored"];
 
-/// The planted faults of area `drain`.
+/// Planted faults of area `drain`.
 pub const DRAIN_PLANTED: &[&str] = &["drain-ignored", "own-word-ignored"];
 
-/// What both areas draw from the seed.
+/// Faults that both areas inject at random.
 pub const FAULTS: &[&str] = &[
     "engine-crash",
     "engine-leaves",
@@ -55,10 +55,10 @@
 impl PlantedFault {
     fn named(name: &str) -> Option<Self> {
         Some(match name {
-            "tenant-left-out-of-hash" => PlantedFault::TenantLeftOut,
-            "event-gap-ignored" => PlantedFault::GapIgnored,
-            "drain-ignored" => PlantedFault::DrainIgnored,
-            "own-word-ignored" => PlantedFault::OwnWordIgnored,
+            "tenant-left-out-of-hash" => PlantedFault::TenantNotHashed,
+            "event-gap-ignored" => PlantedFault::EventGapIgnored,
+            "drain-ignored" => PlantedFault::DepartureIgnored,
+            "own-word-ignored" => PlantedFault::EngineReportIgnored,
             _ => return None,
         })
     }
--- a/crates/lab/src/prove/decisions/router.rs
+++ b/crates/lab/src/prove/decisions/router.rs
@@ -1,4 +1,4 @@
-//! One router: its index, its table and what it reads of the engines.
+//! Simulated router with a prefix index, an engine table and polls of the engines.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 use super::PlantedFault;
 use crate::experiment::juniper::{engine_id, engine_load};
 
-/// Time within which a first token is due.
+/// Deadline for the first token, after dispatch.
 const FIRST_TOKEN_WITHIN: Duration = Duration::from_secs(10);
 
 pub(super) struct Router {
@@ -25,7 +25,7 @@
 }
 
 impl Router {
-    /// A router that knows the engines of the settings and nothing else.
+    /// Creates a router that knows the configured engines but not their state.
     pub(super) fn new(engines: usize, zone: &ZoneName, planted: Option<PlantedFault>) -> Self {
         let mut table = EngineTable::new(CostModel::default());
         for position in 0..engines {
@@ -35,7 +35,8 @@
         Router { table, index: PrefixIndex::new(), planted }
     }
 
-    /// Chooses an engine for `request` and completes the request for it.
+    /// Chooses an engine for `request` and sets the request's incarnation and
+    /// expected blocks.
     pub(super) fn route(
         &mut self,
         request: &mut EngineRequest,
@@ -44,7 +45,7 @@
         random: &mut ChaCha8Rng,
     ) -> Option<Decision> {
         let holders = self.index.lookup(&request.blocks, now);
-        let question = RouteRequest {
+        let route_request = RouteRequest {
             serving,
             blocks: &request.blocks,
             tokens: request.prompt_tokens,
@@ -54,8 +55,8 @@
             begun: false,
             weights: CostWeights { latency: 1.0, waste: 1.0 },
         };
-        let decision = decide(&self.table, &holders, &question, now, random).ok()?;
-        let missed_tokens = question.missed_tokens(decision.expected_blocks);
+        let decision = decide(&self.table, &holders, &route_request, now, random).ok()?;
+        let missed_tokens = route_request.missed_tokens(decision.expected_blocks);
         let work = DispatchedWork { prompt_tokens: request.prompt_tokens, missed_tokens };
         let id = dispatch_id(request.id);
         self.table.dispatched(decision.engine, id, work, now);
@@ -75,13 +76,13 @@
         self.table.finished(engine_id(engine), dispatch_id(id), now);
     }
 
-    pub(super) fn platform_says(&mut self, engine: usize, leaving: bool) {
-        if self.planted != Some(PlantedFault::DrainIgnored) {
-            self.table.set_leaving(engine_id(engine), LeavingSource::Platform, leaving);
+    pub(super) fn apply_platform_departure(&mut self, engine: usize, is_departing: bool) {
+        if self.planted != Some(PlantedFault::DepartureIgnored) {
+            self.table.set_leaving(engine_id(engine), LeavingSource::Platform, is_departing);
         }
     }
 
-    /// Reads the load of an engine, or finds that it doesn't answer.
+    /// Polls the load of an engine, or marks the engine as down.
     pub(super) fn poll_load(&mut self, position: usize, engine: &Engine, now: Timestamp) {
         let id = engine_id(position);
         let Some(report) = engine.load_report(now) else {
@@ -90,24 +91,28 @@
             return;
         };
         let mut load = engine_load(&report);
-        let own_word_ignored =
-            matches!(self.planted, Some(PlantedFault::DrainIgnored | PlantedFault::OwnWordIgnored));
-        load.leaving &= !own_word_ignored;
+        let engine_report_ignored = matches!(
+            self.planted,
+            Some(PlantedFault::DepartureIgnored | PlantedFault::EngineReportIgnored)
+        );
+        load.leaving &= !engine_report_ignored;
         self.table.report(id, &load, now);
-        // Four engines are far below the index's limit.
+        // The number of engines is far below the index's limit.
         let _ = self.index.start_incarnation(id, load.incarnation);
     }
 
-    /// Reads the cache events of an engine. The answer names the latest number,
-    /// so that a loss of the latest event is noticed as well.
+    /// Polls the cache events of an engine. The engine states its latest sequence
+    /// number, so that the loss of the latest event is detected as well.
     pub(super) fn poll_events(&mut self, position: usize, engine: &Engine, now: Timestamp) {
         if engine.is_down() {
             return;
         }
         let id = engine_id(position);
         let known = self.index.position(id);
-        let Some((_, after)) = known.filter(|(life, _)| *life == engine.incarnation()) else {
-            return self.take_snapshot(id, engine);
+        let Some((_, after)) =
+            known.filter(|(incarnation, _)| *incarnation == engine.incarnation())
+        else {
+            return self.load_snapshot(id, engine);
         };
         let mut events: Vec<CacheEvent> = engine
             .events()
@@ -119,27 +124,27 @@
                 removed: event.removed.clone(),
             })
             .collect();
-        if self.planted == Some(PlantedFault::GapIgnored) {
+        if self.planted == Some(PlantedFault::EventGapIgnored) {
             (after + 1..).zip(&mut events).for_each(|(number, event)| event.sequence = number);
         }
         let last = events.last().map_or(after, |event| event.sequence);
         let outcome = self.index.apply_events(id, engine.incarnation(), &events);
-        let gap = !matches!(outcome, Ok(EventOutcome::Applied));
-        let behind = last < engine.events().published(now);
-        if gap || (behind && self.planted != Some(PlantedFault::GapIgnored)) {
-            self.take_snapshot(id, engine);
+        let has_gap = !matches!(outcome, Ok(EventOutcome::Applied));
+        let is_behind = last < engine.events().published(now);
+        if has_gap || (is_behind && self.planted != Some(PlantedFault::EventGapIgnored)) {
+            self.load_snapshot(id, engine);
         }
     }
 
-    fn take_snapshot(&mut self, id: EngineId, engine: &Engine) {
+    fn load_snapshot(&mut self, id: EngineId, engine: &Engine) {
         let (sequence, blocks) = engine.snapshot();
         let snapshot = Snapshot { incarnation: engine.incarnation(), sequence, blocks };
         let _ = self.index.apply_snapshot(id, &snapshot);
     }
 
-    /// Leading blocks of `chain` that the router takes `engine` to hold, beyond
-    /// what it holds in truth.
-    pub(super) fn believed_too_much(
+    /// Finds an engine whose cached prefix of `chain` the router overestimates, with
+    /// the number of excess blocks.
+    pub(super) fn find_overestimate(
         &self,
         chain: &[BlockHash],
         engines: &[Engine],
@@ -147,12 +152,12 @@
     ) -> Option<(EngineId, u32)> {
         self.index.lookup(chain, now).into_iter().find_map(|holder| {
             let engine = engines.get(holder.engine.0 as usize)?;
-            let truth = if engine.is_down() || engine.incarnation() != holder.incarnation {
+            let cached = if engine.is_down() || engine.incarnation() != holder.incarnation {
                 0
             } else {
                 engine.cached_prefix(chain) as u32
             };
-            let excess = holder.blocks.saturating_sub(truth);
+            let excess = holder.blocks.saturating_sub(cached);
             (excess > 0).then_some((holder.engine, excess))
         })
     }
--- a/crates/lab/tests/prove.rs
+++ b/crates/lab/tests/prove.rs
@@ -1,14 +1,14 @@
-//! A fixed set of seeds of every area, and planted faults that must be found.
+//! Checks a fixed set of seeds of every area, and that planted faults are detected.
 
 use juniper_lab::prove::areas::{AREAS, Area, SeedRun};
 use juniper_lab::prove::campaign::{Campaign, run};
 
 const THREADS: usize = 4;
 
-/// Seeds of each area; a campaign of thousands is run by hand.
+/// Number of seeds per area; longer campaigns run by the command line.
 const SEEDS: u64 = 24;
 
-/// Most seeds that finding a planted fault may take.
+/// Maximum number of seeds until a planted fault is detected.
 const MAX_SEEDS_TO_FIND: u64 = 400;
 
 fn campaign(area: &Area, planted: Option<&'static str>) -> juniper_lab::prove::campaign::Summary {
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn the_fixed_seeds_of_every_area_show_no_violation() {
+fn fixed_seeds_of_every_area_have_no_violation() {
     for area in AREAS {
         let summary = campaign(area, None);
         assert_eq!(summary.runs, SEEDS);
@@ -29,52 +29,56 @@
 }
 
 #[test]
-fn every_planted_fault_is_found() {
+fn every_planted_fault_is_detected() {
     for area in AREAS {
-        assert!(area.planted.len() >= 2, "{} plants too little", area.name);
+        assert!(area.planted.len() >= 2, "{} has too few planted faults", area.name);
         for planted in area.planted {
             let summary = campaign(area, Some(planted));
-            assert!(!summary.failed.is_empty(), "{}: {planted} was not found", area.name);
+            assert!(
+                !summary.failed.is_empty(),
+                "{}: planted fault {planted} was not detected",
+                area.name
+            );
         }
     }
 }
 
 #[test]
-fn a_seed_gives_the_same_trace_again() {
+fn a_seed_reproduces_its_trace() {
     for area in AREAS {
         let run = |seed| (area.run)(SeedRun { seed, planted: None, traced: true });
         for seed in 1..4 {
             let (first, second) = (run(seed), run(seed));
-            assert!(first.trace.len() > 50, "{}: too short a trace", area.name);
+            assert!(first.trace.len() > 50, "{}: the trace is too short", area.name);
             assert_eq!(first, second, "{}", area.name);
         }
     }
 }
 
-/// Runs one seed of the area "claims" that once failed.
+/// Asserts that a seed of the area "claims" has no violation.
 fn assert_claims_seed_holds(seed: u64) {
     let claims = AREAS.iter().find(|area| area.name == "claims").expect("the area is listed");
     let one_seed = Campaign { first_seed: seed, seeds: 1, planted: None, stop_at_first: false };
     assert_eq!(run(claims, one_seed, 1).failed, []);
 }
 
-/// A voter's disk and, within 16 ms, the disk of the standby that takes its place
-/// are lost; the other two voters still have everything that was accepted.
+/// A voter and, within 16 ms, the standby that replaces the voter lose their disks.
+/// The other two voters hold all committed entries.
 #[test]
 fn a_voter_and_its_standby_lost_together_leave_a_quorum() {
     assert_claims_seed_holds(27_352);
 }
 
-/// A voter's disk is lost, and the disk of a standby that is about to replace
-/// another voter, to spread voters over zones.
+/// A voter loses its disk, and so does a standby that is about to replace another
+/// voter to spread the voters over zones.
 #[test]
-fn a_standby_that_replaces_another_voter_than_the_lost_one_leaves_a_quorum() {
+fn a_voter_and_the_standby_of_another_voter_lost_together_leave_a_quorum() {
     assert_claims_seed_holds(22_888);
 }
 
-/// A settlement is kept, its answer lost, the horizon passes the key, and the
-/// settlement is sent again.
+/// A settlement is applied but the answer is lost. The settlement is resent after the
+/// horizon has passed the key.
 #[test]
-fn a_settlement_sent_again_after_its_key_expired_is_not_told_that_it_never_held() {
+fn a_settlement_resent_after_key_expiry_is_not_answered_as_not_held() {
     assert_claims_seed_holds(6_594);
 }
