--- a/crates/cli/src/recover.rs
+++ b/crates/cli/src/recover.rs
@@ -160,7 +160,7 @@
         let found = inspected.iter().find(|folder| folder.report == *report);
         describe_folder(found.map(|folder| folder.path.as_path()), report)
     };
-    let given_up: Vec<Value> = plan.given_up.iter().map(folder).collect();
+    let given_up: Vec<Value> = plan.discarded.iter().map(folder).collect();
     // The plan omits replicas that never joined a cluster, so they are listed separately.
     let unjoined = inspected.iter().filter(|folder| folder.report.epoch == ClusterEpoch::NONE);
     let never_joined: Vec<Value> = unjoined.map(|inspected| folder(&inspected.report)).collect();
--- a/crates/lab/src/prove/decisions/router.rs
+++ b/crates/lab/src/prove/decisions/router.rs
@@ -56,8 +56,8 @@
             weights: CostWeights { latency: 1.0, waste: 1.0 },
         };
         let decision = decide(&self.table, &holders, &route_request, now, random).ok()?;
-        let missed_tokens = route_request.missed_tokens(decision.expected_blocks);
-        let work = DispatchedWork { prompt_tokens: request.prompt_tokens, missed_tokens };
+        let missed_tokens = route_request.prefill_tokens(decision.expected_blocks);
+        let work = DispatchedWork { prompt_tokens: request.prompt_tokens, prefill_tokens };
         let id = dispatch_id(request.id);
         self.table.record_dispatch(decision.engine, id, work, now);
         if let Some(incarnation) = decision.incarnation {
@@ -78,7 +78,7 @@
 
     pub(super) fn apply_platform_departure(&mut self, engine: usize, is_departing: bool) {
         if self.planted != Some(PlantedFault::DepartureIgnored) {
-            self.table.set_leaving(engine_id(engine), LeavingSource::Platform, is_departing);
+            self.table.set_leaving(engine_id(engine), DepartureSource::Platform, is_departing);
         }
     }
 
@@ -96,7 +96,7 @@
             Some(PlantedFault::DepartureIgnored | PlantedFault::EngineReportIgnored)
         );
         load.leaving &= !engine_report_ignored;
-        self.table.report(id, &load, now);
+        self.table.apply_load_report(id, &load, now);
         // The number of engines is far below the index's limit.
         let _ = self.index.start_incarnation(id, load.incarnation);
     }
@@ -130,7 +130,7 @@
         let last = events.last().map_or(after, |event| event.sequence);
         let outcome = self.index.apply_events(id, engine.incarnation(), &events);
         let has_gap = !matches!(outcome, Ok(EventOutcome::Applied));
-        let is_behind = last < engine.events().published(now);
+        let is_behind = last < engine.events().last_published(now);
         if has_gap || (is_behind && self.planted != Some(PlantedFault::EventGapIgnored)) {
             self.load_snapshot(id, engine);
         }
--- a/crates/router/src/subscription.rs
+++ b/crates/router/src/subscription.rs
@@ -110,7 +110,7 @@
     /// of the machine, so that its age is unknown.
     fn may_be_stale(&mut self) -> bool {
         let now = Instant::now();
-        if self.suspensions.look().is_some() {
+        if self.suspensions.check().is_some() {
             self.distrusted_until = Some(now + SOCKET_CATCH_UP_TIME);
         }
         self.distrusted_until.is_some_and(|until| now < until)
--- a/crates/simulation/src/world/injection.rs
+++ b/crates/simulation/src/world/injection.rs
@@ -266,7 +266,7 @@
             true => MembershipChange::Remove(id),
             false => MembershipChange::Demote(id),
         };
-        let result = process.replica_mut().propose_members(&change);
+        let result = process.replica_mut().propose_membership_change(&change);
         self.note(|| format!("operator: {change:?}: {result:?}"));
     }
 }
--- a/crates/simulation/tests/lost_quorum.rs
+++ b/crates/simulation/tests/lost_quorum.rs
@@ -129,7 +129,7 @@
     let survivors = [4, 5].map(|node| inspect(&mut cluster.disks[&node].clone()).unwrap());
     let recovery = plan(survivors.to_vec(), 99).unwrap();
     assert_eq!(recovery.chosen.id, replica_id(4, 4), "node 5 missed the last change");
-    assert_eq!(recovery.given_up[0].id, replica_id(5, 5));
+    assert_eq!(recovery.discarded[0].id, replica_id(5, 5));
     assert_eq!((recovery.missing_voters.len(), recovery.is_complete), (3, false));
     apply(cluster.disks[&4].clone(), &recovery).unwrap();
 
--- a/crates/simulation/tests/storage.rs
+++ b/crates/simulation/tests/storage.rs
@@ -31,7 +31,9 @@
 }
 
 /// Opens storage, with one retry after a disk error, as a restarted daemon does.
-fn open_with_retry(disk: &SimulatedDisk) -> Result<(Storage<SimulatedDisk>, Restored), OpenError> {
+fn open_with_retry(
+    disk: &SimulatedDisk,
+) -> Result<(Storage<SimulatedDisk>, RestoredState), OpenError> {
     match open(disk) {
         Err(OpenError::Disk(_)) => open(disk),
         opened => opened,
@@ -73,7 +75,7 @@
     last
 }
 
-fn assert_restored(restored: &Restored, acknowledged: Position, context: &str) {
+fn assert_restored(restored: &RestoredState, acknowledged: Position, context: &str) {
     assert!(
         restored.last() >= acknowledged,
         "{context}: acknowledged entry {acknowledged:?} is lost"
