--- a/crates/catalog/src/fault.rs
+++ b/crates/catalog/src/fault.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum CatalogFault {
     /// Route that refers to an undefined service.
-    #[error("route {route} refers to the undefined service {service:?}")]
+    #[error("route {route} names the unknown service {service:?}")]
     UnknownService {
         /// Name of the route.
         route: String,
@@ -16,7 +16,7 @@
         service: String,
     },
     /// Two routes with the same host and path prefix.
-    #[error("routes {first} and {second} have the same host and path prefix")]
+    #[error("routes {first} and {second} share host and path prefix")]
     DuplicateRoute {
         /// Name of the route that comes first.
         first: String,
@@ -30,13 +30,13 @@
         route: String,
     },
     /// Route with a timeout of zero.
-    #[error("the timeout of route {route} is 0")]
+    #[error("the time-out of route {route} is 0")]
     ZeroTimeout {
         /// Name of the route.
         route: String,
     },
     /// Two tenants with the same key.
-    #[error("tenants {first} and {second} have the same key")]
+    #[error("tenants {first} and {second} share a key")]
     SharedKey {
         /// Name of the tenant that comes first.
         first: String,
@@ -44,7 +44,7 @@
         second: String,
     },
     /// Tenant limit that is negative or not finite.
-    #[error("the {field} of tenant {tenant} is {value}; it must be a finite number of at least 0")]
+    #[error("the {field} of tenant {tenant} is {value}, which is no amount")]
     InvalidLimit {
         /// Name of the tenant.
         tenant: String,
@@ -54,7 +54,7 @@
         value: f64,
     },
     /// Two services with the same name.
-    #[error("service {service} is defined twice")]
+    #[error("service {service} stands twice")]
     DuplicateService {
         /// Name of the services.
         service: String,
--- a/crates/cli/src/recover.rs
+++ b/crates/cli/src/recover.rs
@@ -169,7 +169,7 @@
     json!({
         "applied": is_applied,
         "chosen": folder(&plan.chosen),
-        "given_up": discarded,
+        "given_up": given_up,
         "never_joined": never_joined,
         "missing_voters": missing_voters,
         "is_complete": plan.is_complete,
--- a/crates/lab/src/prove/decisions/router.rs
+++ b/crates/lab/src/prove/decisions/router.rs
@@ -56,7 +56,7 @@
             weights: CostWeights { latency: 1.0, waste: 1.0 },
         };
         let decision = decide(&self.table, &holders, &route_request, now, random).ok()?;
-        let missed_tokens = route_request.prefill_tokens(decision.expected_blocks);
+        let prefill_tokens = route_request.prefill_tokens(decision.expected_blocks);
         let work = DispatchedWork { prompt_tokens: request.prompt_tokens, prefill_tokens };
         let id = dispatch_id(request.id);
         self.table.record_dispatch(decision.engine, id, work, now);
--- a/crates/router/src/control_plane.rs
+++ b/crates/router/src/control_plane.rs
@@ -64,7 +64,7 @@
         let control = Arc::new(ControlClient::new(config, &traffic, reachability));
         let engines = Arc::new(Engines::new());
         let incarnation = Incarnation(rand::random());
-        let own = RouterIncarnation { node: config.node, incarnation: incarnation };
+        let own = RouterIncarnation { node: config.node, incarnation };
         let hub =
             Arc::new(SharingHub::new(own, config, Arc::clone(&engines), &traffic, reachability));
         let (peer_sender, peers) = watch::channel(PeerView::default());
--- a/crates/router/src/sharing/service.rs
+++ b/crates/router/src/sharing/service.rs
@@ -77,7 +77,7 @@
         }
         Request::Share { incarnation, updates } => Reply::Shared {
             engines_with_gaps: hub
-                .apply_peer_message(RouterIncarnation { node, incarnation: incarnation }, &updates),
+                .apply_peer_message(RouterIncarnation { node, incarnation }, &updates),
         },
         _ => Reply::Refused(Refusal::NotAllowed),
     }
