--- a/crates/cli/src/recover.rs
+++ b/crates/cli/src/recover.rs
@@ -163,7 +163,7 @@
     let given_up: Vec<Value> = plan.given_up.iter().map(folder).collect();
     // The plan omits replicas that never joined a cluster, so they are listed separately.
     let unjoined = inspected.iter().filter(|folder| folder.report.epoch == ClusterEpoch::NONE);
-    let never_joined: Vec<Value> = unjoined.map(|inspected| folder(&inspected.report)).collect();
+    let never_joined: Vec<Value> = unjoined.map(|entry| folder(&entry.report)).collect();
     let missing_voters: Vec<Value> = plan.missing_voters.iter().map(describe_replica).collect();
     let membership: Vec<Value> = plan.membership.members.iter().map(describe_member).collect();
     json!({
--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -1,7 +1,7 @@
 //! Monotonic clock that includes suspensions of the machine.
 //!
 //! [`std::time::Instant`] and the timers of the runtime don't advance during a suspension. Ages
-//! measured with them would be too short after a resume: a router would still accept a key that was
+//! taken from them would be too short after a resume: a router would still accept a key that was
 //! revoked meanwhile. Ages and expiries on which permissions depend use [`BootInstant`]
 //! (`CLOCK_BOOTTIME`).
 
