--- a/crates/lab/src/prove/configuration/router.rs
+++ b/crates/lab/src/prove/configuration/router.rs
@@ -25,7 +25,7 @@
     /// Whether the settings in force are persisted across restarts.
     has_disk: bool,
     persisted: Option<(Revision, SettingsTree)>,
-    in_force: InForce,
+    in_force: SettingsInForce,
     /// Lowest revision that may be put in force since the last restart, once known.
     floor: Option<Revision>,
     /// Number of the latest poll; answers to earlier polls are ignored.
@@ -41,7 +41,7 @@
             planted,
             has_disk: client.is_multiple_of(3),
             persisted: None,
-            in_force: InForce::default(),
+            in_force: SettingsInForce::default(),
             floor: None,
             poll_number: 0,
             applied: AppliedRevisions::new(),
@@ -82,8 +82,8 @@
 
     fn restart(&mut self, bench: &mut Bench) {
         self.in_force = match &self.persisted {
-            Some((revision, tree)) => InForce::new(*revision, tree.clone()),
-            None => InForce::default(),
+            Some((revision, tree)) => SettingsInForce::new(*revision, tree.clone()),
+            None => SettingsInForce::default(),
         };
         self.floor = self.persisted.as_ref().map(|(revision, _)| *revision);
         if self.planted == Some(Planted::FloorSkipped) {
@@ -106,7 +106,7 @@
         for push in self.pushes(&state) {
             let next = match self.planted {
                 Some(Planted::StaleRevisionApplied) => accept_any(push),
-                _ => self.in_force.after(push).unwrap_or_default(),
+                _ => self.in_force.after_push(push).unwrap_or_default(),
             };
             if let Some(next) = next.filter(|next| next.revision >= floor) {
                 self.put_in_force(bench, next);
@@ -146,7 +146,7 @@
 }
 
 /// Planted fault: accepts any snapshot, also an older one.
-fn accept_any(push: Push) -> Option<InForce> {
+fn accept_any(push: Push) -> Option<SettingsInForce> {
     match push {
         Push::Snapshot { revision, tree } => Some(SettingsInForce::new(revision, tree)),
         _ => None,
