--- a/tests/control_fleet.rs
+++ b/tests/control_fleet.rs
@@ -1,5 +1,5 @@
-//! Three control replicas as processes: accepted changes survive crashes, frozen
-//! leaders and lost disks.
+//! Control replicas as processes: accepted changes survive crashes, frozen leaders
+//! and lost disks.
 
 #[path = "support/replicas.rs"]
 mod replicas;
@@ -12,7 +12,8 @@
 use replicas::{Fleet, put_zone};
 use serde_json::{Value, json};
 
-/// Writes `count` changes through the replicas in turn and returns them.
+/// Writes `count` changes from revision `first` on, through the given replicas in turn;
+/// returns the changes.
 async fn write_changes(fleet: &Fleet, through: &[usize], first: u64, count: u64) -> Vec<Value> {
     let mut changes = Vec::new();
     for number in first..first + count {
@@ -25,8 +26,8 @@
     changes
 }
 
-/// Sends every change again: each gets its first answer.
-async fn resend(fleet: &Fleet, at: usize, changes: &[Value]) {
+/// Retries every change and checks that each gets its original answer.
+async fn resend_changes(fleet: &Fleet, at: usize, changes: &[Value]) {
     for (change, revision) in changes.iter().zip(1..) {
         let (status, body) = fleet.write(at, change).await;
         assert_eq!((status, body["revision"].as_u64()), (200, Some(revision)), "{body}");
@@ -34,14 +35,14 @@
 }
 
 #[tokio::test]
-async fn accepted_changes_survive_the_death_of_the_leader_and_of_everyone() {
+async fn accepted_changes_survive_a_crash_of_the_leader_and_of_all_replicas() {
     let mut fleet = Fleet::start(3).await;
     let mut changes = write_changes(&fleet, &[0, 1, 2], 1, 6).await;
     let leader = fleet.leader().await;
     let others = fleet.others(leader);
     fleet.replicas[leader].kill();
     changes.extend(write_changes(&fleet, &others, 7, 6).await);
-    resend(&fleet, others[0], &changes).await;
+    resend_changes(&fleet, others[0], &changes).await;
 
     fleet.replicas[leader].start();
     assert_eq!(fleet.confirmed_revision(leader).await, 12);
@@ -51,13 +52,18 @@
     for at in 0..3 {
         assert_eq!(fleet.confirmed_revision(at).await, 12);
     }
-    resend(&fleet, 0, &changes).await;
+    resend_changes(&fleet, 0, &changes).await;
     let (status, history) = fleet.get(1, "/v1/settings/history").await.expect("a history");
     assert_eq!((status, history["changes"].as_array().map(Vec::len)), (200, Some(12)));
 }
 
-/// Writes one change after another until told to stop.
-async fn load(fleet: &Fleet, through: &[usize], accepted: &AtomicU64, stop: &AtomicBool) {
+/// Writes changes one after another until `stop` is set; `accepted` holds the latest revision.
+async fn write_until_stopped(
+    fleet: &Fleet,
+    through: &[usize],
+    accepted: &AtomicU64,
+    stop: &AtomicBool,
+) {
     while !stop.load(Ordering::SeqCst) {
         let next = accepted.load(Ordering::SeqCst) + 1;
         write_changes(fleet, through, next, 1).await;
@@ -65,7 +71,7 @@
     }
 }
 
-/// Reads through the replica that was frozen while the load goes on.
+/// Checks that reads through the resumed replica `frozen` include all accepted changes.
 async fn read_after_freeze(fleet: &Fleet, frozen: usize, accepted: &AtomicU64) {
     for _ in 0..40 {
         let known = accepted.load(Ordering::SeqCst);
@@ -77,7 +83,7 @@
 }
 
 #[tokio::test]
-async fn a_frozen_leader_neither_accepts_nor_confirms_anything_stale() {
+async fn a_resumed_leader_accepts_no_stale_write_and_serves_no_stale_read() {
     let fleet = Fleet::start(3).await;
     write_changes(&fleet, &[0, 1, 2], 1, 3).await;
     let frozen = fleet.leader().await;
@@ -85,12 +91,12 @@
     let (accepted, stop) = (AtomicU64::new(3), AtomicBool::new(false));
     let observe = async {
         fleet.replicas[frozen].freeze();
-        replicas::eventually("writes go on without the frozen leader", async || {
+        replicas::eventually("writes are accepted without the frozen leader", async || {
             (accepted.load(Ordering::SeqCst) >= 12).then_some(())
         })
         .await;
-        // A write upon what the frozen replica believes to be the latest revision,
-        // sent before the replica can learn anything.
+        // A write based on the latest revision that the frozen replica knows, sent before
+        // the replica resumes.
         let stale = put_zone("portland", 1, 3, "stale");
         let (stale, ()) = tokio::join!(fleet.post(frozen, "/v1/settings/changes", &stale), async {
             tokio::time::sleep(std::time::Duration::from_millis(100)).await;
@@ -102,13 +108,13 @@
         }
         stop.store(true, Ordering::SeqCst);
     };
-    tokio::join!(load(&fleet, &others, &accepted, &stop), observe);
+    tokio::join!(write_until_stopped(&fleet, &others, &accepted, &stop), observe);
     let last = accepted.load(Ordering::SeqCst);
     assert_eq!(fleet.confirmed_revision(frozen).await, last);
 }
 
 #[tokio::test]
-async fn of_two_writers_at_the_same_revision_exactly_one_wins() {
+async fn of_two_writes_at_the_same_revision_exactly_one_is_accepted() {
     let fleet = Fleet::start(3).await;
     for round in 0..15 {
         let first = put_zone("hartford", round % 9, round, &format!("first-{round}"));
@@ -124,7 +130,7 @@
 }
 
 #[tokio::test]
-async fn a_replica_that_lost_its_disk_returns_as_a_new_one_and_votes() {
+async fn a_replica_with_a_lost_disk_rejoins_with_a_new_disk_and_votes() {
     let mut fleet = Fleet::start(3).await;
     let changes = write_changes(&fleet, &[0, 1, 2], 1, 5).await;
     let leader = fleet.leader().await;
@@ -133,21 +139,21 @@
     fleet.replicas[lost].kill();
     fleet.replicas[lost].lose_disk();
     fleet.replicas[lost].start();
-    replicas::eventually("the new disk votes", async || {
+    replicas::eventually("the replica follows with a new disk", async || {
         let (_, status) = fleet.get(lost, "/v1/status").await?;
         (status["role"] == "follower" && status["disk"] != disk).then_some(())
     })
     .await;
-    fleet.all_vote().await;
-    // Now a second machine: the repaired one and the third are a quorum.
+    fleet.wait_until_all_vote().await;
+    // The leader and the rejoined replica form a quorum.
     let other = fleet.others(lost).into_iter().find(|at| *at != leader).expect("a third");
     fleet.replicas[other].kill();
-    resend(&fleet, lost, &changes).await;
+    resend_changes(&fleet, lost, &changes).await;
     assert_eq!(fleet.confirmed_revision(lost).await, 5);
 }
 
 #[tokio::test]
-async fn a_full_disk_ends_the_replica_and_loses_nothing_that_was_accepted() {
+async fn a_full_disk_stops_the_replica_and_loses_no_accepted_change() {
     let mut fleet = Fleet::start(1).await;
     let changes = write_changes(&fleet, &[0], 1, 3).await;
     fleet.replicas[0].kill();
@@ -162,21 +168,23 @@
             Some((200, _)) => accepted += 1,
             answer => {
                 let known = answer.is_none_or(|(_, body)| body["error"]["not_run"] != true);
-                assert!(known, "a change that may be on the disk is called not run");
+                assert!(known, "a change that may be on disk was reported as not_run");
                 break;
             }
         }
     }
-    replicas::eventually("the replica ends", async || fleet.replicas[0].has_failed().then_some(()))
-        .await;
+    replicas::eventually("the replica exits with an error", async || {
+        fleet.replicas[0].has_failed().then_some(())
+    })
+    .await;
     let log = fleet.replicas[0].log();
     assert!(log.contains("event=replica_failed reason=\"storage failed: write"), "{log}");
     fleet.replicas[0].kill();
     fleet.replicas[0].start();
     let revision = fleet.confirmed_revision(0).await;
-    // The write that failed may have reached the disk all the same.
+    // The failed write may have reached the disk.
     assert!(revision == accepted || revision == accepted + 1, "{revision} after {accepted}");
-    resend(&fleet, 0, &changes).await;
+    resend_changes(&fleet, 0, &changes).await;
 }
 
 #[tokio::test]
@@ -216,16 +224,16 @@
     assert_eq!(fleet.command(&["tree", "diff", "1"]).0, Some(2));
 }
 
-/// What can go wrong with one replica while the others work.
+/// Fault of one replica while the others run.
 #[derive(Clone, Copy, Debug)]
-enum Mishap {
+enum Fault {
     Crash,
     Freeze,
     LostDisk,
 }
 
-/// Mishaps with the replica that each befalls, drawn from a fixed seed.
-fn mishaps(seed: u64, count: usize) -> Vec<(Mishap, usize)> {
+/// Draws `count` faults from `seed`, each with the index of the affected replica.
+fn draw_faults(seed: u64, count: usize) -> Vec<(Fault, usize)> {
     let mut state = seed;
     let mut draw = |below: u64| {
         // Constants of Knuth's MMIX generator.
@@ -233,40 +241,41 @@
             state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (state >> 33) % below
     };
-    let kinds = [Mishap::Crash, Mishap::Crash, Mishap::Freeze, Mishap::Freeze, Mishap::LostDisk];
+    let kinds = [Fault::Crash, Fault::Crash, Fault::Freeze, Fault::Freeze, Fault::LostDisk];
     let next = |_| (kinds[draw(5) as usize], draw(3) as usize);
     (0..count).map(next).collect()
 }
 
-async fn befall(fleet: &mut Fleet, mishap: Mishap, at: usize, writes: u64, next: u64) -> u64 {
+/// Writes changes while replica `at` has the fault and again through it afterwards; returns
+/// the next free revision.
+async fn inject_fault(fleet: &mut Fleet, fault: Fault, at: usize, writes: u64, next: u64) -> u64 {
     let others = fleet.others(at);
-    match mishap {
-        Mishap::Crash | Mishap::LostDisk => fleet.replicas[at].kill(),
-        Mishap::Freeze => fleet.replicas[at].freeze(),
+    match fault {
+        Fault::Crash | Fault::LostDisk => fleet.replicas[at].kill(),
+        Fault::Freeze => fleet.replicas[at].freeze(),
     }
     write_changes(fleet, &others, next, writes).await;
-    match mishap {
-        Mishap::Crash => fleet.replicas[at].start(),
-        Mishap::Freeze => fleet.replicas[at].resume(),
-        Mishap::LostDisk => {
+    match fault {
+        Fault::Crash => fleet.replicas[at].start(),
+        Fault::Freeze => fleet.replicas[at].resume(),
+        Fault::LostDisk => {
             fleet.replicas[at].lose_disk();
             fleet.replicas[at].start();
         }
     }
-    // Through the one that is just back as well.
     write_changes(fleet, &[at], next + writes, writes).await;
     next + 2 * writes
 }
 
 #[tokio::test]
-async fn no_accepted_change_is_lost_in_a_row_of_mishaps() {
-    const WRITES: u64 = 4;
+async fn no_accepted_change_is_lost_in_a_series_of_faults() {
+    const WRITES_PER_STEP: u64 = 4;
     let mut fleet = Fleet::start(3).await;
     let mut next = 1;
-    for (mishap, at) in mishaps(0x5707, 12) {
-        eprintln!("{mishap:?} of replica {at} at revision {next}");
-        next = befall(&mut fleet, mishap, at, WRITES, next).await;
-        fleet.all_vote().await;
+    for (fault, at) in draw_faults(0x5707, 12) {
+        eprintln!("{fault:?} of replica {at} at revision {next}");
+        next = inject_fault(&mut fleet, fault, at, WRITES_PER_STEP, next).await;
+        fleet.wait_until_all_vote().await;
     }
     for at in 0..3 {
         assert_eq!(fleet.confirmed_revision(at).await, next - 1);
--- a/tests/example_files.rs
+++ b/tests/example_files.rs
@@ -1,4 +1,4 @@
-//! The example files of both fleets are sound, and a fault in them is reported.
+//! The example files of both fleets pass `check`, which reports faults in a tree.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -8,12 +8,12 @@
 const FLEETS: [(&str, usize, &str); 2] =
     [("granite-ledger", 18, "application"), ("pryderi", 12, "preview")];
 
-fn folder(fleet: &str) -> PathBuf {
+fn fleet_folder(fleet: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("examples").join(fleet)
 }
 
-fn files(fleet: &str) -> Vec<PathBuf> {
-    let entries = std::fs::read_dir(folder(fleet)).expect("the example folder");
+fn fleet_files(fleet: &str) -> Vec<PathBuf> {
+    let entries = std::fs::read_dir(fleet_folder(fleet)).expect("the example folder");
     entries.map(|entry| entry.expect("an entry").path()).collect()
 }
 
@@ -32,7 +32,7 @@
     let key_file = folder.path().join("cluster-key");
     std::fs::write(&key_file, "a cluster key for the check\n").expect("a key file");
     for (fleet, _, _) in FLEETS {
-        let files = files(fleet);
+        let files = fleet_files(fleet);
         assert_eq!(files.len(), 7, "three control replicas, three routers and a tree");
         for file in files {
             let output = check(&file, &key_file);
@@ -45,7 +45,7 @@
 #[test]
 fn the_example_trees_describe_the_fleets() {
     for (fleet, engines, server) in FLEETS {
-        let text = std::fs::read_to_string(folder(fleet).join("tree.json")).expect("a tree");
+        let text = std::fs::read_to_string(fleet_folder(fleet).join("tree.json")).expect("a tree");
         let tree: Value = serde_json::from_str(&text).expect("JSON");
         let edits = tree["edits"].as_array().expect("edits");
         let back_ends = edits.iter().filter_map(|edit| edit["node"]["back_ends"].as_array());
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn every_fault_of_a_tree_is_reported_at_once() {
+fn all_faults_of_a_tree_are_reported_together() {
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("tree.json");
     let zone = json!({ "overrides": { "priority": 12, "burst": 0 } });
@@ -82,5 +82,5 @@
 
     let later = json!({ "base_revision": 3, "change_id": "later", "edits": [] });
     std::fs::write(&file, later.to_string()).expect("a file");
-    assert_eq!(check(&file, &file).status.code(), Some(1), "the tree it builds on is missing");
+    assert_eq!(check(&file, &file).status.code(), Some(1), "check passed without the base tree");
 }
--- a/tests/lab_commands.rs
+++ b/tests/lab_commands.rs
@@ -1,4 +1,4 @@
-//! The lab's commands as a person runs them: exit codes, traces, replay.
+//! Command line of the lab: exit codes, traces, replay and soaks.
 
 mod support {
     pub mod fleets;
@@ -7,15 +7,15 @@
 use std::process::{Command, Output};
 
 use serde_json::Value;
-use support::fleets::{Setup, start};
+use support::fleets::{Setup, start_fleet};
 
-fn lab(arguments: &[&str]) -> Output {
+fn run_lab(arguments: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_juniper-lab"));
     command.args(arguments).output().expect("the lab runs")
 }
 
 #[test]
-fn faulty_command_lines_end_with_2_and_faulty_traces_with_1() {
+fn invalid_arguments_exit_with_2_and_invalid_traces_with_1() {
     let usage: [&[&str]; 6] = [
         &["no-such-command"],
         &["load"],
@@ -25,25 +25,25 @@
         &["replay", "--router", "127.0.0.1:1"],
     ];
     for arguments in usage {
-        assert_eq!(lab(arguments).status.code(), Some(2), "{arguments:?}");
+        assert_eq!(run_lab(arguments).status.code(), Some(2), "{arguments:?}");
     }
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("damaged.trace");
     std::fs::write(&path, "{}\n").expect("written");
-    let checked = lab(&["trace", "check", path.to_str().expect("text")]);
+    let checked = run_lab(&["trace", "check", path.to_str().expect("text")]);
     assert_eq!(checked.status.code(), Some(1));
     assert!(String::from_utf8_lossy(&checked.stderr).contains("line 1"));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_recorded_trace_is_replayed_against_a_fleet() {
-    let test = start(Setup::default()).await;
+    let test = start_fleet(Setup::default()).await;
     let path = test.fleet.folder().join("short.trace");
     let path = path.to_str().expect("text");
     let generated =
-        lab(&["trace", "generate", "--load", "0.1", "--seconds", "4", "--output", path]);
+        run_lab(&["trace", "generate", "--load", "0.1", "--seconds", "4", "--output", path]);
     assert!(generated.status.success());
-    let summary = lab(&["trace", "check", path]);
+    let summary = run_lab(&["trace", "check", path]);
     let summary: Value = serde_json::from_slice(&summary.stdout).expect("JSON");
 
     let mut arguments = vec!["replay".to_owned(), path.to_owned()];
@@ -56,18 +56,17 @@
         arguments.extend(["--journal".to_owned(), journal.display().to_string()]);
     }
     let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
-    let replayed = lab(&arguments);
+    let replayed = run_lab(&arguments);
     let report: Value = serde_json::from_slice(&replayed.stdout).expect("JSON");
     assert_eq!(replayed.status.code(), Some(0), "{report:#}");
     assert_eq!(report["requests"], summary["requests"]);
     assert_eq!(report["complete"], report["requests"], "{report:#}");
 }
 
-/// Faults of several parts of the fleet together, drawn from seeds.
 #[test]
-fn short_soaks_break_no_promise() {
+fn short_soaks_report_no_violation() {
     for seed in ["3", "4"] {
-        let soak = lab(&["soak", "--seed", seed, "--seconds", "12"]);
+        let soak = run_lab(&["soak", "--seed", seed, "--seconds", "12"]);
         let report: Value = serde_json::from_slice(&soak.stdout).expect("JSON");
         assert_eq!(soak.status.code(), Some(0), "seed {seed}: {report:#}");
         assert_eq!(report["violations"], 0);
--- a/tests/support/fleets.rs
+++ b/tests/support/fleets.rs
@@ -1,4 +1,4 @@
-//! Starts fleets through the lab, two at a time.
+//! Starts fleets through the lab, at most two at a time.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -8,15 +8,15 @@
 use tempfile::TempDir;
 use tokio::sync::{Semaphore, SemaphorePermit};
 
-/// Fleets at once: each has some fifteen processes.
-static FLEETS: Semaphore = Semaphore::const_new(2);
+/// Limits the fleets that run at once: each has about fifteen processes.
+static FLEET_PERMITS: Semaphore = Semaphore::const_new(2);
 
 pub const PROFILE: TraceProfile = TraceProfile::GraniteLedger;
 
 pub const SIZES: FleetSizes =
     FleetSizes { control: 1, routers: 3, engines: 6, applications: 3, previews: 3 };
 
-/// A fleet that is stopped, and its folder removed, when dropped.
+/// A fleet that stops and removes its folder on drop.
 pub struct TestFleet {
     pub fleet: Fleet,
     _folder: TempDir,
@@ -35,8 +35,8 @@
     }
 }
 
-pub async fn start(setup: Setup) -> TestFleet {
-    let permit = FLEETS.acquire().await.expect("never closed");
+pub async fn start_fleet(setup: Setup) -> TestFleet {
+    let permit = FLEET_PERMITS.acquire().await.expect("the semaphore is never closed");
     let folder = tempfile::tempdir().expect("a folder");
     let fleet = Fleet::start(FleetOptions {
         binaries: Binaries {
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -36,7 +36,7 @@
     String::from_utf8(output.stdout).expect("text").trim().to_owned()
 }
 
-/// An emulated engine and its address.
+/// Starts an emulated engine and returns its address.
 pub fn start_engine(extra: &[&str]) -> (Process, SocketAddr) {
     let mut child = Command::new(env!("CARGO_BIN_EXE_juniper-lab"))
         .args(["emulate", "engine", "--listen", "127.0.0.1:0"])
@@ -51,7 +51,7 @@
     (process, address)
 }
 
-/// Addresses of one daemon.
+/// Listener addresses of one daemon.
 #[derive(Clone, Copy, Debug)]
 pub struct Addresses {
     pub internal: SocketAddr,
@@ -69,7 +69,7 @@
     }
 }
 
-fn common(node: u64, folder: &Path) -> String {
+fn common_settings(node: u64, folder: &Path) -> String {
     format!(
         "node = {node}\nzone = \"hartford\"\ndata_folder = \"{}\"\n\
          cluster_key = \"a-shared-cluster-key\"\noperator_key_hashes = [\"{}\"]\n",
@@ -97,19 +97,19 @@
 pub fn control_file(folder: &Path, addresses: Addresses) -> PathBuf {
     let text = format!(
         "{}[control]\ninternal = \"{}\"\noperator = \"{}\"\n",
-        common(1, &folder.join("control")),
+        common_settings(1, &folder.join("control")),
         addresses.internal,
         addresses.operator
     );
     write(&folder.join("control.toml"), &text)
 }
 
-/// Node file of a router that knows one control replica.
+/// Node file of a router with one control replica.
 pub fn router_file(folder: &Path, node: u64, own: Addresses, control: Addresses) -> PathBuf {
     let text = format!(
         "{}[router]\ncaller = \"{}\"\noperator = \"{}\"\ninternal = \"{}\"\n\
          [[router.control]]\nid = 1\nzone = \"hartford\"\naddress = \"{}\"\n",
-        common(node, &folder.join(format!("router-{node}"))),
+        common_settings(node, &folder.join(format!("router-{node}"))),
         own.caller,
         own.operator,
         own.internal,
@@ -145,8 +145,8 @@
     })
 }
 
-/// Submits a change once the control replica serves.
-pub async fn apply(http: &reqwest::Client, control: Addresses, change: &Value) -> Value {
+/// Submits a change as soon as the control replica answers.
+pub async fn apply_change(http: &reqwest::Client, control: Addresses, change: &Value) -> Value {
     let url = format!("http://{}/v1/settings/changes", control.operator);
     eventually("the change is answered", async || {
         let request = http.post(&url).bearer_auth(OPERATOR_KEY).json(change);
@@ -158,7 +158,7 @@
 }
 
 /// Waits until the router is ready.
-pub async fn ready(http: &reqwest::Client, router: Addresses) {
+pub async fn wait_until_ready(http: &reqwest::Client, router: Addresses) {
     let url = format!("http://{}/readyz", router.operator);
     eventually("the router is ready", async || {
         http.get(&url).send().await.ok()?.status().is_success().then_some(())
@@ -174,7 +174,7 @@
     _folder: tempfile::TempDir,
 }
 
-/// Starts the processes with the first change as `edit` leaves it.
+/// Starts the processes and applies the first change, modified by `edit`.
 pub async fn start_small_fleet(edit: impl FnOnce(&mut Value)) -> SmallFleet {
     let folder = tempfile::tempdir().expect("a folder");
     let (engine, engine_address) = start_engine(&[]);
@@ -184,8 +184,8 @@
     let http = reqwest::Client::new();
     let mut change = first_change(&[engine_address]);
     edit(&mut change);
-    apply(&http, control, &change).await;
-    ready(&http, own).await;
+    apply_change(&http, control, &change).await;
+    wait_until_ready(&http, own).await;
     let chat_url = format!("http://{}/v1/chat/completions", own.caller);
     SmallFleet { http, chat_url, _processes: [engine, replica, router], _folder: folder }
 }
--- a/tests/support/replicas.rs
+++ b/tests/support/replicas.rs
@@ -1,4 +1,4 @@
-//! Control replicas as processes, which tests kill, freeze and start again.
+//! Control replicas as processes that tests kill, freeze and restart.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -15,7 +15,7 @@
 
 const OPERATOR_KEY: &str = "operator-secret-for-tests";
 
-/// Longest wait for one answer.
+/// Timeout for one answer of a replica.
 const CALL_TIMEOUT: Duration = Duration::from_secs(15);
 
 pub struct Replica {
@@ -32,18 +32,18 @@
     }
 
     pub fn start(&mut self) {
-        self.start_by(Command::new(env!("CARGO_BIN_EXE_juniperhollow")));
+        self.spawn(Command::new(env!("CARGO_BIN_EXE_juniperhollow")));
     }
 
-    /// Starts it so that no file can grow beyond `kib`: writes fail as on a full disk.
+    /// Starts the process with a limit of `kib` KiB per file, so that writes fail as on a full disk.
     pub fn start_with_file_limit(&mut self, kib: u32) {
         let script = format!("trap '' XFSZ; ulimit -f {kib}; exec \"$0\" \"$@\"");
         let mut shell = Command::new("bash");
         shell.args(["-c", &script, env!("CARGO_BIN_EXE_juniperhollow")]);
-        self.start_by(shell);
+        self.spawn(shell);
     }
 
-    fn start_by(&mut self, mut command: Command) {
+    fn spawn(&mut self, mut command: Command) {
         let mut options = std::fs::File::options();
         let log = options.create(true).append(true).open(self.folder.join("log"));
         command.args(["control", "--settings"]).arg(self.file());
@@ -51,7 +51,7 @@
         self.process = Some(command.spawn().expect("the daemon starts"));
     }
 
-    /// Whether the process has ended by itself, and badly.
+    /// Whether the process has exited with an error.
     pub fn has_failed(&mut self) -> bool {
         let child = self.process.as_mut().expect("the replica was started");
         child.try_wait().expect("the process is known").is_some_and(|status| !status.success())
@@ -61,10 +61,10 @@
         std::fs::read_to_string(self.folder.join("log")).unwrap_or_default()
     }
 
-    /// Kills the process at once, as a crash would.
+    /// Kills the process without a shutdown.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.process.take() {
-            // It may have ended by itself.
+            // The process may have exited already.
             let _ = child.kill();
             child.wait().expect("the process is gone");
         }
@@ -88,7 +88,7 @@
         self.folder.join("data")
     }
 
-    /// Takes the disk away: the folder is blank again.
+    /// Removes the data folder.
     pub fn lose_disk(&self) {
         std::fs::remove_dir_all(self.data_folder()).expect("the data folder is removed");
     }
@@ -159,17 +159,17 @@
         let all: Vec<_> = replicas.iter().map(|replica| (replica.node, replica.internal)).collect();
         let hash = key_hash();
         replicas.iter().for_each(|replica| write_file(replica, &all, &hash));
-        found(&replicas[0].file());
+        found_cluster(&replicas[0].file());
         replicas.iter_mut().for_each(Replica::start);
         let http = reqwest::Client::builder().no_proxy().timeout(CALL_TIMEOUT);
         let http = http.build().expect("a client");
         let fleet = Fleet { replicas, http, folder };
-        fleet.all_vote().await;
+        fleet.wait_until_all_vote().await;
         fleet
     }
 
-    /// Waits until the leader counts every replica as a voter.
-    pub async fn all_vote(&self) {
+    /// Waits until the leader reports every replica as a voter.
+    pub async fn wait_until_all_vote(&self) {
         let wanted = self.replicas.len();
         eventually("every replica votes", async || {
             let leader = self.leader_now().await?;
@@ -191,12 +191,12 @@
         None
     }
 
-    /// Position of the replica that leads.
+    /// Waits for a leader and returns its index.
     pub async fn leader(&self) -> usize {
         eventually("a replica leads", async || self.leader_now().await).await
     }
 
-    /// Positions of the others.
+    /// Indexes of all replicas except `than`.
     pub fn others(&self, than: usize) -> Vec<usize> {
         (0..self.replicas.len()).filter(|at| *at != than).collect()
     }
@@ -217,8 +217,8 @@
         Some((status, response.json().await.ok()?))
     }
 
-    /// Runs an operator command against the replicas in turn; the first address
-    /// is one that nobody listens on. Returns its exit code and its JSON output.
+    /// Runs an operator command with an unused address before those of the replicas.
+    /// Returns its exit code and JSON output.
     pub fn command(&self, words: &[&str]) -> (Option<i32>, Value) {
         let key_file = self.folder.path().join("operator-key");
         std::fs::write(&key_file, OPERATOR_KEY).expect("the key is written");
@@ -237,7 +237,7 @@
         (output.status.code(), json)
     }
 
-    /// A file with a change, for commands.
+    /// Writes a change to a file and returns its path, for commands.
     pub fn change_file(&self, change: &Value) -> String {
         let id = change["change_id"].as_str().expect("a change id");
         let path = self.folder.path().join(format!("{id}.json"));
@@ -245,7 +245,7 @@
         path.display().to_string()
     }
 
-    /// Writes through one replica until there is a verdict.
+    /// Sends a change to one replica, with retries, until it is accepted or rejected.
     pub async fn write(&self, at: usize, change: &Value) -> (u16, Value) {
         eventually("a write has a verdict", async || {
             let (status, body) = self.post(at, "/v1/settings/changes", change).await?;
@@ -254,7 +254,7 @@
         .await
     }
 
-    /// The revision in force, as a quorum confirms it through one replica.
+    /// Current revision, from a quorum-confirmed read through one replica.
     pub async fn confirmed_revision(&self, at: usize) -> u64 {
         eventually("a confirmed read is answered", async || {
             let (status, body) = self.get(at, "/v1/settings").await?;
@@ -264,7 +264,7 @@
     }
 }
 
-fn found(file: &Path) {
+fn found_cluster(file: &Path) {
     let status = Command::new(env!("CARGO_BIN_EXE_juniperhollow"))
         .args(["found", "--settings"])
         .arg(file)
@@ -274,7 +274,7 @@
     assert!(status.success(), "the cluster is founded");
 }
 
-/// A change that puts a zone, upon `base`.
+/// A change that puts a zone, based on revision `base`.
 pub fn put_zone(zone: &str, priority: u64, base: u64, change_id: &str) -> Value {
     json!({
         "base_revision": base,
--- a/tests/support/waiting.rs
+++ b/tests/support/waiting.rs
@@ -1,25 +1,25 @@
-//! Waiting for something that takes its time.
+//! Polls a condition until it holds or a timeout passes.
 
 use std::time::Duration;
 
 use tokio::time::{Instant, sleep};
 
-/// Longest wait.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+/// Timeout of `eventually`.
+pub const TIMEOUT: Duration = Duration::from_secs(60);
 
-const INTERVAL: Duration = Duration::from_millis(30);
+const POLL_INTERVAL: Duration = Duration::from_millis(30);
 
-/// Waits until `check` holds.
+/// Polls `check` until it returns a value; panics after `TIMEOUT`.
 pub async fn eventually<F, T>(what: &str, mut check: F) -> T
 where
     F: AsyncFnMut() -> Option<T>,
 {
     let start = Instant::now();
-    while start.elapsed() < PATIENCE {
+    while start.elapsed() < TIMEOUT {
         if let Some(value) = check().await {
             return value;
         }
-        sleep(INTERVAL).await;
+        sleep(POLL_INTERVAL).await;
     }
-    panic!("waited in vain for: {what}");
+    panic!("timed out waiting for: {what}");
 }
--- a/tests/whole_path.rs
+++ b/tests/whole_path.rs
@@ -5,7 +5,7 @@
 use serde_json::{Value, json};
 use support::{TENANT_KEY, start_small_fleet};
 
-fn chat(max_tokens: u32, stream: bool) -> Value {
+fn chat_body(max_tokens: u32, stream: bool) -> Value {
     json!({
         "messages": [{ "role": "user", "content": "Does this resume fit the posting?" }],
         "max_tokens": max_tokens,
@@ -13,7 +13,7 @@
     })
 }
 
-fn chunks(text: &str) -> Vec<Value> {
+fn parse_chunks(text: &str) -> Vec<Value> {
     text.lines()
         .filter_map(|line| line.strip_prefix("data: "))
         .filter(|data| *data != "[DONE]")
@@ -21,48 +21,48 @@
         .collect()
 }
 
-fn content(chunk: &Value) -> &str {
+fn delta_content(chunk: &Value) -> &str {
     chunk["choices"][0]["delta"]["content"].as_str().unwrap_or("")
 }
 
 #[tokio::test]
-async fn a_streamed_completion_is_served_whole_and_in_order() {
+async fn a_streamed_completion_is_complete_and_in_order() {
     let fleet = start_small_fleet(|_| {}).await;
     let (http, url) = (&fleet.http, &fleet.chat_url);
 
     let request = http.post(url).bearer_auth(TENANT_KEY);
-    let response = request.json(&chat(12, true)).send().await.expect("an answer");
+    let response = request.json(&chat_body(12, true)).send().await.expect("an answer");
     assert_eq!(response.status(), 200);
     let text = response.text().await.expect("a whole stream");
-    assert!(text.ends_with("data: [DONE]\n\n"), "the stream has no proper end: {text}");
-    let pieces = chunks(&text);
+    assert!(text.ends_with("data: [DONE]\n\n"), "the stream doesn't end with [DONE]: {text}");
+    let pieces = parse_chunks(&text);
     let indexes: Vec<u64> = pieces
         .iter()
-        .filter(|chunk| !content(chunk).is_empty())
+        .filter(|chunk| !delta_content(chunk).is_empty())
         .filter_map(|chunk| chunk["juniper"]["index"].as_u64())
         .collect();
     assert_eq!(indexes, (0..12).collect::<Vec<u64>>());
 
-    let whole = http.post(url).bearer_auth(TENANT_KEY).json(&chat(12, false));
+    let whole = http.post(url).bearer_auth(TENANT_KEY).json(&chat_body(12, false));
     let whole: Value = whole.send().await.expect("an answer").json().await.expect("JSON");
-    let streamed: String = pieces.iter().map(content).collect();
+    let streamed: String = pieces.iter().map(delta_content).collect();
     assert_eq!(whole["choices"][0]["message"]["content"], streamed.as_str());
 
     let resumed = http.post(url).bearer_auth(TENANT_KEY).header("x-resume-from", "5");
-    let resumed = resumed.json(&chat(12, true)).send().await.expect("an answer");
+    let resumed = resumed.json(&chat_body(12, true)).send().await.expect("an answer");
     let resumed = resumed.text().await.expect("a whole stream");
-    let rest: String = chunks(&resumed).iter().map(content).collect();
+    let rest: String = parse_chunks(&resumed).iter().map(delta_content).collect();
     assert!(streamed.ends_with(&rest) && rest.len() < streamed.len(), "{streamed:?} / {rest:?}");
 }
 
 #[tokio::test]
-async fn bad_requests_get_typed_errors_and_run_nothing() {
+async fn invalid_requests_get_error_codes_and_are_not_run() {
     let fleet = start_small_fleet(|_| {}).await;
     let (http, url) = (&fleet.http, &fleet.chat_url);
 
     let deep = format!("{}1{}", "[".repeat(100_000), "]".repeat(100_000));
     let cases: [(&str, String, u16, &str); 6] = [
-        ("another-key", chat(1, true).to_string(), 401, "unauthenticated"),
+        ("another-key", chat_body(1, true).to_string(), 401, "unauthenticated"),
         (TENANT_KEY, "not json".to_owned(), 400, "malformed"),
         (TENANT_KEY, deep, 400, "malformed"),
         (TENANT_KEY, json!({ "messages": [] }).to_string(), 400, "malformed"),
@@ -79,8 +79,8 @@
 }
 
 #[tokio::test]
-async fn a_service_over_its_limit_is_refused_at_once_and_told_when_to_come_back() {
-    // One request, and the next after two minutes.
+async fn a_request_over_the_rate_limit_is_refused_with_retry_after() {
+    // Allows one request, then one every two minutes.
     let limits = json!({ "traffic": "chat", "rate_per_second": 1.0 / 120.0, "burst": 1 });
     let fleet = start_small_fleet(|change| {
         change["edits"][3]["node"]["overrides"] = limits;
@@ -88,9 +88,9 @@
     .await;
     let (http, url) = (&fleet.http, &fleet.chat_url);
 
-    let ask = || http.post(url).bearer_auth(TENANT_KEY).json(&chat(1, false)).send();
-    assert_eq!(ask().await.expect("an answer").status(), 200);
-    let refused = ask().await.expect("an answer");
+    let send_chat = || http.post(url).bearer_auth(TENANT_KEY).json(&chat_body(1, false)).send();
+    assert_eq!(send_chat().await.expect("an answer").status(), 200);
+    let refused = send_chat().await.expect("an answer");
     assert_eq!(refused.status(), 429);
     let header = refused.headers()["retry-after"].to_str().expect("text").to_owned();
     let seconds: u64 = header.parse().expect("seconds");
