--- a/tests/control_fleet.rs
+++ b/tests/control_fleet.rs
@@ -146,7 +146,7 @@
     .await;
     fleet.wait_until_all_vote().await;
     // The leader and the rejoined replica form a quorum.
-    let other = fleet.others(lost).into_iter().find(|at| *at != leader).expect("a third");
+    let other = fleet.others(lost).into_iter().find(|at| *at != leader).expect("a third replica");
     fleet.replicas[other].kill();
     resend_changes(&fleet, lost, &changes).await;
     assert_eq!(fleet.confirmed_revision(lost).await, 5);
--- a/tests/fleet_endings.rs
+++ b/tests/fleet_endings.rs
@@ -42,7 +42,7 @@
 async fn assert_quarantined(
     kind: BackEndKind,
     count: usize,
-    make: impl Fn(&Client, &str, usize) -> RequestBuilder,
+    make_request: impl Fn(&Client, &str, usize) -> RequestBuilder,
 ) {
     let mut test = start_fleet(Setup { control: 3, ..Setup::default() }).await;
     let fleet = &mut test.fleet;
@@ -52,7 +52,8 @@
     let mut answers: Vec<(u16, Value)> = Vec::new();
     for number in 0..14 {
         let router = format!("http://{}", routers[number % routers.len()].address);
-        let call = make(&client, &router, number).bearer_auth(format!("{KEY_PREFIX}{TENANT}"));
+        let call =
+            make_request(&client, &router, number).bearer_auth(format!("{KEY_PREFIX}{TENANT}"));
         let call = call.timeout(Duration::from_secs(10));
         if let Ok(response) = call.send().await {
             let status = response.status().as_u16();
@@ -70,7 +71,11 @@
     );
     let (status, body) = answers.last().expect("an answer");
     assert_eq!((*status, &body["error"]["code"]), (502, &json!("quarantined")), "{answers:?}");
-    assert_eq!(body["error"]["not_run"], json!(false), "it has run");
+    assert_eq!(
+        body["error"]["not_run"],
+        json!(false),
+        "a quarantined request was reported as not_run"
+    );
     assert_eq!(
         body["error"]["retry_after_ms"],
         Value::Null,
--- a/tests/fleet_faults.rs
+++ b/tests/fleet_faults.rs
@@ -141,18 +141,18 @@
     trace.records.iter_mut().for_each(|record| record.zone = zone.clone());
 
     fleet.set_last_zone(LinkState::Cut);
-    let cut = send_trace(&trace, options.clone()).await;
+    let partitioned = send_trace(&trace, options.clone()).await;
     fleet.set_last_zone(LinkState::Whole);
-    assert_no_violations(fleet, &cut).await;
-    for (kind, counts) in &cut.by_kind {
+    assert_no_violations(fleet, &partitioned).await;
+    for (kind, counts) in &partitioned.by_kind {
         let served = if *kind == RequestKind::AtMostOnce { 0 } else { counts.requests };
-        assert_eq!(counts.complete, served, "{kind:?} {counts:?} {:?}", cut.failures);
-        assert_eq!(counts.refused, counts.requests - served, "{kind:?} {:?}", cut.refusals);
+        assert_eq!(counts.complete, served, "{kind:?} {counts:?} {:?}", partitioned.failures);
+        assert_eq!(counts.refused, counts.requests - served, "{kind:?} {:?}", partitioned.refusals);
     }
 
-    let mended = send_trace(&trace, options).await;
-    assert_no_violations(fleet, &mended).await;
-    assert_complete(&mended);
+    let healed = send_trace(&trace, options).await;
+    assert_no_violations(fleet, &healed).await;
+    assert_complete(&healed);
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -60,7 +60,7 @@
 }
 
 impl Addresses {
-    pub fn free() -> Self {
+    pub fn unused() -> Self {
         Addresses {
             internal: unused_address(),
             operator: unused_address(),
@@ -78,7 +78,7 @@
     )
 }
 
-fn write(path: &Path, text: &str) -> PathBuf {
+fn write_file(path: &Path, text: &str) -> PathBuf {
     std::fs::write(path, text).expect("the file is written");
     path.to_owned()
 }
@@ -101,7 +101,7 @@
         addresses.internal,
         addresses.operator
     );
-    write(&folder.join("control.toml"), &text)
+    write_file(&folder.join("control.toml"), &text)
 }
 
 /// Node file of a router with one control replica.
@@ -115,7 +115,7 @@
         own.internal,
         control.internal
     );
-    write(&folder.join(format!("router-{node}.toml")), &text)
+    write_file(&folder.join(format!("router-{node}.toml")), &text)
 }
 
 /// A tree with one tenant and its chat service on `engines`.
@@ -145,10 +145,10 @@
     })
 }
 
-/// Submits a change as soon as the control replica answers.
+/// Submits a change and retries until the control replica accepts it.
 pub async fn apply_change(http: &reqwest::Client, control: Addresses, change: &Value) -> Value {
     let url = format!("http://{}/v1/settings/changes", control.operator);
-    eventually("the change is answered", async || {
+    eventually("the change is accepted", async || {
         let request = http.post(&url).bearer_auth(OPERATOR_KEY).json(change);
         let response = request.send().await.ok()?;
         response.status().is_success().then_some(())?;
@@ -178,7 +178,7 @@
 pub async fn start_small_fleet(edit: impl FnOnce(&mut Value)) -> SmallFleet {
     let folder = tempfile::tempdir().expect("a folder");
     let (engine, engine_address) = start_engine(&[]);
-    let (own, control) = (Addresses::free(), Addresses::free());
+    let (own, control) = (Addresses::unused(), Addresses::unused());
     let replica = start_daemon("control", &control_file(folder.path(), control));
     let router = start_daemon("router", &router_file(folder.path(), 11, own, control));
     let http = reqwest::Client::new();
--- a/tests/support/replicas.rs
+++ b/tests/support/replicas.rs
@@ -27,7 +27,7 @@
 }
 
 impl Replica {
-    fn file(&self) -> PathBuf {
+    fn settings_file(&self) -> PathBuf {
         self.folder.join("node.toml")
     }
 
@@ -46,7 +46,7 @@
     fn spawn(&mut self, mut command: Command) {
         let mut options = std::fs::File::options();
         let log = options.create(true).append(true).open(self.folder.join("log"));
-        command.args(["control", "--settings"]).arg(self.file());
+        command.args(["control", "--settings"]).arg(self.settings_file());
         command.stderr(log.expect("a log file"));
         self.process = Some(command.spawn().expect("the daemon starts"));
     }
@@ -54,7 +54,10 @@
     /// Whether the process has exited with an error.
     pub fn has_failed(&mut self) -> bool {
         let child = self.process.as_mut().expect("the replica was started");
-        child.try_wait().expect("the process is known").is_some_and(|status| !status.success())
+        child
+            .try_wait()
+            .expect("the exit status is readable")
+            .is_some_and(|status| !status.success())
     }
 
     pub fn log(&self) -> String {
@@ -126,8 +129,8 @@
     String::from_utf8(output.stdout).expect("text").trim().to_owned()
 }
 
-fn write_file(replica: &Replica, all: &[(u64, SocketAddr)], hash: &str) {
-    let voters: Vec<u64> = all.iter().map(|(node, _)| *node).collect();
+fn write_settings(replica: &Replica, peers: &[(u64, SocketAddr)], hash: &str) {
+    let voters: Vec<u64> = peers.iter().map(|(node, _)| *node).collect();
     let mut text = format!(
         "node = {}\nzone = \"zone-{}\"\ndata_folder = \"{}\"\n\
          cluster_key = \"a-shared-cluster-key\"\noperator_key_hashes = [\"{hash}\"]\n\
@@ -138,11 +141,11 @@
         replica.internal,
         replica.operator,
     );
-    for (node, address) in all.iter().filter(|(node, _)| *node != replica.node) {
+    for (node, address) in peers.iter().filter(|(node, _)| *node != replica.node) {
         let peer = format!("id = {node}\nzone = \"zone-{node}\"\naddress = \"{address}\"\n");
         text += &format!("[[control.peers]]\n{peer}");
     }
-    std::fs::write(replica.file(), text).expect("the file is written");
+    std::fs::write(replica.settings_file(), text).expect("the file is written");
 }
 
 impl Fleet {
@@ -158,8 +161,8 @@
         let mut replicas: Vec<Replica> = (1..=count).map(make).collect();
         let all: Vec<_> = replicas.iter().map(|replica| (replica.node, replica.internal)).collect();
         let hash = key_hash();
-        replicas.iter().for_each(|replica| write_file(replica, &all, &hash));
-        found_cluster(&replicas[0].file());
+        replicas.iter().for_each(|replica| write_settings(replica, &all, &hash));
+        found_cluster(&replicas[0].settings_file());
         replicas.iter_mut().for_each(Replica::start);
         let http = reqwest::Client::builder().no_proxy().timeout(CALL_TIMEOUT);
         let http = http.build().expect("a client");
@@ -172,7 +175,7 @@
     pub async fn wait_until_all_vote(&self) {
         let wanted = self.replicas.len();
         eventually("every replica votes", async || {
-            let leader = self.leader_now().await?;
+            let leader = self.find_leader().await?;
             let (_, status) = self.get(leader, "/v1/status").await?;
             let members = status["members"].as_array()?.clone();
             let voters = members.iter().filter(|member| member["role"] == "voter").count();
@@ -181,7 +184,7 @@
         .await;
     }
 
-    async fn leader_now(&self) -> Option<usize> {
+    async fn find_leader(&self) -> Option<usize> {
         for at in 0..self.replicas.len() {
             let status = self.get(at, "/v1/status").await;
             if status.is_some_and(|(_, status)| status["role"] == "leader") {
@@ -193,12 +196,12 @@
 
     /// Waits for a leader and returns its index.
     pub async fn leader(&self) -> usize {
-        eventually("a replica leads", async || self.leader_now().await).await
+        eventually("a replica leads", async || self.find_leader().await).await
     }
 
-    /// Indexes of all replicas except `than`.
-    pub fn others(&self, than: usize) -> Vec<usize> {
-        (0..self.replicas.len()).filter(|at| *at != than).collect()
+    /// Indexes of all replicas except `excluded`.
+    pub fn others(&self, excluded: usize) -> Vec<usize> {
+        (0..self.replicas.len()).filter(|at| *at != excluded).collect()
     }
 
     pub async fn get(&self, at: usize, path: &str) -> Option<(u16, Value)> {
@@ -230,7 +233,7 @@
         }
         let output = command.output().expect("the binary runs");
         if !output.status.success() {
-            // Shown if the test fails.
+            // Cargo prints the output only if the test fails.
             println!("{words:?}: {}", String::from_utf8_lossy(&output.stderr));
         }
         let json = serde_json::from_slice(&output.stdout).unwrap_or(Value::Null);
@@ -247,7 +250,7 @@
 
     /// Sends a change to one replica, with retries, until it is accepted or rejected.
     pub async fn write(&self, at: usize, change: &Value) -> (u16, Value) {
-        eventually("a write has a verdict", async || {
+        eventually("a change is accepted or rejected", async || {
             let (status, body) = self.post(at, "/v1/settings/changes", change).await?;
             (status < 500 && status != 429).then_some((status, body))
         })
@@ -256,7 +259,7 @@
 
     /// Current revision, from a quorum-confirmed read through one replica.
     pub async fn confirmed_revision(&self, at: usize) -> u64 {
-        eventually("a confirmed read is answered", async || {
+        eventually("a quorum confirms a read", async || {
             let (status, body) = self.get(at, "/v1/settings").await?;
             (status == 200).then(|| body["revision"].as_u64()).flatten()
         })
@@ -271,7 +274,7 @@
         .stdout(Stdio::null())
         .status()
         .expect("the binary runs");
-    assert!(status.success(), "the cluster is founded");
+    assert!(status.success(), "the found command failed");
 }
 
 /// A change that puts a zone, based on revision `base`.
