--- a/tests/fleet_faults.rs
+++ b/tests/fleet_faults.rs
@@ -192,7 +192,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn routers_that_restart_together_without_control_serve() {
+async fn routers_that_restart_together_without_control_serve_at_once() {
     let mut test = start_fleet(Setup::default()).await;
     let fleet = &mut test.fleet;
     let report = run_under_load(fleet, &mixed_trace(10, 8), async |fleet| {
--- a/tests/support/replicas.rs
+++ b/tests/support/replicas.rs
@@ -129,8 +129,8 @@
     String::from_utf8(output.stdout).expect("text").trim().to_owned()
 }
 
-fn write_settings(replica: &Replica, peers: &[(u64, SocketAddr)], hash: &str) {
-    let voters: Vec<u64> = peers.iter().map(|(node, _)| *node).collect();
+fn write_settings(replica: &Replica, members: &[(u64, SocketAddr)], hash: &str) {
+    let voters: Vec<u64> = members.iter().map(|(node, _)| *node).collect();
     let mut text = format!(
         "node = {}\nzone = \"zone-{}\"\ndata_folder = \"{}\"\n\
          cluster_key = \"a-shared-cluster-key\"\noperator_key_hashes = [\"{hash}\"]\n\
@@ -141,7 +141,7 @@
         replica.internal,
         replica.operator,
     );
-    for (node, address) in peers.iter().filter(|(node, _)| *node != replica.node) {
+    for (node, address) in members.iter().filter(|(node, _)| *node != replica.node) {
         let peer = format!("id = {node}\nzone = \"zone-{node}\"\naddress = \"{address}\"\n");
         text += &format!("[[control.peers]]\n{peer}");
     }
