--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -36,7 +36,7 @@
     String::from_utf8(output.stdout).expect("text").trim().to_owned()
 }
 
-/// An emulated engine and its address.
+/// Starts an emulated engine and returns its address.
 pub fn start_engine(extra: &[&str]) -> (Process, SocketAddr) {
     let mut child = Command::new(env!("CARGO_BIN_EXE_juniper-lab"))
         .args(["emulate", "engine", "--listen", "127.0.0.1:0"])
@@ -51,7 +51,7 @@
     (process, address)
 }
 
-/// Addresses of one daemon.
+/// Listener addresses of one daemon.
 #[derive(Clone, Copy, Debug)]
 pub struct Addresses {
     pub internal: SocketAddr,
@@ -60,7 +60,7 @@
 }
 
 impl Addresses {
-    pub fn free() -> Self {
+    pub fn unused() -> Self {
         Addresses {
             internal: unused_address(),
             operator: unused_address(),
@@ -69,7 +69,7 @@
     }
 }
 
-fn common(node: u64, folder: &Path) -> String {
+fn common_settings(node: u64, folder: &Path) -> String {
     format!(
         "node = {node}\nzone = \"hartford\"\ndata_folder = \"{}\"\n\
          cluster_key = \"a-shared-cluster-key\"\noperator_key_hashes = [\"{}\"]\n",
@@ -78,7 +78,7 @@
     )
 }
 
-fn write(path: &Path, text: &str) -> PathBuf {
+fn write_file(path: &Path, text: &str) -> PathBuf {
     std::fs::write(path, text).expect("the file is written");
     path.to_owned()
 }
@@ -97,25 +97,25 @@
 pub fn control_file(folder: &Path, addresses: Addresses) -> PathBuf {
     let text = format!(
         "{}[control]\ninternal = \"{}\"\noperator = \"{}\"\n",
-        common(1, &folder.join("control")),
+        common_settings(1, &folder.join("control")),
         addresses.internal,
         addresses.operator
     );
-    write(&folder.join("control.toml"), &text)
+    write_file(&folder.join("control.toml"), &text)
 }
 
-/// Node file of a router that knows one control replica.
+/// Node file of a router with one control replica.
 pub fn router_file(folder: &Path, node: u64, own: Addresses, control: Addresses) -> PathBuf {
     let text = format!(
         "{}[router]\ncaller = \"{}\"\noperator = \"{}\"\ninternal = \"{}\"\n\
          [[router.control]]\nid = 1\nzone = \"hartford\"\naddress = \"{}\"\n",
-        common(node, &folder.join(format!("router-{node}"))),
+        common_settings(node, &folder.join(format!("router-{node}"))),
         own.caller,
         own.operator,
         own.internal,
         control.internal
     );
-    write(&folder.join(format!("router-{node}.toml")), &text)
+    write_file(&folder.join(format!("router-{node}.toml")), &text)
 }
 
 /// A tree with one tenant and its chat service on `engines`.
@@ -145,10 +145,10 @@
     })
 }
 
-/// Submits a change once the control replica serves.
-pub async fn apply(http: &reqwest::Client, control: Addresses, change: &Value) -> Value {
+/// Submits a change and retries until the control replica accepts it.
+pub async fn apply_change(http: &reqwest::Client, control: Addresses, change: &Value) -> Value {
     let url = format!("http://{}/v1/settings/changes", control.operator);
-    eventually("the change is answered", async || {
+    eventually("the change is accepted", async || {
         let request = http.post(&url).bearer_auth(OPERATOR_KEY).json(change);
         let response = request.send().await.ok()?;
         response.status().is_success().then_some(())?;
@@ -158,7 +158,7 @@
 }
 
 /// Waits until the router is ready.
-pub async fn ready(http: &reqwest::Client, router: Addresses) {
+pub async fn wait_until_ready(http: &reqwest::Client, router: Addresses) {
     let url = format!("http://{}/readyz", router.operator);
     eventually("the router is ready", async || {
         http.get(&url).send().await.ok()?.status().is_success().then_some(())
@@ -174,18 +174,18 @@
     _folder: tempfile::TempDir,
 }
 
-/// Starts the processes with the first change as `edit` leaves it.
+/// Starts the processes and applies the first change, modified by `edit`.
 pub async fn start_small_fleet(edit: impl FnOnce(&mut Value)) -> SmallFleet {
     let folder = tempfile::tempdir().expect("a folder");
     let (engine, engine_address) = start_engine(&[]);
-    let (own, control) = (Addresses::free(), Addresses::free());
+    let (own, control) = (Addresses::unused(), Addresses::unused());
     let replica = start_daemon("control", &control_file(folder.path(), control));
     let router = start_daemon("router", &router_file(folder.path(), 11, own, control));
     let http = reqwest::Client::new();
     let mut change = first_change(&[engine_address]);
     edit(&mut change);
-    apply(&http, control, &change).await;
-    ready(&http, own).await;
+    apply_change(&http, control, &change).await;
+    wait_until_ready(&http, own).await;
     let chat_url = format!("http://{}/v1/chat/completions", own.caller);
     SmallFleet { http, chat_url, _processes: [engine, replica, router], _folder: folder }
 }
--- a/tests/support/replicas.rs
+++ b/tests/support/replicas.rs
@@ -1,4 +1,4 @@
-//! Control replicas as processes, which tests kill, freeze and start again.
+//! Control replicas as processes that tests kill, freeze and restart.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -15,7 +15,7 @@
 
 const OPERATOR_KEY: &str = "operator-secret-for-tests";
 
-/// Longest wait for one answer.
+/// Timeout for one answer of a replica.
 const CALL_TIMEOUT: Duration = Duration::from_secs(15);
 
 pub struct Replica {
@@ -27,44 +27,47 @@
 }
 
 impl Replica {
-    fn file(&self) -> PathBuf {
+    fn settings_file(&self) -> PathBuf {
         self.folder.join("node.toml")
     }
 
     pub fn start(&mut self) {
-        self.start_by(Command::new(env!("CARGO_BIN_EXE_juniperhollow")));
+        self.spawn(Command::new(env!("CARGO_BIN_EXE_juniperhollow")));
     }
 
-    /// Starts it so that no file can grow beyond `kib`: writes fail as on a full disk.
+    /// Starts the process with a limit of `kib` KiB per file, so that writes fail as on a full disk.
     pub fn start_with_file_limit(&mut self, kib: u32) {
         let script = format!("trap '' XFSZ; ulimit -f {kib}; exec \"$0\" \"$@\"");
         let mut shell = Command::new("bash");
         shell.args(["-c", &script, env!("CARGO_BIN_EXE_juniperhollow")]);
-        self.start_by(shell);
+        self.spawn(shell);
     }
 
-    fn start_by(&mut self, mut command: Command) {
+    fn spawn(&mut self, mut command: Command) {
         let mut options = std::fs::File::options();
         let log = options.create(true).append(true).open(self.folder.join("log"));
-        command.args(["control", "--settings"]).arg(self.file());
+        command.args(["control", "--settings"]).arg(self.settings_file());
         command.stderr(log.expect("a log file"));
         self.process = Some(command.spawn().expect("the daemon starts"));
     }
 
-    /// Whether the process has ended by itself, and badly.
+    /// Whether the process has exited with an error.
     pub fn has_failed(&mut self) -> bool {
         let child = self.process.as_mut().expect("the replica was started");
-        child.try_wait().expect("the process is known").is_some_and(|status| !status.success())
+        child
+            .try_wait()
+            .expect("the exit status is readable")
+            .is_some_and(|status| !status.success())
     }
 
     pub fn log(&self) -> String {
         std::fs::read_to_string(self.folder.join("log")).unwrap_or_default()
     }
 
-    /// Kills the process at once, as a crash would.
+    /// Kills the process without a shutdown.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.process.take() {
-            // It may have ended by itself.
+            // The process may have exited already.
             let _ = child.kill();
             child.wait().expect("the process is gone");
         }
@@ -88,7 +91,7 @@
         self.folder.join("data")
     }
 
-    /// Takes the disk away: the folder is blank again.
+    /// Removes the data folder.
     pub fn lose_disk(&self) {
         std::fs::remove_dir_all(self.data_folder()).expect("the data folder is removed");
     }
@@ -126,8 +129,8 @@
     String::from_utf8(output.stdout).expect("text").trim().to_owned()
 }
 
-fn write_file(replica: &Replica, all: &[(u64, SocketAddr)], hash: &str) {
-    let voters: Vec<u64> = all.iter().map(|(node, _)| *node).collect();
+fn write_settings(replica: &Replica, members: &[(u64, SocketAddr)], hash: &str) {
+    let voters: Vec<u64> = members.iter().map(|(node, _)| *node).collect();
     let mut text = format!(
         "node = {}\nzone = \"zone-{}\"\ndata_folder = \"{}\"\n\
          cluster_key = \"a-shared-cluster-key\"\noperator_key_hashes = [\"{hash}\"]\n\
@@ -138,11 +141,11 @@
         replica.internal,
         replica.operator,
     );
-    for (node, address) in all.iter().filter(|(node, _)| *node != replica.node) {
+    for (node, address) in members.iter().filter(|(node, _)| *node != replica.node) {
         let peer = format!("id = {node}\nzone = \"zone-{node}\"\naddress = \"{address}\"\n");
         text += &format!("[[control.peers]]\n{peer}");
     }
-    std::fs::write(replica.file(), text).expect("the file is written");
+    std::fs::write(replica.settings_file(), text).expect("the file is written");
 }
 
 impl Fleet {
@@ -158,21 +161,21 @@
         let mut replicas: Vec<Replica> = (1..=count).map(make).collect();
         let all: Vec<_> = replicas.iter().map(|replica| (replica.node, replica.internal)).collect();
         let hash = key_hash();
-        replicas.iter().for_each(|replica| write_file(replica, &all, &hash));
-        found(&replicas[0].file());
+        replicas.iter().for_each(|replica| write_settings(replica, &all, &hash));
+        found_cluster(&replicas[0].settings_file());
         replicas.iter_mut().for_each(Replica::start);
         let http = reqwest::Client::builder().no_proxy().timeout(CALL_TIMEOUT);
         let http = http.build().expect("a client");
         let fleet = Fleet { replicas, http, folder };
-        fleet.all_vote().await;
+        fleet.wait_until_all_vote().await;
         fleet
     }
 
-    /// Waits until the leader counts every replica as a voter.
-    pub async fn all_vote(&self) {
+    /// Waits until the leader reports every replica as a voter.
+    pub async fn wait_until_all_vote(&self) {
         let wanted = self.replicas.len();
         eventually("every replica votes", async || {
-            let leader = self.leader_now().await?;
+            let leader = self.find_leader().await?;
             let (_, status) = self.get(leader, "/v1/status").await?;
             let members = status["members"].as_array()?.clone();
             let voters = members.iter().filter(|member| member["role"] == "voter").count();
@@ -181,7 +184,7 @@
         .await;
     }
 
-    async fn leader_now(&self) -> Option<usize> {
+    async fn find_leader(&self) -> Option<usize> {
         for at in 0..self.replicas.len() {
             let status = self.get(at, "/v1/status").await;
             if status.is_some_and(|(_, status)| status["role"] == "leader") {
@@ -191,14 +194,14 @@
         None
     }
 
-    /// Position of the replica that leads.
+    /// Waits for a leader and returns its index.
     pub async fn leader(&self) -> usize {
-        eventually("a replica leads", async || self.leader_now().await).await
+        eventually("a replica leads", async || self.find_leader().await).await
     }
 
-    /// Positions of the others.
-    pub fn others(&self, than: usize) -> Vec<usize> {
-        (0..self.replicas.len()).filter(|at| *at != than).collect()
+    /// Indexes of all replicas except `excluded`.
+    pub fn others(&self, excluded: usize) -> Vec<usize> {
+        (0..self.replicas.len()).filter(|at| *at != excluded).collect()
     }
 
     pub async fn get(&self, at: usize, path: &str) -> Option<(u16, Value)> {
@@ -217,8 +220,8 @@
         Some((status, response.json().await.ok()?))
     }
 
-    /// Runs an operator command against the replicas in turn; the first address
-    /// is one that nobody listens on. Returns its exit code and its JSON output.
+    /// Runs an operator command with an unused address before those of the replicas.
+    /// Returns its exit code and JSON output.
     pub fn command(&self, words: &[&str]) -> (Option<i32>, Value) {
         let key_file = self.folder.path().join("operator-key");
         std::fs::write(&key_file, OPERATOR_KEY).expect("the key is written");
@@ -230,14 +233,14 @@
         }
         let output = command.output().expect("the binary runs");
         if !output.status.success() {
-            // Shown if the test fails.
+            // Cargo prints the output only if the test fails.
             println!("{words:?}: {}", String::from_utf8_lossy(&output.stderr));
         }
         let json = serde_json::from_slice(&output.stdout).unwrap_or(Value::Null);
         (output.status.code(), json)
     }
 
-    /// A file with a change, for commands.
+    /// Writes a change to a file and returns its path, for commands.
     pub fn change_file(&self, change: &Value) -> String {
         let id = change["change_id"].as_str().expect("a change id");
         let path = self.folder.path().join(format!("{id}.json"));
@@ -245,18 +248,18 @@
         path.display().to_string()
     }
 
-    /// Writes through one replica until there is a verdict.
+    /// Sends a change to one replica, with retries, until it is accepted or rejected.
     pub async fn write(&self, at: usize, change: &Value) -> (u16, Value) {
-        eventually("a write has a verdict", async || {
+        eventually("a change is accepted or rejected", async || {
             let (status, body) = self.post(at, "/v1/settings/changes", change).await?;
             (status < 500 && status != 429).then_some((status, body))
         })
         .await
     }
 
-    /// The revision in force, as a quorum confirms it through one replica.
+    /// Current revision, from a quorum-confirmed read through one replica.
     pub async fn confirmed_revision(&self, at: usize) -> u64 {
-        eventually("a confirmed read is answered", async || {
+        eventually("a quorum confirms a read", async || {
             let (status, body) = self.get(at, "/v1/settings").await?;
             (status == 200).then(|| body["revision"].as_u64()).flatten()
         })
@@ -264,17 +267,17 @@
     }
 }
 
-fn found(file: &Path) {
+fn found_cluster(file: &Path) {
     let status = Command::new(env!("CARGO_BIN_EXE_juniperhollow"))
         .args(["found", "--settings"])
         .arg(file)
         .stdout(Stdio::null())
         .status()
         .expect("the binary runs");
-    assert!(status.success(), "the cluster is founded");
+    assert!(status.success(), "the found command failed");
 }
 
-/// A change that puts a zone, upon `base`.
+/// A change that puts a zone, based on revision `base`.
 pub fn put_zone(zone: &str, priority: u64, base: u64, change_id: &str) -> Value {
     json!({
         "base_revision": base,
