--- a/crates/lab/src/load/applications.rs
+++ b/crates/lab/src/load/applications.rs
@@ -1,4 +1,4 @@
-//! Calls to application servers through routers.
+//! Requests to application servers through routers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,19 +10,19 @@
 use super::client::{AttemptError, Client};
 use super::executions::{Belief, CallRecord};
 use super::outcome::{Ending, Outcome, RequestKind, Violation, ViolationKind};
-use super::persist::{Caller, Persistent, Reading, persist};
+use super::retry::{AttemptResult, Caller, RetriedRequest, run_with_retries};
 
 /// Sends `call` and waits for the whole text of its answer.
 async fn fetch(client: &Client, call: RequestBuilder) -> Result<String, AttemptError> {
     let response = client.send(call).await?;
-    match timeout(client.patience.stall, response.text()).await {
+    match timeout(client.retry_policy.stall, response.text()).await {
         Err(_) => Err(AttemptError::Stalled),
         Ok(Err(_)) => Err(AttemptError::Broken),
         Ok(Ok(text)) => Ok(text),
     }
 }
 
-/// A listing under way; it may be repeated.
+/// A listing request in flight; safe to retry.
 #[derive(Clone, Debug)]
 pub struct ListingCall {
     caller: Caller,
@@ -31,39 +31,39 @@
 }
 
 impl ListingCall {
-    /// The listing under `path`.
+    /// Creates the request for the listing under `path`.
     pub fn new(caller: Caller, path: String) -> Self {
         ListingCall { caller, path, first: None }
     }
 
-    /// Fetches until the listing has come or the caller gives up.
+    /// Retries until the listing is received or the caller gives up.
     pub async fn run(mut self, client: &Client) -> Outcome {
-        persist(&mut self, client).await
+        run_with_retries(&mut self, client).await
     }
 }
 
-impl Persistent for ListingCall {
+impl RetriedRequest for ListingCall {
     const KIND: RequestKind = RequestKind::Listing;
 
     fn caller(&self) -> &Caller {
         &self.caller
     }
 
-    async fn attempt(&mut self, client: &Client, router: SocketAddr) -> Reading {
+    async fn attempt(&mut self, client: &Client, router: SocketAddr) -> AttemptResult {
         let call = self.caller.call(client, Method::GET, router, &self.path);
         let text = match fetch(client, call).await {
             Ok(text) => text,
-            Err(error) => return Reading::Broken(error),
+            Err(error) => return AttemptResult::Broken(error),
         };
         self.first = Some(self.caller.arrived.elapsed());
         if text == listing_text(&self.path) {
-            return Reading::Complete;
+            return AttemptResult::Complete;
         }
         let detail = format!("path={} bytes={}", self.path, text.len());
-        Reading::Violated(Violation::new(ViolationKind::WrongContent, detail))
+        AttemptResult::Violated(Violation::new(ViolationKind::WrongContent, detail))
     }
 
-    fn has_begun(&self) -> bool {
+    fn is_partial(&self) -> bool {
         false
     }
 
@@ -72,9 +72,9 @@
     }
 }
 
-/// A call that runs at most once, under way.
+/// An at-most-once request in flight.
 #[derive(Clone, Debug)]
-pub struct OnceCall {
+pub struct AtMostOnceCall {
     caller: Caller,
     path: String,
     key: String,
@@ -83,16 +83,16 @@
     first: Option<Duration>,
 }
 
-impl OnceCall {
-    /// The call to `path` with `body` under the idempotency key `key`.
+impl AtMostOnceCall {
+    /// Creates the call to `path` with `body` and the idempotency key `key`.
     pub fn new(caller: Caller, path: String, key: String, body: Vec<u8>) -> Self {
-        OnceCall { caller, path, key, body, belief: Belief::NotRun, first: None }
+        AtMostOnceCall { caller, path, key, body, belief: Belief::NotRun, first: None }
     }
 
-    /// Asks until the answer is known, or can't be known. Says also what the
-    /// caller may believe of the call's execution.
+    /// Retries until the call is answered or the caller gives up. Also returns
+    /// the execution state that the answers imply.
     pub async fn run(mut self, client: &Client) -> (Outcome, CallRecord) {
-        let outcome = persist(&mut self, client).await;
+        let outcome = run_with_retries(&mut self, client).await;
         let execution = Execution { tenant: self.caller.tenant.to_string(), key: self.key };
         (outcome, CallRecord { execution, belief: self.belief })
     }
@@ -110,14 +110,14 @@
     }
 }
 
-impl Persistent for OnceCall {
+impl RetriedRequest for AtMostOnceCall {
     const KIND: RequestKind = RequestKind::AtMostOnce;
 
     fn caller(&self) -> &Caller {
         &self.caller
     }
 
-    async fn attempt(&mut self, client: &Client, router: SocketAddr) -> Reading {
+    async fn attempt(&mut self, client: &Client, router: SocketAddr) -> AttemptResult {
         let call = self
             .caller
             .call(client, Method::POST, router, &self.path)
@@ -131,12 +131,12 @@
             }
             Err(error) => {
                 self.belief = self.belief.after(&error);
-                Reading::Broken(error)
+                AttemptResult::Broken(error)
             }
         }
     }
 
-    fn has_begun(&self) -> bool {
+    fn is_partial(&self) -> bool {
         false
     }
 
@@ -144,8 +144,9 @@
         self.first
     }
 
-    /// Whatever the last answer said, an earlier attempt may have left it open.
-    fn given_up(&self, error: &AttemptError) -> Ending {
+    /// Considers all attempts, since an earlier one may have left the execution
+    /// unknown.
+    fn ending_after(&self, error: &AttemptError) -> Ending {
         match self.belief {
             Belief::NotRun => error.ending(),
             Belief::Run | Belief::Open => Ending::Unknown(error.to_string()),
--- a/crates/lab/src/load/arguments.rs
+++ b/crates/lab/src/load/arguments.rs
@@ -2,44 +2,45 @@
 
 use juniper_types::WeightsVersion;
 
-use super::client::Patience;
+use super::client::RetryPolicy;
 use super::executions::ExecutionSource;
 use super::runner::LoadOptions;
 use crate::arguments::{ArgumentError, parsed};
 
-/// API keys that the lab gives to tenants: this text and the tenant's name.
+/// Prefix of the API keys that the lab assigns to tenants; the tenant's name follows.
 pub const KEY_PREFIX: &str = "lab-key-of-";
 
 /// Help text of the shared options.
 pub const SHARED_HELP: &str = "\
-  --router [ZONE=]ADDRESS  callers' face of a router; may be repeated  [required]
-  --key-prefix TEXT        API keys are this text and the tenant's name  [default: lab-key-of-]
-  --weights N              version of the weights whose answers are right;
+  --router [ZONE=]ADDRESS  caller address of a router; may be repeated  [required]
+  --key-prefix TEXT        prefix of API keys, before the tenant's name  [default: lab-key-of-]
+  --weights N              weights version whose answers are accepted;
                            may be repeated  [default: 1]
-  --application ADDRESS    application server whose record is checked; may be repeated
-  --journal FILE           the same, read from its journal; may be repeated
-  --speed FACTOR           how fast the trace is sent  [default: 1]
+  --application ADDRESS    application server whose execution record is checked;
+                           may be repeated
+  --journal FILE           journal of an application server to check; may be repeated
+  --speed FACTOR           speed-up factor of the trace  [default: 1]
   --patience-ms N          time after which a caller gives up  [default: 60000]
-  --stall-ms N             silence after which a caller asks another router  [default: 20000]
-  --refusals N             times that a caller comes back as told  [default: 1]
+  --stall-ms N             time without a byte before a retry at another router  [default: 20000]
+  --refusals N             refusals with Retry-After that a caller obeys  [default: 1]
 ";
 
-/// Options before any is read.
+/// Default options.
 pub fn default_options() -> LoadOptions {
     LoadOptions {
         routers: Vec::new(),
         key_prefix: KEY_PREFIX.to_owned(),
-        patience: Patience::default(),
+        retry_policy: RetryPolicy::default(),
         weights: Vec::new(),
         executions: Vec::new(),
         speed: 1.0,
     }
 }
 
-/// Reads the option `name` into `options`; false when it is not a shared one.
+/// Reads the option `name` into `options`; returns false if it isn't a shared option.
 ///
 /// # Errors
-/// Fails when the value is faulty.
+/// Fails when the value is invalid.
 pub fn read_shared(
     parser: &mut lexopt::Parser,
     name: &str,
@@ -59,15 +60,15 @@
         }
         "journal" => options.executions.push(ExecutionSource::Journal(parser.value()?.into())),
         "speed" => options.speed = read_speed(parser)?,
-        "patience-ms" => options.patience.total = read_millis(parser, "--patience-ms")?,
-        "stall-ms" => options.patience.stall = read_millis(parser, "--stall-ms")?,
-        "refusals" => options.patience.refusals = parsed(parser, "--refusals", "a number")?,
+        "patience-ms" => options.retry_policy.total = read_millis(parser, "--patience-ms")?,
+        "stall-ms" => options.retry_policy.stall = read_millis(parser, "--stall-ms")?,
+        "refusals" => options.retry_policy.refusals = parsed(parser, "--refusals", "a number")?,
         _ => return Ok(false),
     }
     Ok(true)
 }
 
-/// Fills what was left open and checks that there is a router.
+/// Fills in defaults and checks that at least one router is given.
 ///
 /// # Errors
 /// Fails when no router was given.
--- a/crates/lab/src/load/chat.rs
+++ b/crates/lab/src/load/chat.rs
@@ -1,4 +1,4 @@
-//! One chat completion, asked for until its whole answer has come.
+//! One chat completion, retried until the whole answer is received.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,23 +12,23 @@
 
 use super::client::{AttemptError, Client};
 use super::outcome::{Outcome, RequestKind, Violation, ViolationKind};
-use super::persist::{Caller, Persistent, Reading, persist};
+use super::retry::{AttemptResult, Caller, RetriedRequest, run_with_retries};
 use super::stream::{AnswerCheck, StreamEvent, StreamReader};
 
-/// What is asked.
+/// Parameters of a chat request.
 #[derive(Clone, Debug)]
 pub struct ChatQuestion {
-    /// The prompt.
+    /// Prompt text.
     pub messages: Vec<ChatMessage>,
     /// Whether the answer is streamed.
     pub stream: bool,
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub prompt_tokens: u32,
-    /// Tokens wanted.
+    /// Number of tokens to generate.
     pub output_tokens: u32,
 }
 
-/// A chat under way.
+/// A chat in flight.
 #[derive(Clone, Debug)]
 pub struct ChatCall {
     caller: Caller,
@@ -52,14 +52,14 @@
 }
 
 impl ChatCall {
-    /// A chat whose answer must pass `check`.
+    /// Creates a chat whose answer must pass `check`.
     pub fn new(caller: Caller, question: ChatQuestion, check: AnswerCheck) -> Self {
         ChatCall { caller, question, check, first: None, cached_tokens: None }
     }
 
-    /// Asks until the answer is complete or the caller gives up.
+    /// Retries until the answer is complete or the caller gives up.
     pub async fn run(mut self, client: &Client) -> Outcome {
-        let outcome = persist(&mut self, client).await;
+        let outcome = run_with_retries(&mut self, client).await;
         Outcome {
             prompt_tokens: u64::from(self.question.prompt_tokens),
             cached_tokens: self.cached_tokens.unwrap_or(0),
@@ -67,12 +67,12 @@
         }
     }
 
-    async fn read_stream(&mut self, client: &Client, mut response: Response) -> Reading {
+    async fn read_stream(&mut self, client: &Client, mut response: Response) -> AttemptResult {
         let mut reader = StreamReader::default();
         loop {
-            let bytes = match timeout(client.patience.stall, response.chunk()).await {
-                Err(_) => return Reading::Broken(AttemptError::Stalled),
-                Ok(Err(_) | Ok(None)) => return Reading::Broken(AttemptError::Broken),
+            let bytes = match timeout(client.retry_policy.stall, response.chunk()).await {
+                Err(_) => return AttemptResult::Broken(AttemptError::Stalled),
+                Ok(Err(_) | Ok(None)) => return AttemptResult::Broken(AttemptError::Broken),
                 Ok(Ok(Some(bytes))) => bytes,
             };
             let events = match reader.push(&bytes) {
@@ -80,18 +80,18 @@
                 Err(error) => return wrong_content(error.to_string()),
             };
             for event in events {
-                if let Some(reading) = self.take(event) {
-                    return reading;
+                if let Some(result) = self.apply_event(event) {
+                    return result;
                 }
             }
         }
     }
 
-    /// Takes one event; returns how the attempt has ended, if it has.
-    fn take(&mut self, event: StreamEvent) -> Option<Reading> {
+    /// Applies one event; returns the result of the attempt if the event ends it.
+    fn apply_event(&mut self, event: StreamEvent) -> Option<AttemptResult> {
         let chunk = match event {
             StreamEvent::Error(detail) => {
-                return Some(Reading::Broken(AttemptError::Refused(detail)));
+                return Some(AttemptResult::Broken(AttemptError::Refused(detail)));
             }
             StreamEvent::Done => return Some(self.check.done().into()),
             StreamEvent::Chunk(chunk) => chunk,
@@ -100,13 +100,13 @@
         if self.first.is_none() && self.check.next() > 0 {
             self.first = Some(self.caller.arrived.elapsed());
         }
-        checked.err().map(Reading::Violated)
+        checked.err().map(AttemptResult::Violated)
     }
 
-    async fn read_whole(&mut self, client: &Client, response: Response) -> Reading {
-        let body = match timeout(client.patience.stall, response.bytes()).await {
-            Err(_) => return Reading::Broken(AttemptError::Stalled),
-            Ok(Err(_)) => return Reading::Broken(AttemptError::Broken),
+    async fn read_whole(&mut self, client: &Client, response: Response) -> AttemptResult {
+        let body = match timeout(client.retry_policy.stall, response.bytes()).await {
+            Err(_) => return AttemptResult::Broken(AttemptError::Stalled),
+            Ok(Err(_)) => return AttemptResult::Broken(AttemptError::Broken),
             Ok(Ok(body)) => body,
         };
         let answer: WholeAnswer = match serde_json::from_slice(&body) {
@@ -118,14 +118,14 @@
     }
 }
 
-impl Persistent for ChatCall {
+impl RetriedRequest for ChatCall {
     const KIND: RequestKind = RequestKind::Chat;
 
     fn caller(&self) -> &Caller {
         &self.caller
     }
 
-    async fn attempt(&mut self, client: &Client, router: SocketAddr) -> Reading {
+    async fn attempt(&mut self, client: &Client, router: SocketAddr) -> AttemptResult {
         let id = RequestId(rand::random()).to_string();
         self.check.resume(id.clone());
         let body = ChatBody {
@@ -144,7 +144,7 @@
             .json(&body);
         let response = match client.send(call).await {
             Ok(response) => response,
-            Err(error) => return Reading::Broken(error),
+            Err(error) => return AttemptResult::Broken(error),
         };
         if self.cached_tokens.is_none() {
             self.cached_tokens = Some(cached_tokens(&response));
@@ -155,7 +155,7 @@
         }
     }
 
-    fn has_begun(&self) -> bool {
+    fn is_partial(&self) -> bool {
         self.check.next() > 0
     }
 
@@ -164,8 +164,8 @@
     }
 }
 
-fn wrong_content(detail: String) -> Reading {
-    Reading::Violated(Violation::new(ViolationKind::WrongContent, detail))
+fn wrong_content(detail: String) -> AttemptResult {
+    AttemptResult::Violated(Violation::new(ViolationKind::WrongContent, detail))
 }
 
 fn cached_tokens(response: &Response) -> u64 {
--- a/crates/lab/src/load/client.rs
+++ b/crates/lab/src/load/client.rs
@@ -1,4 +1,4 @@
-//! A caller of the routers: whom it asks, and how long it waits.
+//! HTTP client for the routers: router selection, timeouts and retries.
 
 use std::net::SocketAddr;
 use std::str::FromStr;
@@ -11,31 +11,31 @@
 use super::outcome::Ending;
 use super::stream::{ErrorBody, ErrorDetail};
 
-/// Longest wait for a connection.
+/// Timeout for connecting.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Pause before another router is asked after a broken connection.
-const RECONNECT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay before a retry at another router after a broken connection.
+const RECONNECT_DELAY: Duration = Duration::from_millis(50);
 
-/// Longest pause that a caller takes because a router told it to come back later.
-const MAX_RETRY_PAUSE: Duration = Duration::from_secs(2);
+/// Upper bound on the Retry-After delay that a caller obeys.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// Code of a router that is stopping: another one serves.
-const STOPPING: &str = "stopping";
+/// Error code of a router that is shutting down; another one can serve.
+const STOPPING_CODE: &str = "stopping";
 
-/// Code of a stream that can't go on with the weights it began with.
-const WEIGHTS_CHANGED: &str = "weights_changed";
+/// Error code of a stream that can't be resumed with the model weights it started with.
+const WEIGHTS_CHANGED_CODE: &str = "weights_changed";
 
-/// A router and the zone that it stands in, if known.
+/// Address of a router and its zone, if known.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RouterTarget {
-    /// Zone; callers of the same zone prefer it.
+    /// Zone of the router; callers of the same zone prefer it.
     pub zone: Option<ZoneName>,
-    /// Where callers reach it.
+    /// Address for callers.
     pub address: SocketAddr,
 }
 
-/// A text is no router.
+/// Malformed router argument.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a router is given as ADDRESS or ZONE=ADDRESS")]
 pub struct RouterTargetError;
@@ -55,34 +55,34 @@
     }
 }
 
-/// How callers behave.
+/// Timeouts and retry limit of callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Patience {
-    /// Time after which a caller gives up.
+pub struct RetryPolicy {
+    /// Total time after which a caller gives up.
     pub total: Duration,
-    /// Time without a byte after which a caller asks another router.
+    /// Time without a byte after which a caller retries at another router.
     pub stall: Duration,
-    /// Refusals with "come back later" that a caller obeys before it leaves.
+    /// Refusals with Retry-After that a caller obeys before giving up.
     pub refusals: u32,
 }
 
-impl Default for Patience {
-    /// A minute in all; a third of it in silence; one refusal.
+impl Default for RetryPolicy {
+    /// One minute in total, 20 seconds without a byte, one refusal.
     fn default() -> Self {
-        Patience { total: Duration::from_secs(60), stall: Duration::from_secs(20), refusals: 1 }
+        RetryPolicy { total: Duration::from_secs(60), stall: Duration::from_secs(20), refusals: 1 }
     }
 }
 
-/// Why one attempt brought no answer.
+/// Failure of one attempt.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AttemptError {
-    /// No connection came about: nothing was sent.
+    /// Connecting failed; nothing was sent.
     #[error("not reached")]
     NotReached,
     /// The connection broke.
     #[error("connection broken")]
     Broken,
-    /// Nothing came for too long.
+    /// No byte arrived within the stall timeout.
     #[error("stalled")]
     Stalled,
     /// The router answered with an error.
@@ -91,7 +91,7 @@
 }
 
 impl AttemptError {
-    /// How a repeatable request ends that is given up after this.
+    /// Outcome of a repeatable request that is given up after this error.
     pub fn ending(&self) -> Ending {
         match self {
             AttemptError::Refused(detail) if detail.not_run => Ending::Refused(detail.code.clone()),
@@ -100,50 +100,50 @@
     }
 }
 
-/// What a caller does after an attempt that brought no answer.
+/// Reaction of a caller to a failed attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Next {
-    /// Ask again after this time.
-    Again(Duration),
-    /// Leave.
-    Leave,
+pub enum RetryDecision {
+    /// Retry after this delay.
+    Retry(Duration),
+    /// Give up.
+    GiveUp,
 }
 
-/// All callers of one run.
+/// Client shared by all callers of one run.
 #[derive(Clone, Debug)]
 pub struct Client {
     http: reqwest::Client,
     routers: Vec<RouterTarget>,
     key_prefix: String,
-    /// How callers behave.
-    pub patience: Patience,
+    /// Timeouts and retry limit of callers.
+    pub retry_policy: RetryPolicy,
 }
 
 impl Client {
-    /// Callers that ask `routers`. The API key of a tenant is `key_prefix` and its name.
+    /// Creates callers of `routers`. A tenant's API key is `key_prefix` followed by the tenant's name.
     ///
     /// # Errors
     /// Fails when the HTTP client can't be set up.
     pub fn new(
         routers: Vec<RouterTarget>,
         key_prefix: String,
-        patience: Patience,
+        retry_policy: RetryPolicy,
     ) -> Result<Self, reqwest::Error> {
         let http = reqwest::Client::builder().connect_timeout(CONNECT_TIMEOUT).build()?;
-        Ok(Client { http, routers, key_prefix, patience })
+        Ok(Client { http, routers, key_prefix, retry_policy })
     }
 
-    /// The router for attempt number `attempt` of a caller in `zone`: its own
-    /// zone's routers first, then the others.
+    /// Selects the router for attempt number `attempt` of a caller in `zone`:
+    /// routers of the same zone first, then the others.
     pub fn router(&self, zone: &ZoneName, number: usize, attempt: u32) -> Option<SocketAddr> {
         let is_near = |target: &&RouterTarget| target.zone.as_ref().is_none_or(|z| z == zone);
         let (near, far): (Vec<_>, Vec<_>) = self.routers.iter().partition(is_near);
         let order: Vec<_> = rotated(near, number).chain(rotated(far, number)).collect();
-        let place = (attempt as usize).checked_rem(order.len())?;
-        order.get(place).map(|target| target.address)
+        let index = (attempt as usize).checked_rem(order.len())?;
+        order.get(index).map(|target| target.address)
     }
 
-    /// A call as `tenant`.
+    /// Builds a call as `tenant`.
     pub fn call(
         &self,
         method: reqwest::Method,
@@ -155,12 +155,12 @@
         self.http.request(method, format!("http://{router}{path}")).bearer_auth(key)
     }
 
-    /// Sends a call and waits for the head of its answer.
+    /// Sends a call and waits for the response head.
     ///
     /// # Errors
-    /// Fails when there is none, or when it is an error.
+    /// Fails when no response head arrives, or with an error status.
     pub async fn send(&self, call: RequestBuilder) -> Result<Response, AttemptError> {
-        let response = match timeout(self.patience.stall, call.send()).await {
+        let response = match timeout(self.retry_policy.stall, call.send()).await {
             Err(_) => return Err(AttemptError::Stalled),
             Ok(Err(error)) if error.is_connect() => return Err(AttemptError::NotReached),
             Ok(Err(_)) => return Err(AttemptError::Broken),
@@ -178,31 +178,36 @@
         Err(AttemptError::Refused(detail))
     }
 
-    /// What to do after `error`, the caller having obeyed `refusals` before.
-    pub fn next(&self, error: &AttemptError, started: Instant, refusals: &mut u32) -> Next {
-        let pause = match error {
+    /// Decides the reaction to `error` after `refusals` obeyed refusals.
+    pub fn decide_retry(
+        &self,
+        error: &AttemptError,
+        started: Instant,
+        refusals: &mut u32,
+    ) -> RetryDecision {
+        let delay = match error {
             AttemptError::NotReached | AttemptError::Broken | AttemptError::Stalled => {
-                RECONNECT_PAUSE
+                RECONNECT_DELAY
             }
-            AttemptError::Refused(detail) if detail.code == STOPPING => RECONNECT_PAUSE,
-            AttemptError::Refused(detail) if detail.code == WEIGHTS_CHANGED => RECONNECT_PAUSE,
+            AttemptError::Refused(detail) if detail.code == STOPPING_CODE => RECONNECT_DELAY,
+            AttemptError::Refused(detail) if detail.code == WEIGHTS_CHANGED_CODE => RECONNECT_DELAY,
             AttemptError::Refused(detail) => {
-                let Some(after) = detail.retry_after_ms else { return Next::Leave };
+                let Some(after) = detail.retry_after_ms else { return RetryDecision::GiveUp };
                 *refusals += 1;
-                if *refusals > self.patience.refusals {
-                    return Next::Leave;
+                if *refusals > self.retry_policy.refusals {
+                    return RetryDecision::GiveUp;
                 }
-                Duration::from_millis(after).min(MAX_RETRY_PAUSE)
+                Duration::from_millis(after).min(MAX_RETRY_DELAY)
             }
         };
-        if started.elapsed() + pause >= self.patience.total {
-            return Next::Leave;
+        if started.elapsed() + delay >= self.retry_policy.total {
+            return RetryDecision::GiveUp;
         }
-        Next::Again(pause)
+        RetryDecision::Retry(delay)
     }
 }
 
-/// `targets`, begun at another one for each request, so that all share the load.
+/// Rotates `targets` by request to spread the load.
 fn rotated(mut targets: Vec<&RouterTarget>, number: usize) -> impl Iterator<Item = &RouterTarget> {
     let shift = number.checked_rem(targets.len()).unwrap_or(0);
     targets.rotate_left(shift);
--- a/crates/lab/src/load/executions.rs
+++ b/crates/lab/src/load/executions.rs
@@ -1,4 +1,5 @@
-//! Compares what callers were told with what the application servers ran.
+//! Compares the answers to at-most-once requests with the executions that the
+//! application servers recorded.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -11,19 +12,19 @@
 use super::client::AttemptError;
 use super::outcome::{Violation, ViolationKind};
 
-/// What a caller may believe of its call.
+/// Execution state of a call as its answers imply it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Belief {
-    /// Every answer said that nothing ran, or nothing was ever sent.
+    /// Every answer denied the execution, or nothing was sent.
     NotRun,
-    /// It was answered as done.
+    /// The call was answered as executed.
     Run,
-    /// Some attempt left it open.
+    /// At least one attempt left the execution unknown.
     Open,
 }
 
 impl Belief {
-    /// What to believe after an attempt that brought `error`.
+    /// Returns the state after an attempt that failed with `error`.
     pub fn after(self, error: &AttemptError) -> Self {
         match error {
             AttemptError::NotReached => self,
@@ -33,16 +34,16 @@
     }
 }
 
-/// One call that runs at most once, as its caller saw it.
+/// One at-most-once request as its caller saw it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallRecord {
-    /// The call.
+    /// Identity of the call.
     pub execution: Execution,
-    /// What its caller believes.
+    /// Execution state that the answers imply.
     pub belief: Belief,
 }
 
-/// Where the record of what ran is read from.
+/// Source of execution records.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ExecutionSource {
     /// A running application server.
@@ -51,21 +52,21 @@
     Journal(PathBuf),
 }
 
-/// Why a record can't be read.
+/// Failure to read execution records.
 #[derive(Debug, thiserror::Error)]
 pub enum ExecutionSourceError {
-    /// The server doesn't answer, or with something else.
-    #[error("the record of {0} can't be read")]
+    /// The server didn't answer, or the answer is malformed.
+    #[error("the execution record of application server {0} can't be read")]
     Server(SocketAddr, #[source] reqwest::Error),
     /// The journal can't be read.
     #[error("the journal {0} can't be read")]
     Journal(PathBuf, #[source] io::Error),
 }
 
-/// Everything that ran, over all sources.
+/// Reads the executions of all sources.
 ///
 /// # Errors
-/// Fails when one source can't be read: without it nothing can be said.
+/// Fails when any source can't be read, since violations could be missed.
 pub async fn read_sources(
     sources: &[ExecutionSource],
 ) -> Result<BTreeMap<Execution, u64>, ExecutionSourceError> {
@@ -95,7 +96,7 @@
     }
 }
 
-/// Violations that the record of what ran shows.
+/// Returns the violations that the recorded executions show.
 pub fn compare(calls: &[CallRecord], ran: &BTreeMap<Execution, u64>) -> Vec<Violation> {
     let mut violations = Vec::new();
     for (execution, count) in ran.iter().filter(|(_, count)| **count > 1) {
--- a/crates/lab/src/load/mod.rs
+++ b/crates/lab/src/load/mod.rs
@@ -6,9 +6,9 @@
 pub mod client;
 pub mod executions;
 pub mod outcome;
-pub mod persist;
 pub mod preview;
 pub mod report;
+pub mod retry;
 pub mod runner;
 pub mod stream;
 
@@ -18,7 +18,7 @@
 use juniper_emulators::trace::{Profile, Trace, TraceOptions, generate};
 use lexopt::Arg;
 
-pub use self::client::{Patience, RouterTarget};
+pub use self::client::{RetryPolicy, RouterTarget};
 pub use self::executions::ExecutionSource;
 pub use self::report::LoadReport;
 pub use self::runner::{LoadError, LoadOptions, run_load};
@@ -31,7 +31,7 @@
 Usage: juniper-lab load --router [ZONE=]ADDRESS [OPTIONS]
 
 Sends a trace to a running fleet and checks every answer. Prints a report as
-JSON; exits with 1 if a promise was broken.
+JSON; exits with 1 if a guarantee was violated.
 
 Options:
   --trace FILE             trace to send  [default: one is generated]
@@ -41,7 +41,7 @@
   --seconds N              time in which requests arrive  [default: 20]
 ";
 
-/// Why the load could not be run or reported.
+/// Failure to run the load or write the report.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum ReportError {
     /// The runtime can't be started.
@@ -55,7 +55,7 @@
 /// Runs the command with the arguments that follow its name.
 ///
 /// # Errors
-/// Fails when the arguments are faulty or the run itself fails.
+/// Fails when the arguments are invalid or the run fails.
 pub fn run(parser: &mut lexopt::Parser) -> miette::Result<ExitCode> {
     let mut options = default_options();
     let mut file: Option<PathBuf> = None;
@@ -93,7 +93,7 @@
     run_and_print(&trace, options)
 }
 
-/// Sends `trace`, prints the report and says whether every promise was kept.
+/// Sends `trace`, prints the report and returns whether no guarantee was violated.
 ///
 /// # Errors
 /// Fails when the run can't be carried out.
--- a/crates/lab/src/load/outcome.rs
+++ b/crates/lab/src/load/outcome.rs
@@ -1,4 +1,4 @@
-//! What became of one request, as its caller saw it.
+//! Outcome of one request as its caller saw it.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 pub enum RequestKind {
     /// A chat completion.
     Chat,
-    /// A call that runs at most once.
+    /// An at-most-once request.
     AtMostOnce,
     /// A listing.
     Listing,
@@ -18,81 +18,81 @@
     Preview,
 }
 
-/// An answer that must never be given.
+/// Kind of a violated guarantee.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ViolationKind {
-    /// A piece of the answer came twice.
+    /// A piece of the answer was received twice.
     Doubled,
     /// A piece of the answer is missing.
     Gap,
-    /// The answer ended properly before its last piece.
+    /// The answer ended without an error before the last piece.
     Truncated,
-    /// The answer goes on after its end.
+    /// The answer continues after the end marker.
     Overlong,
-    /// The answer is not the one to this request.
+    /// The answer belongs to another request.
     WrongContent,
     /// The answer carries another request's id.
     WrongId,
-    /// The counts of tokens are not those of this request.
+    /// The token counts don't match this request.
     WrongUsage,
-    /// A call that runs at most once ran again.
+    /// An at-most-once request was executed more than once.
     RanTwice,
-    /// A call ran although every answer to it said that it did not.
+    /// A call was executed although every answer denied the execution.
     FalseRefusal,
-    /// A call was answered as done although no server ran it.
+    /// A call was answered as executed although no server recorded the execution.
     AnsweredWithoutRunning,
 }
 
-/// One broken promise, with what was seen.
+/// One violated guarantee with details.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error, Serialize)]
 #[error("{kind:?}: {detail}")]
 pub struct Violation {
-    /// Which promise.
+    /// Kind of the violation.
     pub kind: ViolationKind,
-    /// What was seen.
+    /// Details for the report.
     pub detail: String,
 }
 
 impl Violation {
-    /// A violation of `kind`.
+    /// Creates a violation of `kind`.
     pub fn new(kind: ViolationKind, detail: impl Into<String>) -> Self {
         Violation { kind, detail: detail.into() }
     }
 }
 
-/// How a request ended.
+/// Final state of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// With its whole answer.
+    /// Completed with the whole answer.
     Complete,
-    /// With an answer that says that nothing ran; its code.
+    /// Refused without execution; holds the error code.
     Refused(String),
-    /// Without a whole answer; why.
+    /// Failed without a whole answer; holds the reason.
     Failed(String),
-    /// A call that runs at most once may have run; why that isn't known.
+    /// At-most-once request whose execution is unknown; holds the reason.
     Unknown(String),
-    /// With an answer that must never be given.
+    /// Answered in violation of a guarantee.
     Violated(Violation),
 }
 
-/// One request that has ended.
+/// One finished request.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// Its kind.
+    /// Kind of the request.
     pub kind: RequestKind,
-    /// How it ended.
+    /// Final state of the request.
     pub ending: Ending,
-    /// From arrival to the first piece of the answer.
+    /// Time from arrival to the first piece of the answer.
     pub first: Option<Duration>,
-    /// From arrival to the end.
+    /// Time from arrival to the end.
     pub total: Duration,
-    /// Times that the caller asked.
+    /// Number of attempts.
     pub attempts: u32,
-    /// Times that the caller went on in the middle of an answer.
+    /// Number of retries that resumed a partial answer.
     pub resumed: u32,
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub prompt_tokens: u64,
-    /// Prompt tokens that the first engine found in its cache.
+    /// Prompt tokens cached at the first engine.
     pub cached_tokens: u64,
 }
--- a/crates/lab/src/load/preview.rs
+++ b/crates/lab/src/load/preview.rs
@@ -1,4 +1,4 @@
-//! One preview stream, fetched until all its bytes have come.
+//! One preview stream, fetched with retries until all bytes are received.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,9 +9,9 @@
 
 use super::client::{AttemptError, Client};
 use super::outcome::{Outcome, RequestKind, Violation, ViolationKind};
-use super::persist::{Caller, Persistent, Reading, persist};
+use super::retry::{AttemptResult, Caller, RetriedRequest, run_with_retries};
 
-/// A preview under way.
+/// A preview in flight.
 #[derive(Clone, Debug)]
 pub struct PreviewCall {
     caller: Caller,
@@ -22,17 +22,17 @@
 }
 
 impl PreviewCall {
-    /// The preview of `clip`.
+    /// Creates the request for the preview of `clip`.
     pub fn new(caller: Caller, clip: u64) -> Self {
         PreviewCall { caller, clip, wanted: preview_bytes(clip), next: 0, first: None }
     }
 
-    /// Fetches until the preview is complete or the caller gives up.
+    /// Retries until the preview is complete or the caller gives up.
     pub async fn run(mut self, client: &Client) -> Outcome {
-        persist(&mut self, client).await
+        run_with_retries(&mut self, client).await
     }
 
-    fn take(&mut self, bytes: &[u8]) -> Result<(), Violation> {
+    fn check_bytes(&mut self, bytes: &[u8]) -> Result<(), Violation> {
         let end = self.next + bytes.len();
         let detail = || format!("clip={} at={} end={end}", self.clip, self.next);
         let Some(wanted) = self.wanted.get(self.next..end) else {
@@ -46,8 +46,8 @@
         Ok(())
     }
 
-    /// A proper end must not come before the last byte.
-    fn end(&self) -> Result<(), Violation> {
+    /// Checks that a regular end of the stream follows the last byte.
+    fn check_end(&self) -> Result<(), Violation> {
         let (bytes, wanted) = (self.next, self.wanted.len());
         if bytes == wanted {
             return Ok(());
@@ -57,14 +57,14 @@
     }
 }
 
-impl Persistent for PreviewCall {
+impl RetriedRequest for PreviewCall {
     const KIND: RequestKind = RequestKind::Preview;
 
     fn caller(&self) -> &Caller {
         &self.caller
     }
 
-    async fn attempt(&mut self, client: &Client, router: SocketAddr) -> Reading {
+    async fn attempt(&mut self, client: &Client, router: SocketAddr) -> AttemptResult {
         let path = format!("/previews/{}", self.clip);
         let mut call = self.caller.call(client, Method::GET, router, &path);
         if self.next > 0 {
@@ -72,23 +72,23 @@
         }
         let mut response = match client.send(call).await {
             Ok(response) => response,
-            Err(error) => return Reading::Broken(error),
+            Err(error) => return AttemptResult::Broken(error),
         };
         loop {
-            match timeout(client.patience.stall, response.chunk()).await {
-                Err(_) => return Reading::Broken(AttemptError::Stalled),
-                Ok(Err(_)) => return Reading::Broken(AttemptError::Broken),
-                Ok(Ok(None)) => return self.end().into(),
+            match timeout(client.retry_policy.stall, response.chunk()).await {
+                Err(_) => return AttemptResult::Broken(AttemptError::Stalled),
+                Ok(Err(_)) => return AttemptResult::Broken(AttemptError::Broken),
+                Ok(Ok(None)) => return self.check_end().into(),
                 Ok(Ok(Some(bytes))) => {
-                    if let Err(violation) = self.take(&bytes) {
-                        return Reading::Violated(violation);
+                    if let Err(violation) = self.check_bytes(&bytes) {
+                        return AttemptResult::Violated(violation);
                     }
                 }
             }
         }
     }
 
-    fn has_begun(&self) -> bool {
+    fn is_partial(&self) -> bool {
         self.next > 0
     }
 
--- a/crates/lab/src/load/report.rs
+++ b/crates/lab/src/load/report.rs
@@ -1,4 +1,4 @@
-//! What a run of load came to.
+//! Report of a load run.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,27 +8,27 @@
 
 use super::outcome::{Ending, Outcome, RequestKind, Violation};
 
-/// Longest latency that is told apart, in microseconds: ten minutes.
+/// Highest latency that the histograms resolve, in microseconds (ten minutes).
 const MAX_LATENCY_US: u64 = 600_000_000;
 
-/// Significant digits of latencies.
+/// Significant decimal digits of recorded latencies.
 const LATENCY_DIGITS: u8 = 3;
 
-/// Violations that are described one by one.
-const DESCRIBED_VIOLATIONS: usize = 50;
+/// Maximum number of violations described individually.
+const MAX_DESCRIBED_VIOLATIONS: usize = 50;
 
 /// Percentiles of a latency, in milliseconds; absent when nothing was measured.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Latency {
-    /// Requests measured.
+    /// Number of samples.
     pub count: u64,
     /// Median.
     pub p50_ms: f64,
-    /// 90 in 100 are faster.
+    /// 90th percentile.
     pub p90_ms: f64,
-    /// 99 in 100 are faster.
+    /// 99th percentile.
     pub p99_ms: f64,
-    /// Longest.
+    /// Maximum.
     pub max_ms: f64,
 }
 
@@ -48,65 +48,65 @@
     }
 }
 
-/// Requests of one kind by how they ended.
+/// Requests of one kind by final state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct KindCounts {
-    /// Requests in all.
+    /// All requests.
     pub requests: u64,
-    /// With their whole answer.
+    /// Requests completed with the whole answer.
     pub complete: u64,
-    /// Refused: nothing ran.
+    /// Requests refused without execution.
     pub refused: u64,
-    /// Without a whole answer.
+    /// Requests that failed without a whole answer.
     pub failed: u64,
-    /// Calls of which it isn't known whether they ran.
+    /// At-most-once requests whose execution is unknown.
     pub unknown: u64,
 }
 
-/// The report of a run.
+/// Report of a run.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct LoadReport {
     /// Requests sent.
     pub requests: u64,
-    /// Requests that got their whole answer.
+    /// Requests completed with the whole answer.
     pub complete: u64,
-    /// Requests that were refused: nothing ran.
+    /// Requests refused without execution.
     pub refused: u64,
-    /// Requests that got no whole answer.
+    /// Requests that failed without a whole answer.
     pub failed: u64,
-    /// Calls of which it isn't known whether they ran.
+    /// At-most-once requests whose execution is unknown.
     pub unknown: u64,
-    /// Broken promises.
+    /// Number of violated guarantees.
     pub violations: u64,
-    /// The first broken promises.
+    /// Details of the first violations.
     pub violation_details: Vec<Violation>,
-    /// Share of prompt tokens found in caches, over complete chats.
+    /// Share of prompt tokens that were cached, over completed chats.
     pub hit_rate: f64,
     /// Median time to first token of streamed chats, in milliseconds.
     pub ttft_p50_ms: f64,
-    /// 99th percentile of the same.
+    /// 99th percentile of the time to first token of streamed chats, in milliseconds.
     pub ttft_p99_ms: f64,
     /// Time to first token of streamed chats.
     pub first_token: Option<Latency>,
-    /// Time to the whole answer, by kind.
+    /// Time to the whole answer by request kind.
     pub whole_answer: BTreeMap<RequestKind, Latency>,
-    /// Counts by kind.
+    /// Request counts by kind.
     pub by_kind: BTreeMap<RequestKind, KindCounts>,
-    /// Refusals by code.
+    /// Refusals by error code.
     pub refusals: BTreeMap<String, u64>,
     /// Failures by reason.
     pub failures: BTreeMap<String, u64>,
-    /// Times that callers asked again.
+    /// Number of retries.
     pub retries: u64,
-    /// Times that callers went on in the middle of an answer.
+    /// Number of retries that resumed a partial answer.
     pub resumed: u64,
-    /// Longest time that a request was sent late by the load generator itself, in milliseconds.
+    /// Longest delay of a request by the load generator itself, in milliseconds.
     pub generator_lag_ms: f64,
-    /// Time that the run took, in milliseconds.
+    /// Duration of the run, in milliseconds.
     pub duration_ms: u64,
 }
 
-/// Outcomes counted so far.
+/// Aggregates the outcomes of a run.
 #[derive(Clone, Debug)]
 pub struct Collector {
     by_kind: BTreeMap<RequestKind, KindCounts>,
@@ -130,10 +130,10 @@
 }
 
 impl Collector {
-    /// Nothing counted.
+    /// Creates an empty collector.
     ///
     /// # Errors
-    /// Never with this build's bounds; the histogram's constructor is fallible.
+    /// Never fails with the bounds used here; the histogram's constructor is fallible.
     pub fn new() -> Result<Self, CreationError> {
         let kinds = [
             RequestKind::Chat,
@@ -159,7 +159,7 @@
         })
     }
 
-    /// Counts one outcome.
+    /// Adds one outcome.
     pub fn record(&mut self, outcome: Outcome) {
         self.retries += u64::from(outcome.attempts.saturating_sub(1));
         self.resumed += u64::from(outcome.resumed);
@@ -199,12 +199,12 @@
         }
     }
 
-    /// Counts violations that were found after the run.
+    /// Adds violations that were found after the run.
     pub fn add_violations(&mut self, violations: impl IntoIterator<Item = Violation>) {
         self.violations.extend(violations);
     }
 
-    /// The report.
+    /// Builds the report.
     pub fn report(self, generator_lag: Duration, duration: Duration) -> LoadReport {
         let sum = |count: fn(&KindCounts) -> u64| self.by_kind.values().map(count).sum();
         let first_token = Latency::of(&self.first_token);
@@ -225,7 +225,7 @@
             ttft_p99_ms: first_token.map_or(0.0, |latency| latency.p99_ms),
             first_token,
             whole_answer,
-            violation_details: self.violations.into_iter().take(DESCRIBED_VIOLATIONS).collect(),
+            violation_details: self.violations.into_iter().take(MAX_DESCRIBED_VIOLATIONS).collect(),
             by_kind: self.by_kind,
             refusals: self.refusals,
             failures: self.failures,
--- a/crates/lab/src/load/persist.rs
+++ b/crates/lab/src/load/retry.rs
@@ -1,4 +1,4 @@
-//! Asks again until a request has ended.
+//! Retries a request until it is completed or given up.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,26 +7,26 @@
 use reqwest::{Method, RequestBuilder};
 use tokio::time::{Instant, sleep};
 
-use super::client::{AttemptError, Client, Next};
+use super::client::{AttemptError, Client, RetryDecision};
 use super::outcome::{Ending, Outcome, RequestKind, Violation};
 
-/// Who asks, and since when.
+/// Caller, target service and arrival time of a request.
 #[derive(Clone, Debug)]
 pub struct Caller {
     /// Number of the request in the trace.
     pub number: usize,
     /// Zone of the caller.
     pub zone: ZoneName,
-    /// Whose request.
+    /// Tenant of the caller.
     pub tenant: TenantName,
-    /// Service asked for.
+    /// Requested service.
     pub service: ServiceName,
-    /// When the request arrived.
+    /// Arrival time of the request.
     pub arrived: Instant,
 }
 
 impl Caller {
-    /// A call to `router` for this caller's tenant and service.
+    /// Builds a call to `router` for this caller's tenant and service.
     pub fn call(
         &self,
         client: &Client,
@@ -39,56 +39,56 @@
     }
 }
 
-/// How one attempt ended.
+/// Result of one attempt.
 #[derive(Debug)]
-pub enum Reading {
-    /// The whole answer has come.
+pub enum AttemptResult {
+    /// The answer is complete.
     Complete,
-    /// It has not, and another attempt may bring the rest.
+    /// The answer is incomplete; a retry may bring the rest.
     Broken(AttemptError),
-    /// Something came that must never come.
+    /// The answer violates a guarantee.
     Violated(Violation),
 }
 
-impl From<Result<(), Violation>> for Reading {
+impl From<Result<(), Violation>> for AttemptResult {
     fn from(checked: Result<(), Violation>) -> Self {
         match checked {
-            Ok(()) => Reading::Complete,
-            Err(violation) => Reading::Violated(violation),
+            Ok(()) => AttemptResult::Complete,
+            Err(violation) => AttemptResult::Violated(violation),
         }
     }
 }
 
 /// A request that may take several attempts.
-pub trait Persistent: Send {
-    /// Its kind.
+pub trait RetriedRequest: Send {
+    /// Kind of the request.
     const KIND: RequestKind;
 
-    /// Who asks.
+    /// Caller of the request.
     fn caller(&self) -> &Caller;
 
-    /// Asks `router` for what is still lacking.
+    /// Requests the missing part of the answer from `router`.
     fn attempt(
         &mut self,
         client: &Client,
         router: SocketAddr,
-    ) -> impl Future<Output = Reading> + Send;
+    ) -> impl Future<Output = AttemptResult> + Send;
 
-    /// Whether part of the answer has come.
-    fn has_begun(&self) -> bool;
+    /// Whether part of the answer was received.
+    fn is_partial(&self) -> bool;
 
-    /// From arrival to the first piece of the answer.
+    /// Time from arrival to the first piece of the answer.
     fn first(&self) -> Option<Duration>;
 
-    /// How the request ends when it is given up after `error`.
-    fn given_up(&self, error: &AttemptError) -> Ending {
+    /// Outcome of the request if the caller gives up after `error`.
+    fn ending_after(&self, error: &AttemptError) -> Ending {
         error.ending()
     }
 }
 
-/// Asks one router after the other until the answer is complete, must not be
-/// taken, or the caller's patience is at its end.
-pub async fn persist<R: Persistent>(request: &mut R, client: &Client) -> Outcome {
+/// Tries one router after the other until the answer is complete or violates a
+/// guarantee, or the caller gives up.
+pub async fn run_with_retries<R: RetriedRequest>(request: &mut R, client: &Client) -> Outcome {
     let Caller { number, zone, arrived, .. } = request.caller().clone();
     let (mut attempts, mut resumed, mut refusals) = (0, 0, 0);
     let ending = loop {
@@ -96,15 +96,15 @@
             break Ending::Failed("no_router".to_owned());
         };
         attempts += 1;
-        resumed += u32::from(request.has_begun());
+        resumed += u32::from(request.is_partial());
         let error = match request.attempt(client, router).await {
-            Reading::Complete => break Ending::Complete,
-            Reading::Violated(violation) => break Ending::Violated(violation),
-            Reading::Broken(error) => error,
+            AttemptResult::Complete => break Ending::Complete,
+            AttemptResult::Violated(violation) => break Ending::Violated(violation),
+            AttemptResult::Broken(error) => error,
         };
-        match client.next(&error, arrived, &mut refusals) {
-            Next::Again(pause) => sleep(pause).await,
-            Next::Leave => break request.given_up(&error),
+        match client.decide_retry(&error, arrived, &mut refusals) {
+            RetryDecision::Retry(delay) => sleep(delay).await,
+            RetryDecision::GiveUp => break request.ending_after(&error),
         }
     };
     Outcome {
--- a/crates/lab/src/load/runner.rs
+++ b/crates/lab/src/load/runner.rs
@@ -1,5 +1,5 @@
-//! Sends a trace, open loop: a request is sent when it is due, whatever became
-//! of the ones before it.
+//! Open-loop load generator: each request is sent at its time in the trace,
+//! independently of the outcome of earlier requests.
 
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -11,47 +11,47 @@
 use tokio::task::{JoinError, JoinSet};
 use tokio::time::{Instant, sleep, sleep_until};
 
-use super::applications::{ListingCall, OnceCall};
+use super::applications::{AtMostOnceCall, ListingCall};
 use super::chat::{ChatCall, ChatQuestion};
-use super::client::{Client, Patience, RouterTarget};
+use super::client::{Client, RetryPolicy, RouterTarget};
 use super::executions::{CallRecord, ExecutionSource, ExecutionSourceError, compare, read_sources};
 use super::outcome::Outcome;
-use super::persist::Caller;
 use super::preview::PreviewCall;
 use super::report::{Collector, LoadReport};
+use super::retry::Caller;
 use super::stream::{AnswerCheck, Expected};
 
-/// One in this many light chats is asked for as a whole rather than streamed.
-const WHOLE_ANSWERS: usize = 8;
+/// One in this many low-priority chats is requested without streaming.
+const UNSTREAMED_CHAT_INTERVAL: usize = 8;
 
-/// Priority below which a chat counts as light.
-const HEAVY_PRIORITY: u8 = 6;
+/// Priority from which every chat is streamed.
+const ALWAYS_STREAMED_PRIORITY: u8 = 6;
 
-/// Time that servers get to finish what they run before their record is read.
+/// Time for application servers to finish running calls before their records are read.
 const SETTLE_TIME: Duration = Duration::from_secs(1);
 
-/// Seed of generation: the emulated engines' default.
+/// Seed of generated texts; the default of the emulated engines.
 const GENERATION_SEED: u64 = 0;
 
-/// How a trace is sent.
+/// Options for sending a trace.
 #[derive(Clone, Debug)]
 pub struct LoadOptions {
-    /// Routers to send to.
+    /// Routers that receive the requests.
     pub routers: Vec<RouterTarget>,
-    /// API keys are this text and the tenant's name.
+    /// Prefix of API keys; the tenant's name follows.
     pub key_prefix: String,
-    /// How callers behave.
-    pub patience: Patience,
-    /// Versions of the weights whose answers are right.
+    /// Timeouts and retry limit of callers.
+    pub retry_policy: RetryPolicy,
+    /// Weights versions whose answers are accepted as correct.
     pub weights: Vec<WeightsVersion>,
-    /// Records of what the application servers ran; without any, calls that
-    /// run at most once are not checked against them.
+    /// Execution records of the application servers; if empty, at-most-once
+    /// requests aren't checked against them.
     pub executions: Vec<ExecutionSource>,
-    /// Factor on the speed of the trace.
+    /// Speed-up factor of the trace.
     pub speed: f64,
 }
 
-/// Why a run can't be carried out.
+/// Failure to carry out a run.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum LoadError {
     /// The HTTP client can't be set up.
@@ -60,7 +60,7 @@
     /// A histogram can't be set up.
     #[error("a histogram can't be set up")]
     Histogram(#[from] CreationError),
-    /// A request's task ended with a panic.
+    /// A request's task panicked.
     #[error("a request's task failed")]
     Task(#[from] JoinError),
     /// The record of an application server can't be read.
@@ -68,7 +68,7 @@
     Executions(#[from] ExecutionSourceError),
 }
 
-type Ended = (Outcome, Option<CallRecord>);
+type FinishedRequest = (Outcome, Option<CallRecord>);
 
 struct Runner {
     client: Arc<Client>,
@@ -81,9 +81,9 @@
 /// Sends `trace` and checks every answer.
 ///
 /// # Errors
-/// Fails when the run can't be carried out; what the fleet does wrong is in the report.
+/// Fails when the run can't be carried out. Faults of the fleet are in the report.
 pub async fn run_load(trace: &Trace, options: LoadOptions) -> Result<LoadReport, LoadError> {
-    let client = Client::new(options.routers, options.key_prefix, options.patience)?;
+    let client = Client::new(options.routers, options.key_prefix, options.retry_policy)?;
     let mut runner = Runner {
         client: Arc::new(client),
         texts: PromptTexts::new(trace.header.seed),
@@ -92,7 +92,7 @@
     };
     let mut collector = Collector::new()?;
     let mut calls = Vec::new();
-    let mut tasks: JoinSet<Ended> = JoinSet::new();
+    let mut tasks: JoinSet<FinishedRequest> = JoinSet::new();
     let mut lag = Duration::ZERO;
     let start = Instant::now();
     for (number, record) in trace.records.iter().enumerate() {
@@ -101,11 +101,11 @@
         lag = lag.max(due.elapsed());
         runner.start(number, record, due, &mut tasks);
         while let Some(ended) = tasks.try_join_next() {
-            take(ended?, &mut collector, &mut calls);
+            collect(ended?, &mut collector, &mut calls);
         }
     }
     while let Some(ended) = tasks.join_next().await {
-        take(ended?, &mut collector, &mut calls);
+        collect(ended?, &mut collector, &mut calls);
     }
     let duration = start.elapsed();
     if !options.executions.is_empty() {
@@ -116,7 +116,11 @@
     Ok(collector.report(lag, duration))
 }
 
-fn take((outcome, call): Ended, collector: &mut Collector, calls: &mut Vec<CallRecord>) {
+fn collect(
+    (outcome, call): FinishedRequest,
+    collector: &mut Collector,
+    calls: &mut Vec<CallRecord>,
+) {
     collector.record(outcome);
     calls.extend(call);
 }
@@ -127,7 +131,7 @@
         number: usize,
         record: &TraceRecord,
         arrived: Instant,
-        tasks: &mut JoinSet<Ended>,
+        tasks: &mut JoinSet<FinishedRequest>,
     ) {
         let client = Arc::clone(&self.client);
         let caller = Caller {
@@ -139,14 +143,15 @@
         };
         match &record.request {
             TraceRequest::Chat { output_tokens, priority, .. } => {
-                let stream = *priority >= HEAVY_PRIORITY || !number.is_multiple_of(WHOLE_ANSWERS);
+                let stream = *priority >= ALWAYS_STREAMED_PRIORITY
+                    || !number.is_multiple_of(UNSTREAMED_CHAT_INTERVAL);
                 let call = self.chat(caller, &record.request, *output_tokens, stream);
                 tasks.spawn(async move { (call.run(&client).await, None) });
             }
             TraceRequest::AtMostOnce { number, body_bytes } => {
                 let path = format!("/apply/{}/{number}", record.service);
                 let body = vec![b'a' + (number % 26) as u8; *body_bytes as usize];
-                let call = OnceCall::new(caller, path, self.key(*number), body);
+                let call = AtMostOnceCall::new(caller, path, self.key(*number), body);
                 tasks.spawn(async move {
                     let (outcome, record) = call.run(&client).await;
                     (outcome, Some(record))
--- a/crates/lab/src/load/stream.rs
+++ b/crates/lab/src/load/stream.rs
@@ -1,7 +1,7 @@
 //! Checks a streamed answer piece by piece.
 //!
-//! This reader is kept apart from the router's own on purpose: the check must
-//! not share a mistake with what it checks.
+//! The parser is deliberately independent of the router's, so that a parser bug
+//! can't hide itself from the check.
 
 use juniper_emulators::content::GeneratedText;
 use juniper_emulators::http::chat::{Chunk, Usage};
@@ -13,17 +13,17 @@
 /// Longest line of a stream, in bytes.
 const MAX_LINE_BYTES: usize = 1 << 20;
 
-/// Text that ends a stream.
-const DONE: &str = "[DONE]";
+/// Data of the event that ends a stream.
+const DONE_DATA: &str = "[DONE_DATA]";
 
-/// Why a stream can't be read.
+/// Malformed stream.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StreamError {
     /// A line is longer than `MAX_LINE_BYTES`.
     #[error("a line is too long")]
     LineTooLong,
-    /// An event is not the JSON expected.
-    #[error("an event can't be read")]
+    /// An event doesn't hold the expected JSON.
+    #[error("an event is malformed")]
     Malformed,
 }
 
@@ -38,23 +38,23 @@
     Done,
 }
 
-/// An error as the router describes it.
+/// Error details in a router's answer.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(default)]
 pub struct ErrorDetail {
-    /// Stable code.
+    /// Stable error code.
     pub code: String,
-    /// Whether nothing ran.
+    /// Whether the router guarantees that the request wasn't executed.
     pub not_run: bool,
-    /// When to come back, in milliseconds.
+    /// Delay before a retry, in milliseconds.
     pub retry_after_ms: Option<u64>,
 }
 
-/// The body of an error.
+/// Body of an error answer.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(default)]
 pub struct ErrorBody {
-    /// The error.
+    /// Details of the error.
     pub error: ErrorDetail,
 }
 
@@ -66,10 +66,10 @@
 }
 
 impl StreamReader {
-    /// The events that `bytes` complete.
+    /// Appends `bytes` and returns the events completed by them.
     ///
     /// # Errors
-    /// Fails when a line is too long or is not an event.
+    /// Fails when a line is too long or an event is malformed.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<StreamEvent>, StreamError> {
         self.buffer.extend_from_slice(bytes);
         let mut events = Vec::new();
@@ -97,7 +97,7 @@
         let Some(data) = line.strip_prefix("data:").map(str::trim) else {
             return Ok(None);
         };
-        if data == DONE {
+        if data == DONE_DATA {
             return Ok(Some(StreamEvent::Done));
         }
         if self.is_error {
@@ -109,20 +109,20 @@
     }
 }
 
-/// What the answer to one chat must be.
+/// Expected answer to one chat.
 #[derive(Clone, Debug)]
 pub struct Expected {
     /// Id that every piece must carry.
     pub id: String,
-    /// The texts that may be answered: one for each version of the weights.
+    /// Acceptable texts, one for each weights version.
     pub texts: Vec<GeneratedText>,
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub prompt_tokens: u32,
-    /// Tokens of the answer.
+    /// Number of answer tokens.
     pub output_tokens: u32,
 }
 
-/// An answer under way, over as many connections as it takes.
+/// Incremental check of one answer, possibly over several connections.
 #[derive(Clone, Debug)]
 pub struct AnswerCheck {
     expected: Expected,
@@ -131,17 +131,18 @@
 }
 
 impl AnswerCheck {
-    /// Nothing has come yet.
+    /// Creates a check before the first piece.
     pub fn new(expected: Expected) -> Self {
         AnswerCheck { expected, next: 0, finished: false }
     }
 
-    /// The next token that is lacking.
+    /// Index of the next missing token.
     pub fn next(&self) -> u32 {
         self.next
     }
 
-    /// A new connection begins at the next token that is lacking, with `id`.
+    /// Prepares for a new connection with the request id `id`, which continues at
+    /// the next missing token.
     pub fn resume(&mut self, id: String) {
         self.expected.id = id;
         self.finished = false;
@@ -150,7 +151,7 @@
     /// Checks one piece.
     ///
     /// # Errors
-    /// Fails when the piece must not come here.
+    /// Fails when the piece is out of place or has wrong content.
     pub fn push(&mut self, chunk: &Chunk) -> Result<(), Violation> {
         if chunk.id != self.expected.id {
             let detail = format!("wanted={} got={}", self.expected.id, chunk.id);
@@ -158,15 +159,15 @@
         }
         let choice = chunk.choices.first();
         let text = choice.and_then(|choice| choice.delta.content.as_deref()).unwrap_or("");
-        self.check_place(chunk.juniper.index, text)?;
-        self.take_text(text)?;
+        self.check_index(chunk.juniper.index, text)?;
+        self.check_text(text)?;
         if choice.is_some_and(|choice| choice.finish_reason.is_some()) {
             self.finish(chunk.usage)?;
         }
         Ok(())
     }
 
-    fn check_place(&self, index: u32, text: &str) -> Result<(), Violation> {
+    fn check_index(&self, index: u32, text: &str) -> Result<(), Violation> {
         let detail = || format!("id={} wanted={} got={index}", self.expected.id, self.next);
         if self.finished {
             return Err(Violation::new(ViolationKind::Overlong, detail()));
@@ -180,7 +181,7 @@
         Ok(())
     }
 
-    fn take_text(&mut self, text: &str) -> Result<(), Violation> {
+    fn check_text(&mut self, text: &str) -> Result<(), Violation> {
         let tokens = text.len().div_ceil(TOKEN_BYTES as usize);
         let end = self.next.saturating_add(u32::try_from(tokens).unwrap_or(u32::MAX));
         let id = &self.expected.id;
@@ -194,7 +195,7 @@
             let detail = format!("id={id} at={next} got={text:?}");
             return Err(Violation::new(ViolationKind::WrongContent, detail));
         }
-        // From here on the answer must stay with the weights that it began with.
+        // The rest of the answer must come from the same weights version.
         self.expected.texts.retain(kept);
         self.next = end;
         Ok(())
@@ -215,10 +216,10 @@
         Ok(())
     }
 
-    /// The stream has ended properly.
+    /// Checks completeness at the end marker of the stream.
     ///
     /// # Errors
-    /// Fails when the answer is not complete.
+    /// Fails when the answer is incomplete.
     pub fn done(&self) -> Result<(), Violation> {
         if self.finished && self.next == self.expected.output_tokens {
             return Ok(());
@@ -231,16 +232,16 @@
         Err(Violation::new(ViolationKind::Truncated, detail))
     }
 
-    /// Checks an answer that came as a whole.
+    /// Checks an unstreamed answer.
     ///
     /// # Errors
-    /// Fails when it is not the answer to this request.
+    /// Fails when the answer doesn't match the request.
     pub fn whole(&mut self, id: &str, text: &str, usage: Option<Usage>) -> Result<(), Violation> {
         if id != self.expected.id {
             let detail = format!("wanted={} got={id}", self.expected.id);
             return Err(Violation::new(ViolationKind::WrongId, detail));
         }
-        self.take_text(text)?;
+        self.check_text(text)?;
         self.finish(usage)?;
         self.done()
     }
