--- a/crates/lab/src/soak/mod.rs
+++ b/crates/lab/src/soak/mod.rs
@@ -1,4 +1,4 @@
-//! `juniper-lab soak`: a fleet of real processes under load and random faults.
+//! `juniper-lab soak`: runs a fleet of real processes under load and random faults.
 
 mod plan;
 mod run;
@@ -9,7 +9,7 @@
 use lexopt::Arg;
 
 pub use self::plan::{Fault, Part, PartSizes, PlannedFault, draw};
-use self::run::carry_out;
+use self::run::inject_faults;
 use crate::arguments::ArgumentError;
 use crate::fleet::{Fleet, FleetSizes};
 use crate::fleet_run::{RunOptions, print_report, run_fleet};
@@ -17,11 +17,11 @@
 const HELP: &str = "\
 Usage: juniper-lab soak [OPTIONS]
 
-Starts a fleet on this machine and sends it checked load while faults drawn from
-a seed are made: engines, routers and control replicas are killed and frozen,
-routers stopped as planned, the last zone cut off. Faults of different parts of
-the fleet come together. In the last fifth of the time all is mended. Prints a
-report as JSON; exits with 1 if a promise was broken.
+Starts a fleet on this machine and sends it load whose answers are checked, while
+injecting faults drawn from a seed: engines, routers and control replicas are
+killed and frozen, routers are shut down gracefully, the last zone is partitioned.
+Faults of different parts of the fleet overlap. The last fifth of the time is free
+of faults. Prints a report as JSON; exits with 1 if a guarantee was violated.
 
 Options:
   --profile NAME     granite-ledger or pryderi  [default: granite-ledger]
@@ -31,17 +31,17 @@
   --keep FOLDER      keep files, logs and data in this folder
 ";
 
-/// Processes of the fleet: the least of which one of each part may fail.
+/// Smallest fleet in which one process of each part may fail.
 const SIZES: FleetSizes =
     FleetSizes { control: 3, routers: 4, engines: 6, applications: 3, previews: 3 };
 
-/// Longest time that a soak takes beyond its load.
-const TIME_BEYOND_LOAD: Duration = Duration::from_secs(240);
+/// Timeout of a soak beyond the duration of its load.
+const TIMEOUT_BEYOND_LOAD: Duration = Duration::from_secs(240);
 
 /// Runs the command with the arguments that follow its name.
 ///
 /// # Errors
-/// Fails when the arguments are faulty or the run itself fails.
+/// Fails when the arguments are invalid or the run fails.
 pub fn run(parser: &mut lexopt::Parser) -> miette::Result<ExitCode> {
     let Some(options) = read(parser)? else {
         print!("{HELP}");
@@ -51,8 +51,8 @@
     let sizes =
         PartSizes { engines: SIZES.engines, routers: SIZES.routers, control: SIZES.control };
     let plan = draw(options.seed, duration, sizes);
-    let faults = async move |fleet: &mut Fleet| carry_out(fleet, &plan).await;
-    print_report(duration + TIME_BEYOND_LOAD, run_fleet(options, SIZES, true, faults))
+    let faults = async move |fleet: &mut Fleet| inject_faults(fleet, &plan).await;
+    print_report(duration + TIMEOUT_BEYOND_LOAD, run_fleet(options, SIZES, true, faults))
 }
 
 fn read(parser: &mut lexopt::Parser) -> Result<Option<RunOptions>, ArgumentError> {
--- a/crates/lab/src/soak/plan.rs
+++ b/crates/lab/src/soak/plan.rs
@@ -1,21 +1,21 @@
-//! Which faults a soak makes, and when. Pure: a seed goes in, a plan comes out.
+//! Fault schedule of a soak, a pure function of the seed.
 
 use std::time::Duration;
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Part of the time, at its end, in which everything is mended.
-const CALM_END: f64 = 0.2;
+/// Fault-free share of the duration, at the end.
+const FAULT_FREE_SHARE: f64 = 0.2;
 
-/// Shortest and longest pause before a fault, in milliseconds.
+/// Range of pauses before a fault, in milliseconds.
 const PAUSE_MS: std::ops::Range<u64> = 400..3_000;
 
-/// Shortest and longest fault, in milliseconds.
+/// Range of fault durations, in milliseconds.
 const FAULT_MS: std::ops::Range<u64> = 300..4_000;
 
 /// Part of the fleet that has at most one fault at a time. Parts fail independently,
-/// so that faults of several parts come together.
+/// so that faults of several parts overlap.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Part {
     /// The engines.
@@ -28,44 +28,44 @@
     Links,
 }
 
-/// A fault.
+/// Kind of fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// `kill -9`; started again at the end.
+    /// SIGKILL; the process is restarted at the end.
     Kill,
-    /// SIGTERM; has to end well, and is started again at the end.
+    /// SIGTERM; the process must exit with success and is restarted at the end.
     PlannedStop,
-    /// Stands still until the end.
+    /// SIGSTOP; the process resumes at the end.
     Freeze,
-    /// The last zone is cut off.
+    /// Network partition between the last zone and the others.
     Cut,
     /// Only answers are lost between the last zone and the others.
     AnswersLost,
 }
 
-/// A fault with its time and place.
+/// Scheduled fault of one process or link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlannedFault {
-    /// When it begins.
+    /// Start, relative to the start of the plan.
     pub at: Duration,
-    /// When it ends.
+    /// End, relative to the start of the plan.
     pub until: Duration,
-    /// Where.
+    /// Affected part of the fleet.
     pub part: Part,
-    /// Number of the process within its part, from zero.
+    /// Index of the process within the part.
     pub place: usize,
-    /// What.
+    /// Kind of fault.
     pub fault: Fault,
 }
 
-/// How many processes each part has.
+/// Number of processes in each part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PartSizes {
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
-    /// Routers.
+    /// Number of routers.
     pub routers: usize,
-    /// Control replicas; with fewer than three none of them fails.
+    /// Number of control replicas; with fewer than three none of them fails.
     pub control: usize,
 }
 
@@ -90,8 +90,8 @@
         }
     }
 
-    /// Fewest processes of which one may fail.
-    const fn least(self) -> usize {
+    /// Minimum number of processes for one to fail.
+    const fn min_size(self) -> usize {
         match self {
             Part::Control => 3,
             Part::Engines | Part::Routers => 2,
@@ -100,12 +100,12 @@
     }
 }
 
-/// Draws the faults of a soak that takes `duration`, in order of their beginning.
+/// Draws the faults of a soak of length `duration`, ordered by start.
 pub fn draw(seed: u64, duration: Duration, sizes: PartSizes) -> Vec<PlannedFault> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
-    let end = duration.mul_f64(1.0 - CALM_END);
+    let end = duration.mul_f64(1.0 - FAULT_FREE_SHARE);
     let mut plan = Vec::new();
-    for part in Part::ALL.into_iter().filter(|part| part.size(sizes) >= part.least()) {
+    for part in Part::ALL.into_iter().filter(|part| part.size(sizes) >= part.min_size()) {
         let mut now = Duration::ZERO;
         loop {
             let at = now + Duration::from_millis(random.random_range(PAUSE_MS));
--- a/crates/lab/src/soak/run.rs
+++ b/crates/lab/src/soak/run.rs
@@ -1,4 +1,4 @@
-//! Carries out the faults of a soak on a fleet of real processes.
+//! Injects the faults of a soak into a fleet of real processes.
 
 use std::time::Duration;
 
@@ -10,10 +10,10 @@
 use crate::fleet_run::{FaultDone, FaultsDone};
 use crate::proxy::LinkState;
 
-/// Longest time that a planned stop may take.
-const STOP_LIMIT: Duration = Duration::from_secs(60);
+/// Timeout for a graceful shutdown.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// One end of a planned fault.
+/// Start or end of a planned fault.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Begin(PlannedFault),
@@ -29,8 +29,8 @@
     }
 }
 
-/// Makes every fault of the plan at its time and mends it again.
-pub(super) async fn carry_out(
+/// Injects and ends every fault of the plan at its scheduled time.
+pub(super) async fn inject_faults(
     fleet: &mut Fleet,
     plan: &[PlannedFault],
 ) -> Result<FaultsDone, FleetError> {
@@ -45,12 +45,12 @@
         let at_ms = start.elapsed().as_millis() as u64;
         match step {
             Step::Begin(planned) => {
-                begin(fleet, planned)?;
+                begin_fault(fleet, planned)?;
                 done.faults.push(FaultDone { at_ms, fault: describe(planned) });
             }
             Step::End(planned) => {
-                let ended_well = mend(fleet, planned).await?;
-                if !ended_well {
+                let succeeded = end_fault(fleet, planned).await?;
+                if !succeeded {
                     done.ended_badly.push(describe(planned));
                 }
                 let fault = format!("over: {}", describe(planned));
@@ -74,7 +74,7 @@
     }
 }
 
-fn begin(fleet: &mut Fleet, planned: PlannedFault) -> Result<(), FleetError> {
+fn begin_fault(fleet: &mut Fleet, planned: PlannedFault) -> Result<(), FleetError> {
     match planned.fault {
         Fault::Cut => fleet.set_last_zone(LinkState::Cut),
         Fault::AnswersLost => fleet.set_last_zone(LinkState::AnswersLost),
@@ -85,18 +85,17 @@
     Ok(())
 }
 
-/// Ends a fault. Returns false if a process that was stopped as planned did not
-/// end well.
-async fn mend(fleet: &mut Fleet, planned: PlannedFault) -> Result<bool, FleetError> {
+/// Ends a fault. Returns false if a graceful shutdown didn't exit with success.
+async fn end_fault(fleet: &mut Fleet, planned: PlannedFault) -> Result<bool, FleetError> {
     match planned.fault {
         Fault::Cut | Fault::AnswersLost => fleet.set_last_zone(LinkState::Whole),
         Fault::Kill => process(fleet, planned)?.restart()?,
         Fault::Freeze => process(fleet, planned)?.signal(Signal::Continue)?,
         Fault::PlannedStop => {
             let process = process(fleet, planned)?;
-            let ended_well = process.ended(STOP_LIMIT).await?.success();
+            let succeeded = process.ended(SHUTDOWN_TIMEOUT).await?.success();
             process.restart()?;
-            return Ok(ended_well);
+            return Ok(succeeded);
         }
     }
     Ok(true)
