--- a/crates/lab/src/replay/mod.rs
+++ b/crates/lab/src/replay/mod.rs
@@ -1,4 +1,4 @@
-//! `juniper-lab replay`: a recorded trace against a running fleet.
+//! `juniper-lab replay`: sends a recorded trace to a running fleet.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -21,7 +21,7 @@
 /// Runs the command with the arguments that follow its name.
 ///
 /// # Errors
-/// Fails when the arguments are faulty or the run itself fails.
+/// Fails when the arguments are invalid or the run fails.
 pub fn run(parser: &mut lexopt::Parser) -> miette::Result<ExitCode> {
     let mut options = default_options();
     let mut file: Option<PathBuf> = None;
--- a/crates/lab/src/trace/fleet.rs
+++ b/crates/lab/src/trace/fleet.rs
@@ -1,4 +1,4 @@
-//! Traces for the small fleets of the lab.
+//! Traces scaled to the lab's small fleets.
 
 use std::time::Duration;
 
@@ -7,13 +7,13 @@
 
 use crate::fleet::PREVIEW_SERVICE;
 
-/// One listing in this many becomes a preview, so that a demo has every kind.
-const PREVIEW_SHARE: usize = 3;
+/// One listing in this many becomes a preview, so that the trace holds every kind of request.
+const LISTINGS_PER_PREVIEW: usize = 3;
 
-/// A trace for `engines` engines with every kind of request.
+/// Generates a trace for `engines` engines with every kind of request.
 ///
 /// # Errors
-/// Never for the profiles of this build: their names are checked constants.
+/// Never fails for the built-in profiles, whose names are valid constants.
 pub fn fleet_trace(
     profile: Profile,
     seed: u64,
@@ -27,7 +27,7 @@
     let service = ServiceName::new(PREVIEW_SERVICE)?;
     for (number, record) in trace.records.iter_mut().enumerate() {
         let TraceRequest::Listing { resource } = record.request else { continue };
-        if number.is_multiple_of(PREVIEW_SHARE) {
+        if number.is_multiple_of(LISTINGS_PER_PREVIEW) {
             record.request = TraceRequest::Preview { clip: resource };
             record.service = service.clone();
         }
--- a/crates/lab/src/trace/mod.rs
+++ b/crates/lab/src/trace/mod.rs
@@ -29,33 +29,33 @@
   --seed N           the same seed gives the same trace  [default: 1]
   --load SHARE       share of what the fleet can serve  [default: 0.7]
   --seconds N        time in which requests arrive  [default: 60]
-  --output FILE      where to write  [default: standard output]
+  --output FILE      output file  [default: standard output]
 
 'check' reads a trace, checks every line and prints a summary as JSON.
 ";
 
-/// Why a trace can't be read, written or shown.
+/// Failure to read, write or summarise a trace.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum TraceFileError {
     /// The file can't be opened or created.
     #[error("{path} can't be opened")]
     Open {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system said.
+        /// Cause reported by the operating system.
         #[source]
         source: io::Error,
     },
-    /// The file is faulty, or can't be read or written.
+    /// The file is malformed, or can't be read or written.
     #[error("{path}: {source}")]
     Trace {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What is wrong.
+        /// Cause of the failure.
         #[source]
         source: TraceError,
     },
-    /// The summary can't be printed.
+    /// The summary can't be serialized.
     #[error("the summary can't be written")]
     Summary(#[from] serde_json::Error),
 }
@@ -63,7 +63,7 @@
 /// Runs the command with the arguments that follow its name.
 ///
 /// # Errors
-/// Fails when the arguments are faulty or the run itself fails.
+/// Fails when the arguments are invalid or the command fails.
 pub fn run(parser: &mut lexopt::Parser) -> miette::Result<ExitCode> {
     match parser.next().map_err(ArgumentError::from)? {
         Some(Arg::Value(action)) if action == "generate" => run_generate(parser),
@@ -110,10 +110,10 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Reads `--load`: a positive share.
+/// Parses the value of `--load`, a positive share.
 ///
 /// # Errors
-/// Fails when the value is not one.
+/// Fails when the value isn't a positive number.
 pub fn parse_load(parser: &mut lexopt::Parser) -> Result<f64, ArgumentError> {
     let load: f64 = parsed(parser, "--load", "a share above 0")?;
     if load.is_finite() && load > 0.0 {
@@ -133,7 +133,7 @@
 /// Reads and checks the trace in `path`.
 ///
 /// # Errors
-/// Fails when the file can't be opened or is faulty.
+/// Fails when the file can't be opened or is malformed.
 pub fn read_file(path: &Path) -> Result<Trace, TraceFileError> {
     let file = File::open(path)
         .map_err(|source| TraceFileError::Open { path: path.to_owned(), source })?;
--- a/crates/lab/src/trace/summary.rs
+++ b/crates/lab/src/trace/summary.rs
@@ -1,4 +1,4 @@
-//! What a trace amounts to, counted.
+//! Summary counts of a trace.
 
 use std::collections::{BTreeMap, HashSet};
 
@@ -6,39 +6,40 @@
 use juniper_types::TenantName;
 use serde::Serialize;
 
-/// Counts over a whole trace.
+/// Request and token counts of a trace.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Summary {
-    /// Deployment.
+    /// Deployment profile.
     pub profile: Profile,
-    /// Seed.
+    /// Seed of the trace.
     pub seed: u64,
-    /// Time in which requests arrive, in milliseconds.
+    /// Period in which requests arrive, in milliseconds.
     pub duration_ms: u64,
-    /// Requests.
+    /// Number of requests.
     pub requests: u64,
-    /// Chats.
+    /// Number of chats.
     pub chats: u64,
-    /// Calls that run at most once.
+    /// Number of at-most-once requests.
     pub at_most_once: u64,
-    /// Listings.
+    /// Number of listings.
     pub listings: u64,
-    /// Previews.
+    /// Number of previews.
     pub previews: u64,
-    /// Requests of each tenant.
+    /// Number of requests by tenant.
     pub by_tenant: BTreeMap<TenantName, u64>,
     /// Prompt tokens of all chats.
     pub prompt_tokens: u64,
-    /// Prompt tokens in segments that an earlier chat of the tenant had: what an endless cache would hit.
+    /// Prompt tokens in segments that occurred in an earlier chat of the tenant: cache hits of
+    /// an unbounded cache.
     pub repeated_tokens: u64,
-    /// Tokens of all distinct shared segments, the memory they would take in one cache.
+    /// Tokens of all distinct shared segments: their size in a single cache.
     pub shared_tokens: u64,
-    /// Tokens to generate.
+    /// Number of tokens to generate.
     pub output_tokens: u64,
 }
 
 impl Summary {
-    /// Counts `trace`.
+    /// Summarises `trace`.
     pub fn of(trace: &Trace) -> Self {
         let mut summary = Summary {
             profile: trace.header.profile,
@@ -80,12 +81,12 @@
         self.chats += 1;
         self.output_tokens += u64::from(output_tokens);
         let last = prompt.len().saturating_sub(1);
-        for (place, segment) in prompt.iter().enumerate() {
+        for (index, segment) in prompt.iter().enumerate() {
             let tokens = u64::from(segment.tokens);
             self.prompt_tokens += tokens;
             if !seen.insert((tenant.clone(), *segment)) {
                 self.repeated_tokens += tokens;
-            } else if place < last {
+            } else if index < last {
                 self.shared_tokens += tokens;
             }
         }
