--- a/crates/lab/src/arguments.rs
+++ b/crates/lab/src/arguments.rs
@@ -1,32 +1,32 @@
-//! Faults in the lab's command line.
+//! Errors and value parsing for the lab's command line.
 
-/// A command line that can't be carried out.
+/// Invalid command line.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum ArgumentError {
-    /// No such command.
+    /// The command doesn't exist.
     #[error("unknown command {0:?}")]
     #[diagnostic(help("'juniper-lab --help' lists the commands"))]
     UnknownCommand(String),
-    /// No such option.
+    /// The option doesn't exist.
     #[error("unknown option --{0}")]
     UnknownOption(String),
-    /// The parser refused the arguments.
+    /// The arguments can't be parsed.
     #[error(transparent)]
     Parse(#[from] lexopt::Error),
-    /// An option that the command needs is absent.
+    /// A required option is missing.
     #[error("option {0} is required")]
     Missing(&'static str),
-    /// An option's value is outside what is allowed.
+    /// The value of an option isn't allowed.
     #[error("option {option}: {value:?} is not {allowed}")]
     Value {
-        /// The option.
+        /// Name of the option.
         option: &'static str,
-        /// What was given.
+        /// Given value.
         value: String,
-        /// What is allowed.
+        /// Description of the allowed values.
         allowed: &'static str,
     },
-    /// An option's value is not a valid name.
+    /// The value of an option is not a valid name.
     #[error(transparent)]
     Name(#[from] juniper_types::NameError),
     /// The command is not part of this build yet.
@@ -34,10 +34,10 @@
     Unavailable(&'static str),
 }
 
-/// The value that follows `option`, read as a `T`.
+/// Parses the value that follows `option` as a `T`.
 ///
 /// # Errors
-/// Fails when there is none, or when it is not what is `allowed`.
+/// Fails when the value is missing or can't be parsed; `allowed` describes the allowed values.
 pub fn parsed<T: std::str::FromStr>(
     parser: &mut lexopt::Parser,
     option: &'static str,
--- a/crates/lab/src/proxy.rs
+++ b/crates/lab/src/proxy.rs
@@ -1,8 +1,8 @@
-//! A TCP proxy that cuts links between processes.
+//! TCP proxy that simulates network partitions between processes.
 //!
-//! While the link is cut the proxy neither passes on bytes nor closes what is
-//! open, and takes new connections without an answer: to both sides it looks as
-//! if the packets were lost.
+//! During a partition the proxy forwards no bytes, keeps open connections open
+//! and accepts new ones without answering, so that both sides observe packet
+//! loss rather than closed connections.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -13,40 +13,40 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// Bytes passed on at once.
-const PIECE_BYTES: usize = 16 << 10;
+/// Size of the forwarding buffer, in bytes.
+const BUFFER_BYTES: usize = 16 << 10;
 
-/// Which directions of a link pass bytes.
+/// Directions in which a link forwards bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LinkState {
-    /// Both.
+    /// Both directions.
     #[default]
     Whole,
-    /// None.
+    /// No direction.
     Cut,
-    /// Only from the one that connected; answers are lost.
+    /// Only from the connecting side; answers are lost.
     AnswersLost,
 }
 
 impl LinkState {
-    fn passes(self, direction: Direction) -> bool {
+    fn forwards(self, direction: Direction) -> bool {
         match self {
             LinkState::Whole => true,
             LinkState::Cut => false,
-            LinkState::AnswersLost => direction == Direction::Forth,
+            LinkState::AnswersLost => direction == Direction::ToTarget,
         }
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Direction {
-    /// From the one that connected.
-    Forth,
-    /// Towards the one that connected.
-    Back,
+    /// From the connecting side to the target.
+    ToTarget,
+    /// From the target to the connecting side.
+    FromTarget,
 }
 
-/// A link that can be cut. It closes when dropped.
+/// Proxied link that can be partitioned; stops accepting connections when dropped.
 #[derive(Debug)]
 pub struct LinkProxy {
     address: SocketAddr,
@@ -55,7 +55,7 @@
 }
 
 impl LinkProxy {
-    /// Starts a proxy to `target` on a free port. Must be called within a runtime.
+    /// Starts a proxy to `target` on a free port. Requires a Tokio runtime.
     ///
     /// # Errors
     /// Fails when no port can be listened on.
@@ -68,12 +68,12 @@
         Ok(LinkProxy { address, state, task })
     }
 
-    /// Where the proxy listens.
+    /// Address on which the proxy listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Cuts or mends the link.
+    /// Sets the directions in which the link forwards bytes.
     pub fn set(&self, state: LinkState) {
         self.state.send_replace(state);
     }
@@ -90,35 +90,35 @@
         let state = Arc::clone(&state);
         tokio::spawn(async move {
             let mut watched = state.subscribe();
-            // A connection that begins while the link is cut hangs until it is mended.
+            // A connection accepted during a partition stalls until the partition is healed.
             if watched.wait_for(|state| *state != LinkState::Cut).await.is_err() {
                 return;
             }
             if let Ok(far) = TcpStream::connect(target).await {
-                join(near, far, &state).await;
+                forward_both(near, far, &state).await;
             }
         });
     }
 }
 
-async fn join(near: TcpStream, far: TcpStream, state: &watch::Sender<LinkState>) {
+async fn forward_both(near: TcpStream, far: TcpStream, state: &watch::Sender<LinkState>) {
     let (near_read, near_write) = near.into_split();
     let (far_read, far_write) = far.into_split();
     tokio::join!(
-        pass_on(near_read, far_write, Direction::Forth, state.subscribe()),
-        pass_on(far_read, near_write, Direction::Back, state.subscribe()),
+        forward(near_read, far_write, Direction::ToTarget, state.subscribe()),
+        forward(far_read, near_write, Direction::FromTarget, state.subscribe()),
     );
 }
 
-async fn pass_on(
+async fn forward(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     direction: Direction,
     mut state: watch::Receiver<LinkState>,
 ) {
-    let mut buffer = vec![0; PIECE_BYTES];
+    let mut buffer = vec![0; BUFFER_BYTES];
     loop {
-        if state.wait_for(|state| state.passes(direction)).await.is_err() {
+        if state.wait_for(|state| state.forwards(direction)).await.is_err() {
             return;
         }
         let read = tokio::select! {
