--- a/crates/lab/src/load/runner.rs
+++ b/crates/lab/src/load/runner.rs
@@ -101,11 +101,11 @@
         lag = lag.max(due.elapsed());
         runner.start(number, record, due, &mut tasks);
         while let Some(ended) = tasks.try_join_next() {
-            collect(ended?, &mut collector, &mut calls);
+            record_finished(ended?, &mut collector, &mut calls);
         }
     }
     while let Some(ended) = tasks.join_next().await {
-        collect(ended?, &mut collector, &mut calls);
+        record_finished(ended?, &mut collector, &mut calls);
     }
     let duration = start.elapsed();
     if !options.executions.is_empty() {
@@ -116,7 +116,7 @@
     Ok(collector.report(lag, duration))
 }
 
-fn collect(
+fn record_finished(
     (outcome, call): FinishedRequest,
     collector: &mut Collector,
     calls: &mut Vec<CallRecord>,
--- a/crates/lab/src/load/stream.rs
+++ b/crates/lab/src/load/stream.rs
@@ -14,7 +14,7 @@
 const MAX_LINE_BYTES: usize = 1 << 20;
 
 /// Data of the event that ends a stream.
-const DONE_DATA: &str = "[DONE_DATA]";
+const DONE_DATA: &str = "[DONE]";
 
 /// Malformed stream.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
