--- a/crates/lab/src/scale/control.rs
+++ b/crates/lab/src/scale/control.rs
@@ -1,4 +1,4 @@
-//! The operator of a run: writes the tree and notes when changes were accepted.
+//! Operator client of a run: writes settings and records when changes were accepted.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,35 +11,35 @@
 use super::hollow::unix_micros;
 use super::layout::{Layout, OPERATOR_KEY};
 
-/// Edits of one change while the tree is first written.
+/// Edits per change when writing the initial settings tree.
 const EDITS_PER_CHANGE: usize = 200;
 
-/// Pause before a refused write is tried again.
-const RETRY_PAUSE: Duration = Duration::from_millis(200);
+/// Delay before a rejected write is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Tries before a write is given up.
-const MAX_TRIES: usize = 60;
+/// Maximum number of attempts of a write.
+const MAX_ATTEMPTS: usize = 60;
 
-/// Why a write failed.
+/// Failure of a write.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub(super) enum WriteError {
     /// No replica accepted the change.
-    #[error("no replica accepted change {change_id}; the last answer: {answer}")]
+    #[error("no replica accepted change {change_id}; last answer: {answer}")]
     NotAccepted {
-        /// The change.
+        /// Id of the change.
         change_id: String,
-        /// The last answer.
+        /// Last answer of a replica, or the error of the request.
         answer: String,
     },
 }
 
-/// Writes settings and notes when each revision was accepted.
+/// Client that writes settings and records when each revision was accepted.
 pub(super) struct Operator {
     http: reqwest::Client,
     replicas: Vec<SocketAddr>,
     revision: u64,
     written: u64,
-    /// Revision and the time its acceptance was answered, in microseconds of Unix time.
+    /// Time at which the acceptance of each revision was received, in microseconds of Unix time.
     pub(super) accepted: BTreeMap<u64, u64>,
 }
 
@@ -54,12 +54,12 @@
         }
     }
 
-    /// The last revision accepted.
+    /// Latest accepted revision.
     pub(super) fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Writes the tree of the run.
+    /// Writes the settings tree of the run.
     pub(super) async fn write_tree(
         &mut self,
         layout: &Layout,
@@ -77,7 +77,7 @@
         Ok(())
     }
 
-    /// One small change, such as automation makes many times an hour.
+    /// Writes a change with a single edit, as operators' automation does.
     pub(super) async fn write_small(&mut self, layout: &Layout) -> Result<(), WriteError> {
         let zone = layout.zones[0].as_str();
         let rate = 100 + self.written % 100;
@@ -95,7 +95,7 @@
         let change =
             json!({ "base_revision": self.revision, "change_id": change_id, "edits": edits });
         let mut answer = String::new();
-        for attempt in 0..MAX_TRIES {
+        for attempt in 0..MAX_ATTEMPTS {
             let replica = self.replicas[attempt % self.replicas.len()];
             let url = format!("http://{replica}/v1/settings/changes");
             let request = self.http.post(url).bearer_auth(OPERATOR_KEY).json(&change);
@@ -110,7 +110,7 @@
                 Ok(response) => answer = response.text().await.unwrap_or_default(),
                 Err(error) => answer = error.to_string(),
             }
-            sleep(RETRY_PAUSE).await;
+            sleep(RETRY_DELAY).await;
         }
         Err(WriteError::NotAccepted { change_id, answer })
     }
@@ -120,7 +120,7 @@
     let engines = layout.engines.iter().filter(|engine| engine.zone.as_str() == zone);
     let back_ends: Vec<Value> = engines
         .map(|engine| {
-            // Nobody listens there; hollow nodes play the engines that they follow.
+            // No process listens on this address; hollow nodes emulate the engines they follow.
             let port = 1 + engine.id.0 % 1_000;
             let address = format!("127.1.{}.{}:{port}", engine.id.0 / 250, engine.id.0 % 250 + 1);
             json!({ "id": engine.id.0, "kind": "engine", "address": address })
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -1,4 +1,4 @@
-//! Starts the processes of a run, takes it through its phases and measures it.
+//! Starts the processes of a run, executes its phases and measures them.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -14,64 +14,64 @@
 use super::host::{Command, Status};
 use super::layout::{Layout, LayoutError};
 use super::processes::{
-    Host, Process, control_file, found_cluster, router_file, start_daemon, start_host,
+    Host, Process, control_file, create_cluster, router_file, start_daemon, start_host,
 };
 use super::report::{InForceTimes, Report, RoleCost};
 use super::sample::{Usage, total};
 
-/// Time between two changes of a phase.
+/// Interval between settings changes in a phase.
 const CHANGE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Length of the phases with faults.
+/// Duration of the phases with faults.
 const FAULT_PHASE: Duration = Duration::from_secs(8);
 
-/// Longest wait for the run to settle.
-const SETTLE_LIMIT: Duration = Duration::from_secs(60);
+/// Timeout for all nodes to converge.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Time between two looks at whether it has.
-const SETTLE_POLL: Duration = Duration::from_millis(100);
+/// Interval between convergence checks.
+const SETTLE_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Slowest time in force that the histogram holds, in microseconds.
-const MAX_MICROS: u64 = 600_000_000;
+/// Highest accepted-to-in-force time that the histogram resolves, in microseconds.
+const MAX_IN_FORCE_MICROS: u64 = 600_000_000;
 
-/// Why a run failed.
+/// Failure of a run.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub(super) enum ScaleError {
-    /// The layout could not be made.
+    /// The layout could not be created.
     #[error(transparent)]
     Layout(#[from] LayoutError),
     /// A process could not be started, or its pipes failed.
     #[error("process failed: {0}")]
     Process(#[from] io::Error),
     /// An answer of a hollow process is malformed.
-    #[error("malformed: {0}")]
+    #[error("malformed answer of a hollow process: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// The cluster of control replicas could not be made.
-    #[error("the first control replica could not found its cluster")]
-    NotFounded,
+    /// The cluster of control replicas could not be created.
+    #[error("the first control replica could not create its cluster")]
+    ClusterNotCreated,
     /// A hollow process ended early.
     #[error("a hollow process ended early")]
     HostEnded,
     /// A change was not accepted.
     #[error(transparent)]
     Write(#[from] WriteError),
-    /// The nodes did not agree in time.
+    /// The nodes did not converge in time.
     #[error(
-        "not settled within {SETTLE_LIMIT:?}: {behind} nodes behind revision {revision}, \
+        "not settled within {SETTLE_TIMEOUT:?}: {behind} nodes behind revision {revision}, \
          {blind} nodes know fewer than {others} others"
     )]
     NotSettled {
-        /// Nodes that are behind.
+        /// Number of nodes behind the latest revision.
         behind: usize,
-        /// The latest revision.
+        /// Latest accepted revision.
         revision: u64,
-        /// Nodes that don't know every other one.
+        /// Number of nodes that don't know all others.
         blind: usize,
-        /// How many others there are.
+        /// Expected number of other nodes.
         others: usize,
     },
-    /// Times could not be collected.
-    #[error("histogram: {0}")]
+    /// The histogram could not be created.
+    #[error("can't create a histogram: {0}")]
     Histogram(#[from] hdrhistogram::CreationError),
 }
 
@@ -85,7 +85,7 @@
     _folder: tempfile::TempDir,
 }
 
-/// Carries out one run.
+/// Executes one run.
 pub(super) fn run(options: &Options) -> Result<Report, ScaleError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(async {
@@ -101,7 +101,7 @@
         };
         fleet.quiet_phase(options, &mut report).await?;
         fleet.restart_phase(&mut report).await?;
-        fleet.cut_phase(&mut report).await?;
+        fleet.partition_phase(&mut report).await?;
         let processes = fleet.ids();
         report.resident_bytes_total = total(&processes)?.resident;
         report.processes = processes.len();
@@ -119,7 +119,7 @@
             let operator = layout.addresses.next();
             let text = control_file(folder.path(), &layout, &replica, operator);
             if replicas.is_empty() {
-                found_cluster(folder.path(), &text)?;
+                create_cluster(folder.path(), &text)?;
             }
             replicas.push(start_daemon("control", folder.path(), replica.node, &text)?);
             operators.push(operator);
@@ -153,18 +153,18 @@
         self.hosts.iter().map(|host| host.process.id()).collect()
     }
 
-    fn ask_all(&mut self, command: &Command) -> Result<Vec<Status>, ScaleError> {
-        self.hosts.iter_mut().map(|host| host.ask(command)).collect()
+    fn send_to_all(&mut self, command: &Command) -> Result<Vec<Status>, ScaleError> {
+        self.hosts.iter_mut().map(|host| host.send(command)).collect()
     }
 
-    /// Waits until every hollow node is at the latest revision and knows every
-    /// other node.
+    /// Waits until every hollow node is at the latest revision and knows all
+    /// other nodes.
     async fn settle(&mut self) -> Result<Duration, ScaleError> {
         let started = Instant::now();
         let others = self.layout.routers.len() + self.hollow_nodes() - 1;
         loop {
             let revision = self.operator.revision();
-            let statuses = self.ask_all(&Command::Status)?;
+            let statuses = self.send_to_all(&Command::Status)?;
             let revisions = statuses.iter().flat_map(|status| &status.revisions);
             let behind = revisions.filter(|at| **at < revision).count();
             let members = statuses.iter().flat_map(|status| &status.members);
@@ -172,10 +172,10 @@
             if behind + blind == 0 {
                 return Ok(started.elapsed());
             }
-            if started.elapsed() > SETTLE_LIMIT {
+            if started.elapsed() > SETTLE_TIMEOUT {
                 return Err(ScaleError::NotSettled { behind, revision, blind, others });
             }
-            sleep(SETTLE_POLL).await;
+            sleep(SETTLE_POLL_INTERVAL).await;
         }
     }
 
@@ -183,17 +183,17 @@
         self.layout.hosts.iter().map(|host| host.nodes.len()).sum()
     }
 
-    /// Writes changes for `length` and collects when each came into force.
+    /// Writes changes for `length` and measures the time until each is in force.
     async fn change_for(&mut self, length: Duration) -> Result<InForceTimes, ScaleError> {
-        self.ask_all(&Command::Status)?;
+        self.send_to_all(&Command::Status)?;
         let first = self.operator.revision() + 1;
         let end = Instant::now() + length;
         while Instant::now() < end {
             self.operator.write_small(&self.layout).await?;
             sleep(CHANGE_INTERVAL).await;
         }
-        let mut micros = Histogram::<u64>::new_with_bounds(1, MAX_MICROS, 3)?;
-        for status in self.ask_all(&Command::Status)? {
+        let mut micros = Histogram::<u64>::new_with_bounds(1, MAX_IN_FORCE_MICROS, 3)?;
+        for status in self.send_to_all(&Command::Status)? {
             for (revision, at) in status.in_force.iter().filter(|(revision, _)| *revision >= first)
             {
                 if let Some(accepted) = self.operator.accepted.get(revision) {
@@ -244,27 +244,27 @@
 
     async fn restart_phase(&mut self, report: &mut Report) -> Result<(), ScaleError> {
         let restarted = Instant::now();
-        self.ask_all(&Command::RestartTenth(3))?;
+        self.send_to_all(&Command::RestartTenth(3))?;
         self.settle().await?;
         report.restart_recovery_ms = restarted.elapsed().as_millis() as u64;
-        // Again, with changes written while nodes come back.
-        self.ask_all(&Command::RestartTenth(7))?;
+        // The second round writes changes while nodes restart.
+        self.send_to_all(&Command::RestartTenth(7))?;
         report.in_force_restarts = self.change_for(FAULT_PHASE).await?;
         self.settle().await?;
         Ok(())
     }
 
-    async fn cut_phase(&mut self, report: &mut Report) -> Result<(), ScaleError> {
+    async fn partition_phase(&mut self, report: &mut Report) -> Result<(), ScaleError> {
         let zone = self.layout.zones[self.layout.zones.len() - 1].clone();
-        self.ask_all(&Command::Cut(zone))?;
+        self.send_to_all(&Command::Cut(zone))?;
         report.in_force_outside_cut = self.change_for(FAULT_PHASE).await?;
-        self.ask_all(&Command::Heal)?;
+        self.send_to_all(&Command::Heal)?;
         report.cut_recovery_ms = self.settle().await?.as_millis() as u64;
         Ok(())
     }
 
     async fn measure(&mut self) -> Result<Measurement, ScaleError> {
-        let statuses = self.ask_all(&Command::Status)?;
+        let statuses = self.send_to_all(&Command::Status)?;
         let bytes = Bytes {
             sent: statuses.iter().map(|status| status.sent).sum(),
             received: statuses.iter().map(|status| status.received).sum(),
@@ -290,7 +290,7 @@
         })
     }
 
-    /// Adds the counters of a router's metrics page.
+    /// Adds the byte counters of a router's metrics page to `sum`.
     async fn add_bytes(&self, operator: SocketAddr, sum: &mut Bytes) {
         let url = format!("http://{operator}/metrics");
         let Ok(response) = self.http.get(url).send().await else {
@@ -308,7 +308,7 @@
     }
 }
 
-/// Bytes of all nodes of a role since their starts.
+/// Bytes sent and received by all nodes of a role since their start.
 #[derive(Clone, Copy, Debug, Default)]
 struct Bytes {
     sent: u64,
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -1,4 +1,4 @@
-//! One hollow node: a real control plane fed by synthetic engines.
+//! Hollow node: a real control plane fed by synthetic engines.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -19,39 +19,39 @@
 use super::layout::{HostLayout, Node, as_peers, limits};
 use super::synthetic::SyntheticEngine;
 
-/// Time between two batches of events, as the daemon's feeds batch them.
+/// Interval between event batches, as in the daemon's feeds.
 const EVENT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Lookups of one node in a second: 3,600 requests over 340 nodes.
+/// Lookups per second of one node: 3,600 requests/s over 340 nodes.
 const LOOKUPS_PER_SECOND: f64 = 3_600.0 / 340.0;
 
-/// Tries to open an address that an aborted node may still hold.
-const MAX_BIND_TRIES: usize = 100;
+/// Maximum retries to bind an address that an aborted node may still hold.
+const MAX_BIND_RETRIES: usize = 100;
 
-/// Pause between two of them.
-const BIND_PAUSE: Duration = Duration::from_millis(20);
+/// Delay between attempts to bind.
+const BIND_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Keeps seeds of different nodes' engines apart.
-const LIFE_STEP: u64 = 1 << 32;
+/// Distance between the seeds of successive incarnations of an engine.
+const INCARNATION_SEED_STEP: u64 = 1 << 32;
 
-/// What a node did, summed over all of its lives.
+/// Counters of a node, summed over all incarnations.
 #[derive(Debug, Default)]
 pub(super) struct Counters {
-    /// Bytes sent by lives that have ended.
+    /// Bytes sent by ended incarnations.
     pub(super) sent: AtomicU64,
-    /// Bytes received by lives that have ended.
+    /// Bytes received by ended incarnations.
     pub(super) received: AtomicU64,
-    /// Bytes of lookups of lives that have ended.
+    /// Lookup bytes of ended incarnations.
     pub(super) lookup_bytes: AtomicU64,
-    /// Lookups made.
+    /// Number of lookups.
     pub(super) lookups: AtomicU64,
-    /// Lookups that found the engine which holds the prompt.
+    /// Number of lookups that found the engine with the cached prompt.
     pub(super) found: AtomicU64,
-    /// Revisions with the time they came into force, in microseconds of Unix time.
+    /// Revisions and the times they came into force, in microseconds of Unix time.
     pub(super) in_force: Mutex<Vec<(u64, u64)>>,
 }
 
-/// A node that runs.
+/// Running hollow node.
 pub(super) struct HollowNode {
     pub(super) node: Node,
     pub(super) plane: Arc<ControlPlane>,
@@ -60,13 +60,14 @@
     tasks: Vec<JoinHandle<()>>,
 }
 
-/// Microseconds of Unix time; all processes of a run share one clock.
+/// Current Unix time in microseconds; comparable across the processes of a run,
+/// which share one machine.
 pub(super) fn unix_micros() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64
 }
 
-/// The faces of callers and operators are never opened, so their addresses
-/// don't matter.
+/// Builds the configuration of `node`. The caller and operator addresses are
+/// placeholders, since a hollow node never opens these listeners.
 fn config(node: &Node, layout: &HostLayout) -> Result<RouterConfig, RouterError> {
     let key = ClusterKey::from_text(super::layout::CLUSTER_KEY)?;
     Ok(RouterConfig {
@@ -95,8 +96,8 @@
         let reachability = Reachability::default();
         let plane = Arc::new(start_plane(&config, &reachability).await?);
         let tasks = vec![
-            tokio::spawn(note_revisions(Arc::clone(&plane), Arc::clone(counters))),
-            tokio::spawn(feed(Arc::clone(&plane), node.node, Arc::clone(counters))),
+            tokio::spawn(record_revisions(Arc::clone(&plane), Arc::clone(counters))),
+            tokio::spawn(emulate_engines(Arc::clone(&plane), node.node, Arc::clone(counters))),
         ];
         Ok(HollowNode {
             node: node.clone(),
@@ -107,7 +108,7 @@
         })
     }
 
-    /// Stops the node as a crash would.
+    /// Stops the node without a graceful shutdown, like a crash.
     pub(super) async fn abort(self) {
         for task in self.tasks {
             task.abort();
@@ -122,22 +123,22 @@
     }
 }
 
-/// A node that was just aborted may hold its address a moment longer.
+/// Starts the control plane; retries while an aborted node still holds the address.
 async fn start_plane(
     config: &Arc<RouterConfig>,
     reachability: &Reachability,
 ) -> Result<ControlPlane, RouterError> {
-    let mut tries = 0;
+    let mut retries = 0;
     loop {
         match ControlPlane::start(config, reachability).await {
-            Err(RouterError::Listen { .. }) if tries < MAX_BIND_TRIES => tries += 1,
+            Err(RouterError::Listen { .. }) if retries < MAX_BIND_RETRIES => retries += 1,
             started => return started,
         }
-        sleep(BIND_PAUSE).await;
+        sleep(BIND_RETRY_DELAY).await;
     }
 }
 
-async fn note_revisions(plane: Arc<ControlPlane>, counters: Arc<Counters>) {
+async fn record_revisions(plane: Arc<ControlPlane>, counters: Arc<Counters>) {
     let mut view = plane.settings.clone();
     let mut known = 0;
     loop {
@@ -153,9 +154,9 @@
     }
 }
 
-/// Plays the engines that the node follows, and looks up prompts that other
-/// engines of its zone hold.
-async fn feed(plane: Arc<ControlPlane>, node: u64, counters: Arc<Counters>) {
+/// Emulates the engines that the node follows, and looks up prompts in the shared
+/// knowledge of the zone.
+async fn emulate_engines(plane: Arc<ControlPlane>, node: u64, counters: Arc<Counters>) {
     let mut engines: HashMap<EngineId, (SyntheticEngine, EngineKnowledge)> = HashMap::new();
     let mut ticks = interval(EVENT_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -181,7 +182,7 @@
             let events = synthetic.events(EVENT_INTERVAL);
             let _ = knowledge.apply_events(synthetic.incarnation(), &events);
             knowledge.note_load(&synthetic.load());
-            prompts.push((*engine, synthetic.held_prompt()));
+            prompts.push((*engine, synthetic.cached_prompt()));
         }
         due += LOOKUPS_PER_SECOND * EVENT_INTERVAL.as_secs_f64();
         while due >= 1.0 && !prompts.is_empty() {
@@ -194,8 +195,8 @@
     }
 }
 
-/// Every prompt asked for is one that a followed engine holds: its checkpoints
-/// belong to the whole zone, so the messages are those of any other prompt.
+/// Looks up a prompt cached by a followed engine. The prompt's checkpoints are
+/// spread over the whole zone, so the traffic equals that of any other prompt.
 async fn look_up(
     plane: &ControlPlane,
     engine: EngineId,
@@ -211,7 +212,7 @@
     }
 }
 
-/// Takes over engines that the group assigns to this node, and drops the others.
+/// Starts following the engines assigned to this node, and stops following the others.
 fn follow(
     plane: &Arc<ControlPlane>,
     in_force: &InForce,
@@ -232,8 +233,8 @@
             let knowledge = EngineKnowledge::new(engine, Arc::clone(&plane.engines), hub);
             let model = ModelName::new(juniper_settings::overrides::DEFAULT_MODEL);
             let model = model.unwrap_or_else(|_| unreachable!("the default is a valid name"));
-            let life = unix_micros() / 1_000_000 * LIFE_STEP;
-            let mut synthetic = SyntheticEngine::new(life + u64::from(engine.0), model);
+            let seed_base = unix_micros() / 1_000_000 * INCARNATION_SEED_STEP;
+            let mut synthetic = SyntheticEngine::new(seed_base + u64::from(engine.0), model);
             knowledge.note_load(&synthetic.load());
             knowledge.apply_snapshot(&synthetic.snapshot());
             (synthetic, knowledge)
--- a/crates/lab/src/scale/host.rs
+++ b/crates/lab/src/scale/host.rs
@@ -1,4 +1,4 @@
-//! One hollow process: many hollow nodes, told what to do over standard input.
+//! Hollow process: runs many hollow nodes and takes commands on standard input.
 
 use std::io::{self, BufRead, Write};
 use std::path::Path;
@@ -12,48 +12,50 @@
 use super::hollow::{Counters, HollowNode};
 use super::layout::HostLayout;
 
-/// A line from the run to a hollow process.
+/// Command to a hollow process, one JSON line on standard input.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub(super) enum Command {
-    /// Report.
+    /// Report the status only.
     Status,
-    /// Crash every tenth node, the first at this offset, and start it again.
+    /// Crash and restart every tenth node, starting at this offset.
     RestartTenth(usize),
-    /// Cut the nodes of this zone off from everything outside it.
+    /// Partition the nodes of this zone from all nodes outside it.
     Cut(ZoneName),
-    /// End the cut.
+    /// End the partition.
     Heal,
 }
 
-/// The answer to every command.
+/// Answer to every command.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(super) struct Status {
     pub(super) nodes: usize,
     /// Revision in force on each node.
     pub(super) revisions: Vec<u64>,
-    /// Other members that each node holds for up.
+    /// Number of other members that each node considers alive.
     pub(super) members: Vec<usize>,
     pub(super) sent: u64,
     pub(super) received: u64,
     pub(super) lookup_bytes: u64,
     pub(super) lookups: u64,
     pub(super) found: u64,
-    /// Revisions with the time they came into force on some node, since the last report.
+    /// Revisions and the times they came into force on a node since the last report,
+    /// in microseconds of Unix time.
     pub(super) in_force: Vec<(u64, u64)>,
-    /// Sampled entries kept for engines followed, and owned.
+    /// Sampled index entries published for followed engines.
     pub(super) published_keys: usize,
+    /// Sampled index entries owned by the nodes.
     pub(super) owned_keys: usize,
 }
 
-/// Why a hollow process failed.
+/// Failure of a hollow process.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub(super) enum HostError {
     /// The layout or a command could not be read.
-    #[error("can't read: {0}")]
+    #[error("can't read the layout or a command: {0}")]
     Read(#[from] io::Error),
     /// The layout or a command is malformed.
-    #[error("malformed: {0}")]
+    #[error("malformed layout or command: {0}")]
     Malformed(#[from] serde_json::Error),
     /// A node could not start.
     #[error(transparent)]
@@ -75,7 +77,7 @@
     let mut out = io::stdout().lock();
     for line in io::stdin().lock().lines() {
         let command: Command = serde_json::from_str(&line?)?;
-        let status = runtime.block_on(host.carry_out(command))?;
+        let status = runtime.block_on(host.execute(command))?;
         writeln!(out, "{}", serde_json::to_string(&status)?)?;
         out.flush()?;
     }
@@ -94,11 +96,11 @@
         Ok(Host { layout, nodes, counters })
     }
 
-    async fn carry_out(&mut self, command: Command) -> Result<Status, HostError> {
+    async fn execute(&mut self, command: Command) -> Result<Status, HostError> {
         match command {
             Command::Status => {}
             Command::RestartTenth(offset) => self.restart_tenth(offset).await?,
-            Command::Cut(zone) => self.cut(&zone),
+            Command::Cut(zone) => self.partition(&zone),
             Command::Heal => self.nodes.iter().for_each(|node| node.reachability.block([])),
         }
         Ok(self.status())
@@ -117,9 +119,9 @@
         Ok(())
     }
 
-    /// Both sides drop what crosses the border, so nothing gets through even
-    /// between nodes of different processes.
-    fn cut(&self, zone: &ZoneName) {
+    /// Partitions `zone`. Nodes on both sides block each other, which also covers
+    /// nodes of different processes.
+    fn partition(&self, zone: &ZoneName) {
         let everything = || self.layout.all.iter().chain(&self.layout.replicas);
         let inside = || everything().filter(|node| node.zone == *zone);
         let outside = || everything().filter(|node| node.zone != *zone);
@@ -157,8 +159,8 @@
     }
 }
 
-/// Other members that `node` holds for up. A node that has just started counts as
-/// knowing none: it follows no engine yet, so the run hasn't settled.
+/// Number of other members that `node` considers alive; zero for a node that isn't
+/// settled, so that the run waits for restarted nodes to follow their engines.
 fn members_known(node: &HollowNode) -> usize {
     match node.plane.hub.is_settled() {
         true => node.plane.peers.borrow().routers.len(),
--- a/crates/lab/src/scale/layout.rs
+++ b/crates/lab/src/scale/layout.rs
@@ -1,4 +1,4 @@
-//! Which nodes and engines a run has, in proportion to the size designed for.
+//! Nodes and engines of a run, in proportion to the target deployment.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
@@ -9,34 +9,35 @@
 
 use super::Options;
 
-/// Zones of the size designed for.
+/// Number of zones of the target deployment.
 const MAX_ZONES: usize = 14;
 
-/// Nodes in a zone below which the run has fewer zones: 340 nodes over 14 zones.
+/// Nodes per zone of the target deployment (340 nodes in 14 zones); smaller runs
+/// have fewer zones.
 const NODES_PER_ZONE: usize = 24;
 
-/// Engines for each node: 1,500 before 340 nodes.
+/// Engines per 100 nodes of the target deployment (1,500 engines, 340 nodes).
 const ENGINES_PER_HUNDRED_NODES: usize = 441;
 
-/// Real routers beside the hollow nodes.
+/// Number of real routers in a run.
 pub(super) const REAL_ROUTERS: usize = 3;
 
-/// Hollow nodes in one process.
+/// Maximum number of hollow nodes in one process.
 const NODES_PER_PROCESS: usize = 40;
 
-/// Other nodes that a node is told of at its start.
+/// Number of seed peers in a node's configuration.
 const SEED_PEERS: usize = 3;
 
 /// First node number of routers and hollow nodes; replicas are numbered from 1.
 const FIRST_NODE: u64 = 100;
 
-/// Secret that the processes of the run share.
+/// Shared cluster key of the run's processes.
 pub(super) const CLUSTER_KEY: &str = "cluster-key-of-one-scale-run";
 
-/// Key of the run's operator.
+/// API key of the run's operator.
 pub(super) const OPERATOR_KEY: &str = "operator-key-of-one-scale-run";
 
-/// One node: a hollow one or a real router.
+/// Control replica, real router or hollow node.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct Node {
     pub(super) node: u64,
@@ -44,24 +45,24 @@
     pub(super) internal: SocketAddr,
 }
 
-/// What one hollow process is told.
+/// Configuration of one hollow process.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct HostLayout {
     pub(super) nodes: Vec<Node>,
     pub(super) seeds: Vec<Node>,
     pub(super) replicas: Vec<Node>,
-    /// Everything outside each zone, for cuts: all nodes of the run.
+    /// All routers and hollow nodes of the run, for partitioning a zone.
     pub(super) all: Vec<Node>,
 }
 
-/// An engine that exists in the settings tree only, or an emulated one.
+/// Engine in the settings tree; hollow nodes emulate its events.
 #[derive(Clone, Debug)]
 pub(super) struct Engine {
     pub(super) id: EngineId,
     pub(super) zone: ZoneName,
 }
 
-/// The whole run.
+/// Layout of a whole run.
 #[derive(Debug)]
 pub(super) struct Layout {
     pub(super) zones: Vec<ZoneName>,
@@ -69,42 +70,42 @@
     pub(super) routers: Vec<Node>,
     pub(super) hosts: Vec<HostLayout>,
     pub(super) engines: Vec<Engine>,
-    /// Further addresses.
+    /// Allocator for additional addresses.
     pub(super) addresses: Addresses,
 }
 
-/// Why a layout can't be made.
+/// Failure to create a layout.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub(super) enum LayoutError {
-    /// A zone name was refused.
+    /// A zone name is invalid.
     #[error(transparent)]
     Name(#[from] juniper_types::NameError),
 }
 
-/// Hands out addresses that nobody else on the machine uses: each run has a
-/// loopback network of its own, and each address a host of its own in it.
+/// Allocates loopback addresses: each run uses its own network, and each listener
+/// its own host address in it, to avoid conflicts with other programs.
 #[derive(Debug)]
 pub(super) struct Addresses {
     network: u8,
     next: u16,
 }
 
-/// Port of every address of a run.
+/// Port of all addresses of a run.
 const PORT: u16 = 7_000;
 
-/// Networks `127.N.0.0/16` that runs draw from; programs at large use `127.0.0.1`.
+/// Values of N for the networks `127.N.0.0/16` of runs; excludes the usual `127.0.0.1`.
 const NETWORKS: std::ops::Range<u8> = 20..250;
 
-/// Hosts in a block of 256 addresses, without its first and last.
+/// Usable hosts in a block of 256 addresses, without the first and last.
 const HOSTS_PER_BLOCK: u16 = 254;
 
 impl Addresses {
-    /// Addresses of a network drawn at random.
-    pub(super) fn draw() -> Self {
+    /// Creates an allocator for a random network.
+    pub(super) fn random() -> Self {
         Addresses { network: rand::rng().random_range(NETWORKS), next: 0 }
     }
 
-    /// The next address.
+    /// Allocates the next address.
     pub(super) fn next(&mut self) -> SocketAddr {
         let [block, host] = [self.next / HOSTS_PER_BLOCK, self.next % HOSTS_PER_BLOCK + 1];
         self.next += 1;
@@ -114,12 +115,12 @@
 }
 
 impl Layout {
-    /// Lays out a run. Real routers stand in the first zone.
+    /// Creates the layout of a run. Real routers are placed in the first zone.
     pub(super) fn new(options: &Options) -> Result<Self, LayoutError> {
         let zone_count = (options.nodes / NODES_PER_ZONE).clamp(2, MAX_ZONES);
         let zone_name = |number| ZoneName::new(format!("zone-{number:02}"));
         let zones = (0..zone_count).map(zone_name).collect::<Result<Vec<_>, _>>()?;
-        let mut addresses = Addresses::draw();
+        let mut addresses = Addresses::random();
         let mut node = |number: u64, zone: &ZoneName| Node {
             node: number,
             zone: zone.clone(),
@@ -129,12 +130,12 @@
             .map(|at| node(at as u64 + 1, &zones[at % zone_count]))
             .collect::<Vec<_>>();
         let all = (0..options.nodes)
-            .map(|at| node(FIRST_NODE + at as u64, &zones[home(at, zone_count)]))
+            .map(|at| node(FIRST_NODE + at as u64, &zones[zone_index(at, zone_count)]))
             .collect::<Vec<_>>();
         let (routers, hollow) = all.split_at(REAL_ROUTERS);
         let seeds: Vec<Node> =
             all.iter().step_by(options.nodes.div_ceil(SEED_PEERS)).cloned().collect();
-        // A process holds whole zones where it can, so that sorting by zone comes first.
+        // Sorted by zone, so that most processes hold whole zones.
         let mut hollow = hollow.to_vec();
         hollow.sort_by(|a, b| (&a.zone, a.node).cmp(&(&b.zone, b.node)));
         let host = |nodes: &[Node]| HostLayout {
@@ -154,12 +155,12 @@
     }
 }
 
-/// The real routers share the first zone; the rest are spread evenly.
-fn home(at: usize, zones: usize) -> usize {
+/// Zone index of a node: real routers share the first zone, other nodes are spread evenly.
+fn zone_index(at: usize, zones: usize) -> usize {
     if at < REAL_ROUTERS { 0 } else { at % zones }
 }
 
-/// The control replicas or seeds as a node file names them.
+/// Converts control replicas or seeds into the peer entries of a node file.
 pub(super) fn as_peers(nodes: &[Node], except: u64) -> Vec<Peer> {
     let others = nodes.iter().filter(|node| node.node != except);
     others
@@ -167,7 +168,7 @@
         .collect()
 }
 
-/// Bounds of a node of the run: engines are always shared.
+/// Limits of a node in the run; engines are always shared between nodes.
 pub(super) fn limits() -> RouterLimits {
     RouterLimits { full_follow_engines: 1, ..RouterLimits::default() }
 }
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -1,10 +1,10 @@
-//! `juniper-lab scale`: hollow nodes beside real control replicas and routers.
+//! `juniper-lab scale`: measures hollow nodes together with real control replicas and routers.
 //!
 //! A hollow node runs a router's whole control plane (settings subscription,
-//! membership, shared engine knowledge) over real sockets, without serving.
-//! Many of them live in each hollow process, which the command starts beside
-//! the real daemons. It then measures what each role spends, restarts a tenth
-//! of the nodes and cuts a zone off.
+//! membership, shared engine knowledge) over real sockets, but serves no requests.
+//! Each hollow process runs many of them. The command starts these processes and
+//! the real daemons, measures the resource usage of each role, restarts a tenth
+//! of the nodes and partitions a zone.
 
 mod control;
 mod fleet;
@@ -36,7 +36,7 @@
                   input, as an SVG file, instead of running
 ";
 
-/// What a run is asked for.
+/// Options of a run.
 #[derive(Clone, Debug)]
 pub(crate) struct Options {
     pub(crate) nodes: usize,
@@ -58,7 +58,7 @@
     }
 }
 
-/// What the command line asks for.
+/// Action that the command line selects.
 enum Task {
     Run(Options),
     Host(PathBuf),
@@ -69,7 +69,7 @@
 /// Runs the command with the arguments that follow its name.
 ///
 /// # Errors
-/// Fails when the arguments are faulty or the run itself fails.
+/// Fails when the arguments are invalid or the run fails.
 pub fn run(parser: &mut lexopt::Parser) -> miette::Result<ExitCode> {
     match parse(parser)? {
         Task::Help => print!("{HELP}"),
@@ -102,7 +102,7 @@
                 options.json = format == "json";
             }
             Arg::Long("plot") => return Ok(Task::Plot(parser.value()?.into())),
-            // Not in the help: how the command starts its own hollow processes.
+            // Internal option for starting hollow processes; omitted from the help.
             Arg::Long("host") => return Ok(Task::Host(parser.value()?.into())),
             Arg::Long("help") | Arg::Short('h') => return Ok(Task::Help),
             other => return Err(other.unexpected().into()),
--- a/crates/lab/src/scale/plot.rs
+++ b/crates/lab/src/scale/plot.rs
@@ -1,4 +1,4 @@
-//! Plots of several runs: what a node spends, by the number of nodes.
+//! Plots resource usage per node against the number of nodes over several runs.
 
 use std::io::{self, BufRead};
 use std::path::Path;
@@ -9,13 +9,13 @@
 
 const SIZE: (u32, u32) = (900, 720);
 
-/// Budgets that the users set for one node.
+/// Resource budgets for one node.
 const CORE_PERCENT_BUDGET: f64 = 3.5;
 const MEBIBYTES_BUDGET: f64 = 32.0;
 const BYTES_BUDGET: f64 = 3_072.0;
 const IN_FORCE_BUDGET_MS: f64 = 4_000.0;
 
-/// Why the plot could not be drawn.
+/// Failure to draw the plot.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub(super) enum PlotError {
     /// Standard input could not be read.
@@ -24,7 +24,7 @@
     /// A line is not a report.
     #[error("not a report: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// The drawing library refused.
+    /// The drawing library failed.
     #[error("can't draw: {0}")]
     Draw(String),
 }
@@ -58,7 +58,7 @@
     },
 ];
 
-/// Draws the reports on standard input into `file`.
+/// Plots the reports from standard input into the SVG file `file`.
 pub(super) fn draw(file: &Path) -> Result<(), PlotError> {
     let mut reports: Vec<Report> = Vec::new();
     for line in io::stdin().lock().lines() {
@@ -66,14 +66,14 @@
     }
     reports.sort_by_key(|report| report.nodes);
     let area = SVGBackend::new(file, SIZE).into_drawing_area();
-    area.fill(&WHITE).map_err(refused)?;
+    area.fill(&WHITE).map_err(draw_error)?;
     for (part, panel) in area.split_evenly((2, 2)).iter().zip(&PANELS) {
         draw_panel(part, panel, &reports)?;
     }
-    area.present().map_err(refused)
+    area.present().map_err(draw_error)
 }
 
-fn refused<E: std::fmt::Display>(error: E) -> PlotError {
+fn draw_error<E: std::fmt::Display>(error: E) -> PlotError {
     PlotError::Draw(error.to_string())
 }
 
@@ -92,12 +92,12 @@
         .x_label_area_size(32)
         .y_label_area_size(56)
         .build_cartesian_2d(0.0..widest * 1.05, 0.0..highest * 1.1)
-        .map_err(refused)?;
-    chart.configure_mesh().x_desc("nodes").draw().map_err(refused)?;
+        .map_err(draw_error)?;
+    chart.configure_mesh().x_desc("nodes").draw().map_err(draw_error)?;
     let budget = [(0.0, panel.budget), (widest * 1.05, panel.budget)];
-    chart.draw_series(LineSeries::new(budget, &RED)).map_err(refused)?;
-    chart.draw_series(LineSeries::new(points.clone(), &BLUE)).map_err(refused)?;
+    chart.draw_series(LineSeries::new(budget, &RED)).map_err(draw_error)?;
+    chart.draw_series(LineSeries::new(points.clone(), &BLUE)).map_err(draw_error)?;
     let dots = points.into_iter().map(|point| Circle::new(point, 3, BLUE.filled()));
-    chart.draw_series(dots).map_err(refused)?;
+    chart.draw_series(dots).map_err(draw_error)?;
     Ok(())
 }
--- a/crates/lab/src/scale/processes.rs
+++ b/crates/lab/src/scale/processes.rs
@@ -1,4 +1,4 @@
-//! The processes of a run: started with files of their own, ended with the run.
+//! Child processes of a run and their configuration files.
 
 use std::io::{self, BufRead, BufReader, Write};
 use std::net::SocketAddr;
@@ -11,11 +11,11 @@
 use super::host::{Command, Status};
 use super::layout::{CLUSTER_KEY, Layout, Node, OPERATOR_KEY};
 
-/// A process that ends with the run.
+/// Child process that is killed when dropped.
 pub(super) struct Process(Child);
 
 impl Process {
-    /// Number of the process.
+    /// Process id.
     pub(super) fn id(&self) -> u32 {
         self.0.id()
     }
@@ -28,7 +28,7 @@
     }
 }
 
-/// A hollow process with its pipes.
+/// Hollow process with its pipes.
 pub(super) struct Host {
     pub(super) process: Process,
     commands: ChildStdin,
@@ -37,7 +37,7 @@
 
 impl Host {
     /// Sends a command and waits for its answer.
-    pub(super) fn ask(&mut self, command: &Command) -> Result<Status, ScaleError> {
+    pub(super) fn send(&mut self, command: &Command) -> Result<Status, ScaleError> {
         writeln!(self.commands, "{}", serde_json::to_string(command)?)?;
         self.commands.flush()?;
         let mut line = String::new();
@@ -48,20 +48,20 @@
     }
 }
 
-/// The program beside this one.
+/// Path of a program in the folder of the current executable.
 fn sibling(name: &str) -> Result<PathBuf, io::Error> {
     Ok(std::env::current_exe()?.with_file_name(name))
 }
 
-/// Makes the cluster on the first replica; the others join it when they start.
-pub(super) fn found_cluster(folder: &Path, text: &str) -> Result<(), ScaleError> {
+/// Creates the cluster on the first replica; the others join when they start.
+pub(super) fn create_cluster(folder: &Path, text: &str) -> Result<(), ScaleError> {
     let file = folder.join("found.toml");
     std::fs::write(&file, text)?;
     let mut program = Program::new(sibling("juniperhollow")?);
     let status = program.args(["found", "--settings"]).arg(file).stdout(Stdio::null()).status()?;
     match status.success() {
         true => Ok(()),
-        false => Err(ScaleError::NotFounded),
+        false => Err(ScaleError::ClusterNotCreated),
     }
 }
 
--- a/crates/lab/src/scale/report.rs
+++ b/crates/lab/src/scale/report.rs
@@ -1,31 +1,31 @@
-//! The figures of one run.
+//! Report of one run.
 
 use std::fmt;
 
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
-/// What one role spent for each of its processes or nodes.
+/// Average resource usage per process or node of one role.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub(super) struct RoleCost {
-    /// How many there were.
+    /// Number of processes or nodes.
     pub(super) count: usize,
-    /// Share of one core for each, in percent.
+    /// CPU usage of each, in percent of one core.
     pub(super) core_percent: f64,
-    /// Resident bytes for each.
+    /// Resident memory of each, in bytes.
     pub(super) resident_bytes: u64,
-    /// Control bytes sent and received in a second, for each.
+    /// Control bytes sent and received by each, per second.
     pub(super) control_bytes_per_second: f64,
-    /// Of these, sent.
+    /// Control bytes sent by each, per second.
     pub(super) control_bytes_sent_per_second: f64,
-    /// Bytes of lookups, either way, in a second, for each.
+    /// Lookup bytes sent and received by each, per second.
     pub(super) lookup_bytes_per_second: f64,
 }
 
-/// Accepted-to-in-force times over all nodes and changes of a phase.
+/// Percentiles of the accepted-to-in-force time over all nodes and changes of a phase.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub(super) struct InForceTimes {
-    /// Nodes times changes.
+    /// Number of samples, one for each node and change.
     pub(super) samples: u64,
     pub(super) p50_ms: f64,
     pub(super) p99_ms: f64,
@@ -33,7 +33,7 @@
 }
 
 impl InForceTimes {
-    /// Summarises `micros`.
+    /// Summarises a histogram of microseconds.
     pub(super) fn of(micros: &Histogram<u64>) -> Self {
         let at = |quantile| micros.value_at_quantile(quantile) as f64 / 1_000.0;
         InForceTimes {
@@ -45,7 +45,7 @@
     }
 }
 
-/// One run.
+/// Report of a run.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(super) struct Report {
     pub(super) nodes: usize,
@@ -55,30 +55,30 @@
     pub(super) hollow_node: RoleCost,
     pub(super) router: RoleCost,
     pub(super) control_replica: RoleCost,
-    /// Sampled index entries that a hollow node keeps, published and owned.
+    /// Average number of sampled index entries in a hollow node, published and owned.
     pub(super) sampled_keys_per_node: f64,
-    /// Share of lookups that found the engine that holds the prompt.
+    /// Share of lookups that found the engine with the cached prompt.
     pub(super) lookups_found: f64,
     pub(super) in_force_quiet: InForceTimes,
-    /// While a tenth of the nodes restarts.
+    /// In-force times while a tenth of the nodes restarts.
     pub(super) in_force_restarts: InForceTimes,
-    /// From the restart of a tenth of the nodes until every node is at the
-    /// latest revision and knows every member, in milliseconds.
+    /// Time from the restart of a tenth of the nodes until every node is at the
+    /// latest revision and knows all members, in milliseconds.
     pub(super) restart_recovery_ms: u64,
     pub(super) in_force_outside_cut: InForceTimes,
-    /// From the end of the cut until every node is at the latest revision and
-    /// knows every member, in milliseconds.
+    /// Time from the end of the partition until every node is at the latest
+    /// revision and knows all members, in milliseconds.
     pub(super) cut_recovery_ms: u64,
-    /// Resident bytes of all processes of the run at the end.
+    /// Resident memory of all processes at the end of the run, in bytes.
     pub(super) resident_bytes_total: u64,
     pub(super) processes: usize,
 }
 
 impl Report {
-    /// The report as one line of JSON.
+    /// Serializes the report as one line of JSON.
     ///
     /// # Errors
-    /// Never in practice: every field has a JSON form.
+    /// Never fails in practice, since all fields are serializable.
     pub(super) fn json(&self) -> Result<String, super::fleet::ScaleError> {
         Ok(serde_json::to_string(self)?)
     }
--- a/crates/lab/src/scale/sample.rs
+++ b/crates/lab/src/scale/sample.rs
@@ -1,29 +1,30 @@
-//! Processor time and memory of processes, from `/proc`.
+//! CPU time and memory of processes, from `/proc`.
 
 use std::fs;
 use std::io;
 use std::time::Duration;
 
-/// Ticks in a second in `/proc/PID/stat`; fixed on Linux for all programs.
+/// Clock ticks per second in `/proc/PID/stat` (USER_HZ, fixed on Linux).
 const TICKS_PER_SECOND: u64 = 100;
 
-/// Fields of `/proc/PID/stat` after the program's name: user and system time.
+/// Indexes of user and system time among the fields of `/proc/PID/stat` that
+/// follow the program name.
 const USER_TIME_FIELD: usize = 11;
 const SYSTEM_TIME_FIELD: usize = 12;
 
-/// What a process has used.
+/// Resource usage of a process.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Usage {
-    /// Processor time since its start.
+    /// CPU time since the start of the process.
     pub(super) processor: Duration,
     /// Resident memory, in bytes.
     pub(super) resident: u64,
 }
 
-/// What process `id` has used up to now.
+/// Reads the resource usage of process `id`.
 pub(super) fn usage(id: u32) -> io::Result<Usage> {
     let stat = fs::read_to_string(format!("/proc/{id}/stat"))?;
-    // The name may hold spaces; it ends with the last parenthesis.
+    // The program name may contain spaces and ends with the last parenthesis.
     let after_name = stat.rsplit(')').next().unwrap_or_default();
     let fields: Vec<&str> = after_name.split_whitespace().collect();
     let ticks = |at: usize| fields.get(at).and_then(|text| text.parse::<u64>().ok()).unwrap_or(0);
@@ -37,7 +38,7 @@
     })
 }
 
-/// Sum over several processes.
+/// Sums the resource usage of several processes.
 pub(super) fn total(ids: &[u32]) -> io::Result<Usage> {
     let mut sum = Usage::default();
     for id in ids {
--- a/crates/lab/src/scale/synthetic.rs
+++ b/crates/lab/src/scale/synthetic.rs
@@ -1,8 +1,7 @@
-//! Cache events and loads of engines that are not there.
+//! Synthetic cache events and load reports of emulated engines.
 //!
-//! Each engine holds as many blocks as the size designed for gives it, and
-//! changes them at that rate: 56 million blocks on 1,500 engines, 270,000
-//! changes a second. Prompts are chains, as real ones are.
+//! Block counts and change rates per engine match the target deployment:
+//! 56 million blocks on 1,500 engines, 270,000 changes per second.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -13,56 +12,56 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Blocks that one engine keeps.
+/// Blocks cached by one engine.
 pub(super) const BLOCKS_PER_ENGINE: usize = 56_000_000 / 1_500;
 
-/// Changes of one engine in a second; half of them store, half evict.
+/// Cache changes of one engine per second, half of them stores, half evictions.
 const CHANGES_PER_SECOND: usize = 270_000 / 1_500;
 
-/// Blocks of one prompt that an event stores together.
+/// Blocks of one prompt, stored by a single event.
 const BLOCKS_PER_PROMPT: usize = 30;
 
-/// One engine's cache as its events tell of it.
+/// Emulated engine with a cache of random prompts.
 pub(super) struct SyntheticEngine {
     random: ChaCha8Rng,
     incarnation: Incarnation,
     sequence: u64,
-    held: VecDeque<BlockHash>,
+    cached: VecDeque<BlockHash>,
     model: ModelName,
 }
 
 impl SyntheticEngine {
-    /// An engine with a full cache.
+    /// Creates an engine with a full cache.
     pub(super) fn new(seed: u64, model: ModelName) -> Self {
         let mut engine = SyntheticEngine {
             random: ChaCha8Rng::seed_from_u64(seed),
             incarnation: Incarnation(seed),
             sequence: 0,
-            held: VecDeque::new(),
+            cached: VecDeque::new(),
             model,
         };
-        while engine.held.len() < BLOCKS_PER_ENGINE {
+        while engine.cached.len() < BLOCKS_PER_ENGINE {
             let prompt = engine.prompt();
-            engine.held.extend(prompt);
+            engine.cached.extend(prompt);
         }
         engine
     }
 
-    /// Life of the engine.
+    /// Incarnation of the engine.
     pub(super) fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// The whole cache.
+    /// Snapshot of the whole cache.
     pub(super) fn snapshot(&self) -> Snapshot {
         Snapshot {
             incarnation: self.incarnation,
             sequence: self.sequence,
-            blocks: self.held.iter().copied().collect(),
+            blocks: self.cached.iter().copied().collect(),
         }
     }
 
-    /// What happened in `elapsed`.
+    /// Generates the cache events of a period of `elapsed`.
     pub(super) fn events(&mut self, elapsed: Duration) -> Vec<CacheEvent> {
         let changes = CHANGES_PER_SECOND as f64 * elapsed.as_secs_f64();
         let prompts = changes / 2.0 / BLOCKS_PER_PROMPT as f64;
@@ -74,12 +73,12 @@
     fn event(&mut self) -> CacheEvent {
         self.sequence += 1;
         let stored = self.prompt();
-        let removed = self.held.drain(..stored.len()).collect();
-        self.held.extend(&stored);
+        let removed = self.cached.drain(..stored.len()).collect();
+        self.cached.extend(&stored);
         CacheEvent { sequence: self.sequence, stored, removed }
     }
 
-    /// A load report, as varied as real ones.
+    /// Generates a random load report.
     pub(super) fn load(&mut self) -> EngineLoad {
         EngineLoad {
             incarnation: self.incarnation,
@@ -94,11 +93,11 @@
         }
     }
 
-    /// A prompt that the engine holds, to be looked up.
-    pub(super) fn held_prompt(&mut self) -> Vec<BlockHash> {
-        let prompts = self.held.len() / BLOCKS_PER_PROMPT;
+    /// Selects a random cached prompt, for a lookup.
+    pub(super) fn cached_prompt(&mut self) -> Vec<BlockHash> {
+        let prompts = self.cached.len() / BLOCKS_PER_PROMPT;
         let start = self.random.random_range(0..prompts.max(1)) * BLOCKS_PER_PROMPT;
-        self.held.range(start..start + BLOCKS_PER_PROMPT).copied().collect()
+        self.cached.range(start..start + BLOCKS_PER_PROMPT).copied().collect()
     }
 
     fn prompt(&mut self) -> Vec<BlockHash> {
