--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -154,7 +154,7 @@
     }
 
     fn send_to_all(&mut self, command: &Command) -> Result<Vec<Status>, ScaleError> {
-        self.hosts.iter_mut().map(|host| host.send(command)).collect()
+        self.hosts.iter_mut().map(|host| host.send_command(command)).collect()
     }
 
     /// Waits until every hollow node is at the latest revision and knows all
--- a/crates/lab/src/scale/processes.rs
+++ b/crates/lab/src/scale/processes.rs
@@ -37,7 +37,7 @@
 
 impl Host {
     /// Sends a command and waits for its answer.
-    pub(super) fn send(&mut self, command: &Command) -> Result<Status, ScaleError> {
+    pub(super) fn send_command(&mut self, command: &Command) -> Result<Status, ScaleError> {
         writeln!(self.commands, "{}", serde_json::to_string(command)?)?;
         self.commands.flush()?;
         let mut line = String::new();
