--- a/crates/lab/src/experiment/baselines.rs
+++ b/crates/lab/src/experiment/baselines.rs
@@ -1,7 +1,7 @@
-//! The policies that the project compares itself with.
+//! Baseline routing policies.
 //!
-//! Each reads the same load reports as the project's routers and counts its own
-//! requests since; none reads cache events.
+//! Each baseline reads the same load reports as the project's routers and adds the
+//! requests it sent since the report; none reads cache events.
 
 use std::collections::HashMap;
 
@@ -9,42 +9,41 @@
 use juniper_prefix_index::rendezvous::{self, LoadedNode};
 use juniper_types::{BlockHash, Timestamp};
 
-use super::policy::{AttemptId, Choice, Policy, Question, Refused, Truth};
+use super::policy::{AttemptId, Choice, FleetState, Policy, Refused, RoutingInput};
 
-/// Block whose hash names a prompt's group in the prefix affinity baseline:
-/// 1,024 tokens reach past the outer prefix into the middle one in both
-/// profiles, so that requests which share these stay together.
+/// Number of leading blocks whose hash selects the engine in the prefix affinity
+/// baseline. In both profiles, 1,024 tokens reach past the outer shared prefix into
+/// the middle one.
 const AFFINITY_DEPTH: usize = 16;
 
-/// Load that an engine may have, relative to the mean. Of 1.25, 2 and 4 with
-/// depths of 8 to 32 blocks, this pair did best over both profiles: 1.25 gives
-/// up half of the hits, 4 has the longest tails.
+/// Maximum load of an engine relative to the mean, for bounded-load hashing.
 const BOUNDED_LOAD_FACTOR: f64 = 2.0;
 
-/// Share of a prompt that an engine must have seen to be preferred by history.
-/// Of 0.1, 0.25 and 0.5 with imbalances of 2 to 8 this pair did best.
+/// Minimum share of the prompt that an engine must have received before to be
+/// preferred by history.
 const HISTORY_MATCH: f64 = 0.25;
 
-/// Requests beyond which history gives way to balance, and the factor on the mean.
+/// Requests above the mean beyond which an engine counts as overloaded.
 const HISTORY_IMBALANCE: f64 = 8.0;
 
-/// Factor on the mean load beyond which history gives way to balance.
+/// Load relative to the mean beyond which an engine counts as overloaded.
 const HISTORY_IMBALANCE_FACTOR: f64 = 1.5;
 
-/// Which baseline.
+/// Baseline policies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Baseline {
-    /// One engine after the other.
+    /// Round robin.
     RoundRobin,
-    /// The fewest requests.
+    /// Engine with the fewest requests.
     LeastLoaded,
-    /// Rendezvous hashing of the prompt's start, with bounded load.
+    /// Rendezvous hashing of the prompt's leading blocks, with bounded load.
     PrefixAffinity,
-    /// The engine that this router sent most of the prompt to before, unless it is overloaded.
+    /// Engine that this router sent the longest part of the prompt to before, unless it is
+    /// overloaded.
     OwnHistory,
 }
 
-/// Requests at one engine as one router counts them.
+/// Load of one engine as seen by one router.
 #[derive(Clone, Debug, Default)]
 struct Load {
     reported: f64,
@@ -53,15 +52,15 @@
 }
 
 impl Load {
-    /// Reported requests and those sent since.
+    /// Reported requests plus those sent since the report.
     fn requests(&self) -> f64 {
         let since = self.own.iter().filter(|(_, at)| *at >= self.taken_at).count();
         self.reported + since as f64
     }
 }
 
-/// Blocks that one router sent to one engine, forgotten in order of last use
-/// once they are more than the engine's cache holds.
+/// Blocks that one router sent to one engine, with least-recently-used eviction at the
+/// size of the engine's cache.
 #[derive(Clone, Debug, Default)]
 struct History {
     last_sent: HashMap<BlockHash, u64>,
@@ -75,7 +74,7 @@
     }
 
     fn note(&mut self, blocks: &[BlockHash], capacity: usize) {
-        // The end of a prompt is forgotten before its start, as in the engines.
+        // The end of a prompt is evicted before its start, as in the engines.
         for block in blocks.iter().rev() {
             self.clock += 1;
             if let Some(before) = self.last_sent.insert(*block, self.clock) {
@@ -98,7 +97,7 @@
     histories: Vec<History>,
 }
 
-/// One of the baselines, for all routers.
+/// State of one baseline policy for all routers.
 pub struct BaselinePolicy {
     baseline: Baseline,
     engines: usize,
@@ -107,7 +106,8 @@
 }
 
 impl BaselinePolicy {
-    /// `routers` routers in front of `engines` engines of `cache_blocks` each.
+    /// Creates the policy for `routers` routers and `engines` engines with `cache_blocks`
+    /// blocks of cache each.
     pub fn new(baseline: Baseline, routers: usize, engines: usize, cache_blocks: usize) -> Self {
         let mut policy = BaselinePolicy {
             baseline,
@@ -115,39 +115,39 @@
             cache_blocks,
             routers: Vec::with_capacity(routers),
         };
-        policy.routers = (0..routers).map(|router| policy.fresh(router)).collect();
+        policy.routers = (0..routers).map(|router| policy.new_router(router)).collect();
         policy
     }
 
-    fn fresh(&self, router: usize) -> Router {
+    fn new_router(&self, router: usize) -> Router {
         Router {
-            // Routers start at different engines, or they would move in step.
+            // Routers start at different engines so that their round robins don't coincide.
             turn: router * self.engines / 3,
             loads: vec![Load::default(); self.engines],
             histories: vec![History::default(); self.engines],
         }
     }
 
-    fn pick(&mut self, question: &Question<'_>) -> Option<usize> {
+    fn choose_engine(&mut self, input: &RoutingInput<'_>) -> Option<usize> {
         let engines = self.engines;
-        let router = &mut self.routers[question.router];
+        let router = &mut self.routers[input.router];
         let allowed: Vec<usize> =
-            (0..engines).filter(|engine| !question.excluded.contains(engine)).collect();
+            (0..engines).filter(|engine| !input.excluded.contains(engine)).collect();
         match self.baseline {
             Baseline::RoundRobin => {
                 let turn = router.turn;
                 router.turn += 1;
                 allowed.get(turn % allowed.len().max(1)).copied()
             }
-            Baseline::LeastLoaded => router.least_loaded(&allowed, question.attempt),
-            Baseline::PrefixAffinity => router.by_affinity(&allowed, &question.job.blocks),
-            Baseline::OwnHistory => router.by_history(&allowed, question),
+            Baseline::LeastLoaded => router.least_loaded(&allowed, input.attempt),
+            Baseline::PrefixAffinity => router.choose_by_affinity(&allowed, &input.job.blocks),
+            Baseline::OwnHistory => router.choose_by_history(&allowed, input),
         }
     }
 }
 
 impl Router {
-    /// Ties are broken by the attempt, so that they don't favour an engine.
+    /// Ties are broken by a hash of the attempt, to favour no engine.
     fn least_loaded(&self, allowed: &[usize], attempt: AttemptId) -> Option<usize> {
         allowed.iter().copied().min_by(|a, b| {
             let tie = |engine: &usize| rendezvous::score(attempt.0, *engine as u64);
@@ -156,7 +156,7 @@
         })
     }
 
-    fn by_affinity(&self, allowed: &[usize], blocks: &[BlockHash]) -> Option<usize> {
+    fn choose_by_affinity(&self, allowed: &[usize], blocks: &[BlockHash]) -> Option<usize> {
         let block =
             blocks.get(AFFINITY_DEPTH - 1).or(blocks.last()).copied().unwrap_or(BlockHash([0; 16]));
         let key = u64::from_le_bytes(std::array::from_fn(|index| block.0[index]));
@@ -168,11 +168,11 @@
             .map(|engine| engine as usize)
     }
 
-    fn by_history(&self, allowed: &[usize], question: &Question<'_>) -> Option<usize> {
-        let blocks = &question.job.blocks;
+    fn choose_by_history(&self, allowed: &[usize], input: &RoutingInput<'_>) -> Option<usize> {
+        let blocks = &input.job.blocks;
         let matched = |engine: &usize| self.histories[*engine].matched(blocks);
         let best = allowed.iter().copied().max_by_key(|engine| {
-            (matched(engine), rendezvous::score(question.attempt.0, *engine as u64))
+            (matched(engine), rendezvous::score(input.attempt.0, *engine as u64))
         })?;
         let total: f64 = allowed.iter().map(|engine| self.loads[*engine].requests()).sum();
         let mean = total / allowed.len() as f64;
@@ -182,23 +182,23 @@
         if share >= HISTORY_MATCH && !overloaded {
             return Some(best);
         }
-        self.least_loaded(allowed, question.attempt)
+        self.least_loaded(allowed, input.attempt)
     }
 }
 
 impl Policy for BaselinePolicy {
     fn choose(
         &mut self,
-        question: &Question<'_>,
-        _truth: Truth<'_>,
+        input: &RoutingInput<'_>,
+        _truth: FleetState<'_>,
         now: Timestamp,
     ) -> Result<Choice, Refused> {
         let refused = Refused { retry_after: std::time::Duration::from_secs(1) };
-        let engine = self.pick(question).ok_or(refused)?;
-        let router = &mut self.routers[question.router];
-        router.loads[engine].own.push((question.attempt, now));
+        let engine = self.choose_engine(input).ok_or(refused)?;
+        let router = &mut self.routers[input.router];
+        router.loads[engine].own.push((input.attempt, now));
         if self.baseline == Baseline::OwnHistory {
-            router.histories[engine].note(&question.job.blocks, self.cache_blocks);
+            router.histories[engine].note(&input.job.blocks, self.cache_blocks);
         }
         Ok(Choice { engine, incarnation: None, expected_blocks: 0, wait: None })
     }
@@ -214,6 +214,6 @@
     }
 
     fn restart(&mut self) {
-        self.routers = (0..self.routers.len()).map(|router| self.fresh(router)).collect();
+        self.routers = (0..self.routers.len()).map(|router| self.new_router(router)).collect();
     }
 }
--- a/crates/lab/src/experiment/deployment.rs
+++ b/crates/lab/src/experiment/deployment.rs
@@ -1,4 +1,4 @@
-//! What the experiments add to a trace's profile: networks, faults, settings.
+//! Network latencies, faults and service settings of the experiments, by profile.
 
 use std::time::Duration;
 
@@ -7,36 +7,36 @@
 
 use super::workload::WEIGHTS;
 
-/// One-way latency between two machines of a zone.
-const WITHIN_ZONE: Duration = Duration::from_micros(150);
+/// One-way latency between two hosts of a zone.
+const LATENCY_WITHIN_ZONE: Duration = Duration::from_micros(150);
 
-/// Age that a load sample has before it can be read.
-const LOAD_LAG: Duration = Duration::from_millis(200);
+/// Delay until a load sample can be read.
+const LOAD_SAMPLE_DELAY: Duration = Duration::from_millis(200);
 
-/// Time between load samples.
+/// Interval between load samples.
 const LOAD_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A deployment as the experiments run it.
+/// Simulated deployment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Deployment {
     /// One-way latency between zones.
     pub between_zones: Duration,
-    /// Weight of recomputed tokens in the settings of chat services.
+    /// Cost weight of recomputed tokens for chat services.
     pub waste_weight: f64,
-    /// Weight of the time to first token.
+    /// Cost weight of the time to first token.
     pub latency_weight: f64,
-    /// Time to first token above which a request is refused, in milliseconds.
+    /// Limit of the time to first token above which a request is refused, in milliseconds.
     pub first_token_deadline_ms: u64,
-    /// Time to the complete answer, in milliseconds.
+    /// Deadline for the complete answer, in milliseconds.
     pub deadline_ms: u64,
-    /// Lateness and loss of cache events.
+    /// Delay and loss of cache events.
     pub events: EventFaults,
 }
 
 impl Deployment {
-    /// The deployment of `profile`. Latencies are those of its zones; weights
-    /// are what its users care about: recomputation for the recruiters who
-    /// wait, the late tail for the editors who leave.
+    /// Returns the deployment of `profile`, with the latencies between its zones and a
+    /// higher cost weight for what matters most there: recomputed tokens or time to
+    /// first token.
     pub fn of(profile: Profile) -> Self {
         let (between_zones, waste_weight, latency_weight) = match profile {
             Profile::GraniteLedger => (Duration::from_micros(1_300), 2.0, 0.5),
@@ -52,18 +52,18 @@
         }
     }
 
-    /// One-way latency from zone `from` to zone `to`.
+    /// Returns the one-way latency from zone `from` to zone `to`.
     pub fn one_way(&self, from: usize, to: usize) -> Duration {
-        if from == to { WITHIN_ZONE } else { self.between_zones }
+        if from == to { LATENCY_WITHIN_ZONE } else { self.between_zones }
     }
 
-    /// Engine number `engine` of the fleet that `header` names.
+    /// Creates engine number `engine` of the fleet described by `header`.
     pub fn engine(&self, header: &TraceHeader, engine: usize) -> EngineConfig {
         EngineConfig {
             cache_blocks: header.cache_blocks,
             events: self.events,
             load_interval: LOAD_INTERVAL,
-            load_lag: LOAD_LAG,
+            load_lag: LOAD_SAMPLE_DELAY,
             report_every_token: false,
             ..EngineConfig::reference(header.model.clone(), WEIGHTS, header.seed ^ engine as u64)
         }
--- a/crates/lab/src/experiment/juniper.rs
+++ b/crates/lab/src/experiment/juniper.rs
@@ -1,4 +1,4 @@
-//! The project's own policy: the routers' decision code as it is deployed.
+//! Policy that runs the decision code of the deployed routers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,19 +13,21 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use super::policy::{AttemptId, Choice, EventsWanted, Policy, Question, Refused, Truth, Wait};
+use super::policy::{
+    AttemptId, Choice, EventsWanted, FleetState, Policy, Refused, RoutingInput, Wait,
+};
 
-/// Where the engines stand, for each router's table.
+/// Zones and round-trip times of the fleet, for the routers' tables.
 #[derive(Clone, Debug)]
 pub struct FleetMap {
-    /// Zone of each engine, by its position.
+    /// Zone of each engine, by position.
     pub engine_zones: Vec<ZoneName>,
-    /// Round trip from each router to each zone.
+    /// Round-trip time from each router to each zone.
     pub round_trips: Vec<Vec<(ZoneName, Duration)>>,
 }
 
 impl FleetMap {
-    /// A table of router `router` that knows the engines and nothing of their load.
+    /// Creates the table of router `router` with all engines and no load reports.
     pub fn table(&self, router: usize, model: CostModel) -> EngineTable {
         let mut table = EngineTable::new(model);
         for (zone, round_trip) in &self.round_trips[router] {
@@ -38,12 +40,12 @@
     }
 }
 
-/// The id of the engine at `position`.
+/// Returns the id of the engine at `position`.
 pub fn engine_id(position: usize) -> EngineId {
     EngineId(position as u32)
 }
 
-/// A report of the emulated engine in the form that the table takes.
+/// Converts a load report of the emulated engine for the routing table.
 pub fn engine_load(report: &LoadReport) -> EngineLoad {
     EngineLoad {
         incarnation: report.incarnation,
@@ -64,7 +66,7 @@
     random: ChaCha8Rng,
 }
 
-/// Routers with the deployed decision code, each with an index of its own.
+/// Routers with the deployed decision code, each with its own index and table.
 pub struct Juniper {
     map: FleetMap,
     model: CostModel,
@@ -73,7 +75,7 @@
 }
 
 impl Juniper {
-    /// Routers that know nothing yet.
+    /// Creates routers with an empty index.
     pub fn new(map: FleetMap, model: CostModel) -> Self {
         let mut policy = Juniper { map, model, routers: Vec::new(), restarts: 0 };
         policy.restart();
@@ -84,13 +86,13 @@
 impl Policy for Juniper {
     fn choose(
         &mut self,
-        question: &Question<'_>,
-        _truth: Truth<'_>,
+        input: &RoutingInput<'_>,
+        _truth: FleetState<'_>,
         now: Timestamp,
     ) -> Result<Choice, Refused> {
-        let Router { table, index, random } = &mut self.routers[question.router];
-        let job = question.job;
-        let excluded: Vec<EngineId> = question.excluded.iter().copied().map(engine_id).collect();
+        let Router { table, index, random } = &mut self.routers[input.router];
+        let job = input.job;
+        let excluded: Vec<EngineId> = input.excluded.iter().copied().map(engine_id).collect();
         index.maintain(now);
         let holders = index.lookup(&job.blocks, now);
         let request = RouteRequest {
@@ -103,7 +105,7 @@
             prompt_tokens: job.prompt_tokens,
             missed_tokens: request.missed_tokens(decision.expected_blocks),
         };
-        let id = DispatchId(question.attempt.0);
+        let id = DispatchId(input.attempt.0);
         table.dispatched(decision.engine, id, work, now);
         if let Some(incarnation) = decision.incarnation {
             index.predict(decision.engine, incarnation, &job.blocks, id.into(), now);
@@ -122,7 +124,7 @@
     fn load(&mut self, router: usize, engine: usize, report: &LoadReport, now: Timestamp) {
         let known = &mut self.routers[router];
         known.table.report(engine_id(engine), &engine_load(report), now);
-        // The number of engines is far below the index's limit.
+        // The number of engines is below the index's limit.
         let _ = known.index.start_incarnation(engine_id(engine), report.incarnation);
     }
 
--- a/crates/lab/src/experiment/measure.rs
+++ b/crates/lab/src/experiment/measure.rs
@@ -1,4 +1,4 @@
-//! What is measured of one policy's run.
+//! Measurements of one policy's run.
 
 use std::collections::HashSet;
 
@@ -9,49 +9,49 @@
 
 use super::workload::Job;
 
-/// Longest time to first token that the histogram tells apart, in microseconds.
+/// Upper bound of the time-to-first-token histogram, in microseconds.
 const MAX_TTFT_US: u64 = 300_000_000;
 
-/// Significant digits of the histogram.
-const DIGITS: u8 = 3;
+/// Significant decimal digits of the histogram.
+const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Microseconds in a millisecond.
-const MICROS: f64 = 1_000.0;
+/// Microseconds per millisecond.
+const MICROS_PER_MILLI: f64 = 1_000.0;
 
-/// The measures of one policy.
+/// Measurements of one policy.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Measure {
     /// Requests measured.
     pub requests: u64,
     /// Requests answered in full.
     pub answered: u64,
-    /// Requests refused by the policy, or by every engine that was tried.
+    /// Requests refused by the policy or by all engines tried.
     pub refused: u64,
-    /// Requests that an engine gave up at their deadline.
+    /// Requests that an engine cancelled at their deadline.
     pub dropped: u64,
-    /// Requests whose first token came within their service's deadline.
+    /// Requests whose first token arrived within the service's deadline.
     pub in_time: u64,
-    /// Prompt tokens found cached, as a share of those of answered requests.
+    /// Share of the prompt tokens of answered requests that were cached.
     pub hit_rate: f64,
-    /// Tokens computed for blocks that some engine had computed before.
+    /// Tokens computed for blocks that an engine had already computed before.
     pub wasted_tokens: u64,
-    /// Prompt tokens computed.
+    /// Prefill tokens computed.
     pub computed_tokens: u64,
     /// Median time to first token, in milliseconds.
     pub ttft_p50_ms: f64,
-    /// 95th percentile.
+    /// 95th percentile of the time to first token, in milliseconds.
     pub ttft_p95_ms: f64,
-    /// 99th percentile.
+    /// 99th percentile of the time to first token, in milliseconds.
     pub ttft_p99_ms: f64,
-    /// Times to first token at percentiles 1 to 100, for plots.
+    /// Time to first token at percentiles 1 to 100, for plots.
     #[serde(skip)]
     pub ttft_curve_ms: Vec<f64>,
-    /// Hit rate of requests by second of arrival, for plots.
+    /// Cache hit rate by second of arrival, for plots.
     #[serde(skip)]
     pub hit_rate_by_second: Vec<(u64, f64)>,
 }
 
-/// Counts while a run goes on.
+/// Accumulator of the measurements during a run.
 pub struct Recorder<'a> {
     jobs: &'a [Job],
     measure_from: Timestamp,
@@ -69,11 +69,11 @@
 }
 
 impl<'a> Recorder<'a> {
-    /// Measures the jobs that arrive at `measure_from` or later.
+    /// Creates an accumulator for jobs that arrive at `measure_from` or later.
     pub fn new(jobs: &'a [Job], measure_from: Timestamp) -> Self {
         let seconds = jobs.last().map_or(0, |job| job.at.as_millis() / 1_000 + 1) as usize;
-        // The bounds are constants that the library accepts.
-        let ttft = Histogram::new_with_bounds(1, MAX_TTFT_US, DIGITS)
+        // The bounds are valid constants.
+        let ttft = Histogram::new_with_bounds(1, MAX_TTFT_US, SIGNIFICANT_DIGITS)
             .unwrap_or_else(|_| unreachable!("the bounds are valid"));
         Recorder {
             jobs,
@@ -96,17 +96,17 @@
         self.jobs[job].at >= self.measure_from
     }
 
-    /// Neither policy nor engine took the job.
+    /// Records a job that the policy or all engines tried refused.
     pub fn refused(&mut self, job: usize) {
         self.refused += u64::from(self.is_measured(job));
     }
 
-    /// An engine gave the job up.
+    /// Records a job that an engine cancelled at its deadline.
     pub fn dropped(&mut self, job: usize) {
         self.dropped += u64::from(self.is_measured(job));
     }
 
-    /// An engine found `cached_tokens` of the prompt and computes the rest.
+    /// Records the start of a job with `cached_tokens` tokens of the prompt cached.
     pub fn started(&mut self, job: usize, cached_tokens: u32) {
         let measured = self.is_measured(job);
         let Job { blocks, prompt_tokens, .. } = &self.jobs[job];
@@ -122,7 +122,7 @@
         }
     }
 
-    /// The first token reached the router.
+    /// Records the arrival of the first token at the router.
     pub fn first_token(&mut self, job: usize, at: Timestamp) {
         if !self.is_measured(job) {
             return;
@@ -133,7 +133,7 @@
         self.in_time += u64::from(ttft.as_millis() as u64 <= settings.first_token_deadline_ms);
     }
 
-    /// The answer is complete.
+    /// Records a complete answer.
     pub fn finished(&mut self, job: usize, _at: Timestamp, statistics: RequestStatistics) {
         if !self.is_measured(job) {
             return;
@@ -149,10 +149,10 @@
     }
 
     fn percentile_ms(&self, percentile: f64) -> f64 {
-        self.ttft.value_at_percentile(percentile) as f64 / MICROS
+        self.ttft.value_at_percentile(percentile) as f64 / MICROS_PER_MILLI
     }
 
-    /// The measures.
+    /// Returns the measurements.
     pub fn finish(self) -> Measure {
         let by_second = self.seconds.iter().enumerate().filter(|(_, (prompt, _))| *prompt > 0);
         Measure {
--- a/crates/lab/src/experiment/mod.rs
+++ b/crates/lab/src/experiment/mod.rs
@@ -1,7 +1,7 @@
-//! Routing policies compared on one trace in virtual time.
+//! Comparison of routing policies on one trace in virtual time.
 //!
-//! Every policy gets the same requests, engines, networks and faults; a run
-//! depends on its options alone, so the same options give the same bytes.
+//! All policies run with the same requests, engines, networks and faults. Runs are
+//! deterministic: the same options give the same output byte for byte.
 
 pub mod baselines;
 pub mod deployment;
@@ -26,7 +26,7 @@
 use crate::arguments::{ArgumentError, parsed};
 use report::Comparison;
 use suite::{ExperimentOptions, PolicyName};
-use tuning::CostChange;
+use tuning::CostOverride;
 
 const HELP: &str = "\
 Usage: juniper-lab experiment --profile PROFILE [OPTIONS]
@@ -48,7 +48,7 @@
   --help               print this help
 ";
 
-/// How the result is printed.
+/// Output format of the result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Format {
     Text,
@@ -80,7 +80,7 @@
 /// Runs the command with the arguments that follow its name.
 ///
 /// # Errors
-/// Fails when the arguments are faulty or a plot can't be written.
+/// Fails when the arguments are invalid or a plot can't be written.
 pub fn run(parser: &mut lexopt::Parser) -> miette::Result<ExitCode> {
     let Some(arguments) = arguments(parser)? else {
         print!("{HELP}");
@@ -125,7 +125,7 @@
                 options.policies.push(policy);
             }
             Arg::Long("cost") => {
-                let change: CostChange = parsed(parser, "--cost", "NAME=VALUE of a constant")?;
+                let change: CostOverride = parsed(parser, "--cost", "NAME=VALUE of a constant")?;
                 change.apply(&mut options.cost);
             }
             Arg::Long("format") => format = parsed(parser, "--format", "text or json")?,
@@ -145,32 +145,32 @@
     Ok(Some(Arguments { options, format, plots }))
 }
 
-/// Anything that ends an experiment early.
+/// Reason why an experiment failed.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum ExperimentError {
-    /// A name in the trace is not valid.
+    /// A name in the trace is invalid.
     #[error(transparent)]
     Name(#[from] juniper_types::NameError),
     /// A thread that ran a policy panicked.
-    #[error("the run of policy {0} ended early")]
+    #[error("the run of policy {0} panicked")]
     Run(&'static str),
-    /// The folder for plots can't be made.
-    #[error("the folder for plots can't be made")]
+    /// The folder for plots can't be created.
+    #[error("the folder for plots can't be created")]
     Folder(#[source] std::io::Error),
     /// A plot can't be drawn or written.
     #[error("the plot {file} can't be written: {reason}")]
     Plot {
         /// Name of the file.
         file: &'static str,
-        /// What the plotting library said.
+        /// Error of the plotting library.
         reason: String,
     },
 }
 
-/// One comparison, for use by other commands and tests.
+/// Compares the policies of `options`.
 ///
 /// # Errors
-/// Fails when a policy's run ends early.
+/// Fails when the run of a policy fails.
 pub fn compare(options: &ExperimentOptions) -> Result<Comparison, ExperimentError> {
     suite::run(options)
 }
--- a/crates/lab/src/experiment/oracle.rs
+++ b/crates/lab/src/experiment/oracle.rs
@@ -1,11 +1,11 @@
-//! The all-knowing oracle: tries every engine out and takes the best.
+//! Oracle policy: simulates the request on every engine and chooses the cheapest.
 //!
-//! It copies each engine as it is at the moment, with the requests on their way
-//! there and those that wait to be sent, submits the request to the copy and
-//! runs it to the first token. So it knows the exact cached tokens and the
-//! exact time to first token, of everything except requests still to come. It
-//! may also wait for an attempt that computes the same prefix, and it minimises
-//! the same weighted cost as the routers.
+//! The oracle copies the current state of each engine, including requests in flight to
+//! the engine and held requests, submits the request to the copy and runs the copy to
+//! the first token. The number of cached tokens and the time to first token are
+//! therefore exact, apart from the influence of future arrivals. The oracle may also
+//! hold the request until another attempt has computed the same prefix. The cost
+//! function is that of the routers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,63 +15,64 @@
 use juniper_types::{BlockHash, RequestId, Timestamp};
 
 use super::deployment::Deployment;
-use super::policy::{AttemptId, Choice, Held, Policy, Question, Refused, Truth, Wait};
+use super::policy::{AttemptId, Choice, FleetState, Held, Policy, Refused, RoutingInput, Wait};
 use super::world::engine_request;
 
-/// Nanoseconds in a microsecond.
+/// Nanoseconds per microsecond.
 const NANOS_PER_MICRO: f64 = 1_000.0;
 
-/// Work of one request in a queue, in microseconds, as the routers take it.
+/// Assumed work of one queued request, in microseconds, as in the routers.
 const QUEUED_WORK_US: f64 = 270_000.0;
 
-/// Blocks that an attempt must be computing for others to wait for it.
+/// Minimum blocks that an attempt must be computing for other requests to wait for it.
 const MIN_AWAITED_BLOCKS: usize = 2;
 
-/// Time that a wait may take.
-const LONGEST_WAIT: Duration = Duration::from_secs(30);
+/// Maximum time that a request is held.
+const MAX_HOLD_TIME: Duration = Duration::from_secs(30);
 
-/// Chooses by trying.
+/// Policy with complete knowledge of the fleet.
 pub struct Oracle {
     deployment: Deployment,
     engine_zones: Vec<usize>,
-    /// Attempts without a first token, by engine.
+    /// Attempts that have no first token yet, by engine.
     computing: Vec<Vec<(AttemptId, Arc<[BlockHash]>)>>,
 }
 
-/// What came of trying one engine.
+/// Result of simulating the request on one engine.
 #[derive(Clone, Copy, Debug)]
-struct Trial {
+struct SimulatedStart {
     first_token_us: f64,
     cached_tokens: u32,
 }
 
 impl Oracle {
-    /// Knows where the engines stand.
+    /// Creates an oracle for the given topology.
     pub fn new(deployment: Deployment, engine_zones: Vec<usize>) -> Self {
         let computing = vec![Vec::new(); engine_zones.len()];
         Oracle { deployment, engine_zones, computing }
     }
 
-    fn cost(&self, question: &Question<'_>, engine: usize, trial: Trial) -> f64 {
-        let job = question.job;
-        let one_way = self.deployment.one_way(question.router, self.engine_zones[engine]);
-        let missed = f64::from(job.prompt_tokens.saturating_sub(trial.cached_tokens));
+    fn cost(&self, input: &RoutingInput<'_>, engine: usize, start: SimulatedStart) -> f64 {
+        let job = input.job;
+        let one_way = self.deployment.one_way(input.router, self.engine_zones[engine]);
+        let missed = f64::from(job.prompt_tokens.saturating_sub(start.cached_tokens));
         let compute_us = missed * PREFILL_TOKEN_NS as f64 / NANOS_PER_MICRO;
-        let queue_us = (trial.first_token_us - compute_us).max(0.0);
+        let queue_us = (start.first_token_us - compute_us).max(0.0);
         let congestion_us = compute_us * queue_us / QUEUED_WORK_US;
-        let first_token_us = trial.first_token_us + 2.0 * one_way.as_micros() as f64;
+        let first_token_us = start.first_token_us + 2.0 * one_way.as_micros() as f64;
         job.settings.latency_weight * (first_token_us + congestion_us)
             + job.settings.waste_weight * compute_us
     }
 
-    /// The attempt that computes the most of the prompt beyond what is cached.
-    fn worth_waiting_for(
+    /// Returns the attempt that computes the longest part of the prompt beyond the cached
+    /// blocks.
+    fn attempt_to_wait_for(
         &self,
-        question: &Question<'_>,
+        input: &RoutingInput<'_>,
         engine: usize,
         state: &Engine,
     ) -> Option<AttemptId> {
-        let blocks = &question.job.blocks;
+        let blocks = &input.job.blocks;
         let cached = state.cached_prefix(blocks);
         let shared = |other: &[BlockHash]| {
             blocks.iter().zip(other).take_while(|(own, other)| own == other).count()
@@ -81,21 +82,21 @@
         (most >= cached + MIN_AWAITED_BLOCKS).then_some(id)
     }
 
-    /// The cheapest way to use one engine: with its cost, and what to wait for.
-    fn best_use(
+    /// Returns the cheaper of sending to an engine at once or after a wait, with its cost.
+    fn cheapest_dispatch(
         &self,
-        question: &Question<'_>,
-        truth: Truth<'_>,
+        input: &RoutingInput<'_>,
+        fleet: FleetState<'_>,
         engine: usize,
         now: Timestamp,
     ) -> Option<(f64, Option<AttemptId>)> {
-        let state = &truth.engines[engine];
-        let waits = [None, self.worth_waiting_for(question, engine, state)];
+        let state = &fleet.engines[engine];
+        let waits = [None, self.attempt_to_wait_for(input, engine, state)];
         let tried = waits.iter().enumerate().filter(|(place, wait)| *place == 0 || wait.is_some());
         let costs = tried.filter_map(|(_, wait)| {
-            let request = engine_request(question, None);
-            let trial = TryOut::new(truth, engine, now).run(request, *wait)?;
-            Some((self.cost(question, engine, trial), *wait))
+            let request = engine_request(input, None);
+            let start = EngineSimulation::new(fleet, engine, now).run(request, *wait)?;
+            Some((self.cost(input, engine, start), *wait))
         });
         costs.min_by(|a, b| a.0.total_cmp(&b.0))
     }
@@ -104,21 +105,21 @@
 impl Policy for Oracle {
     fn choose(
         &mut self,
-        question: &Question<'_>,
-        truth: Truth<'_>,
+        input: &RoutingInput<'_>,
+        fleet: FleetState<'_>,
         now: Timestamp,
     ) -> Result<Choice, Refused> {
-        let uses = (0..truth.engines.len())
-            .filter(|engine| !question.excluded.contains(engine))
+        let uses = (0..fleet.engines.len())
+            .filter(|engine| !input.excluded.contains(engine))
             .filter_map(|engine| {
-                let (cost, wait) = self.best_use(question, truth, engine, now)?;
+                let (cost, wait) = self.cheapest_dispatch(input, fleet, engine, now)?;
                 Some((cost, engine, wait))
             });
         let best = uses.min_by(|a, b| a.0.total_cmp(&b.0));
         let refused = Refused { retry_after: Duration::from_secs(1) };
         let (_, engine, wait) = best.ok_or(refused)?;
-        self.computing[engine].push((question.attempt, question.job.blocks.clone()));
-        let wait = wait.map(|attempt| Wait { attempt, at_most: LONGEST_WAIT });
+        self.computing[engine].push((input.attempt, input.job.blocks.clone()));
+        let wait = wait.map(|attempt| Wait { attempt, at_most: MAX_HOLD_TIME });
         Ok(Choice { engine, incarnation: None, expected_blocks: 0, wait })
     }
 
@@ -133,29 +134,29 @@
     fn restart(&mut self) {}
 }
 
-/// A copy of one engine that runs ahead of time.
-struct TryOut<'a> {
+/// Copy of an engine that is simulated ahead of the current time.
+struct EngineSimulation<'a> {
     copy: Engine,
     held: Vec<&'a Held>,
     now: Timestamp,
 }
 
-impl<'a> TryOut<'a> {
-    fn new(truth: Truth<'a>, engine: usize, now: Timestamp) -> Self {
-        let mut copy = truth.engines[engine].clone();
-        for (to, earlier) in truth.in_transit {
+impl<'a> EngineSimulation<'a> {
+    fn new(fleet: FleetState<'a>, engine: usize, now: Timestamp) -> Self {
+        let mut copy = fleet.engines[engine].clone();
+        for (to, earlier) in fleet.in_transit {
             if *to == engine {
-                // What the engine refuses takes none of its time.
+                // Requests that the engine refuses take no engine time.
                 let _ = copy.submit(earlier.clone(), now);
             }
         }
-        let held = truth.held.iter().filter(|held| held.engine == engine).collect();
-        TryOut { copy, held, now }
+        let held = fleet.held.iter().filter(|held| held.engine == engine).collect();
+        EngineSimulation { copy, held, now }
     }
 
-    /// Submits `request`, at once or after the first token of `wait`, and runs
-    /// until its first token.
-    fn run(mut self, request: EngineRequest, wait: Option<AttemptId>) -> Option<Trial> {
+    /// Submits `request`, at once or after the first token of `wait`, and runs the copy
+    /// until the request's first token.
+    fn run(mut self, request: EngineRequest, wait: Option<AttemptId>) -> Option<SimulatedStart> {
         let id = request.id;
         let mut waiting = Some(request);
         if wait.is_none() {
@@ -171,7 +172,7 @@
                     }
                     Output::FirstToken { id: first, at, .. } if first == id => {
                         let first_token_us = at.since(self.now).as_micros() as f64;
-                        return Some(Trial { first_token_us, cached_tokens });
+                        return Some(SimulatedStart { first_token_us, cached_tokens });
                     }
                     Output::FirstToken { id: first, at, .. } => {
                         self.release_held(first, at.max(until));
--- a/crates/lab/src/experiment/plots.rs
+++ b/crates/lab/src/experiment/plots.rs
@@ -10,7 +10,7 @@
 /// Size of a plot, in pixels.
 const SIZE: (u32, u32) = (900, 540);
 
-/// One colour for each policy, told apart also by colour-blind readers (Okabe and Ito).
+/// Colours of the policies, from the colour-blind safe palette of Okabe and Ito.
 const COLOURS: [RGBColor; 6] = [
     RGBColor(0, 114, 178),
     RGBColor(230, 159, 0),
@@ -20,13 +20,13 @@
     RGBColor(0, 0, 0),
 ];
 
-/// One line of a plot.
+/// Line of a plot.
 struct Line {
     name: &'static str,
     points: Vec<(f64, f64)>,
 }
 
-/// One plot.
+/// Plot with its axes and lines.
 struct Plot {
     file: &'static str,
     title: String,
@@ -38,7 +38,7 @@
 /// Writes the plots of `comparison` into `folder`.
 ///
 /// # Errors
-/// Fails when the folder can't be made or a file can't be written.
+/// Fails when the folder can't be created or a file can't be written.
 pub fn write(folder: &Path, comparison: &Comparison) -> Result<(), ExperimentError> {
     std::fs::create_dir_all(folder).map_err(ExperimentError::Folder)?;
     let profile = comparison.profile.as_str();
--- a/crates/lab/src/experiment/policy.rs
+++ b/crates/lab/src/experiment/policy.rs
@@ -1,4 +1,4 @@
-//! What a routing policy sees and answers in an experiment.
+//! Interface of the routing policies in an experiment.
 
 use std::time::Duration;
 
@@ -7,99 +7,98 @@
 
 use super::workload::Job;
 
-/// Identifies one attempt at one request.
+/// Identifier of one attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId(pub u64);
 
-/// Where to send a request.
+/// Routing decision for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Choice {
     /// Position of the engine in the fleet.
     pub engine: usize,
-    /// Life of the engine that the choice relies on, if it relies on one.
+    /// Incarnation of the engine that the decision requires, if any.
     pub incarnation: Option<Incarnation>,
-    /// Leading blocks that the engine should hold.
+    /// Number of leading blocks expected in the engine's cache.
     pub expected_blocks: u32,
-    /// What to wait for before the request is sent.
+    /// Condition to wait for before the request is sent.
     pub wait: Option<Wait>,
 }
 
-/// A wait of the router.
+/// Condition that ends the hold of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Wait {
-    /// Over when this attempt has its first token or has ended.
+    /// Attempt whose first token or end ends the wait.
     pub attempt: AttemptId,
-    /// Over after this time in any case.
+    /// Maximum time of the wait.
     pub at_most: Duration,
 }
 
-/// The policy refuses the request; it was not run.
+/// Refusal of a request by the policy before any engine ran it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refused {
-    /// When it has a chance.
+    /// Time after which a retry may be accepted.
     pub retry_after: Duration,
 }
 
-/// One request to choose for.
+/// Input of a routing decision.
 #[derive(Clone, Copy, Debug)]
-pub struct Question<'a> {
-    /// The attempt.
+pub struct RoutingInput<'a> {
+    /// Attempt to route.
     pub attempt: AttemptId,
-    /// The request.
+    /// Request of the attempt.
     pub job: &'a Job,
-    /// Engines that refused it already.
+    /// Engines that already refused the request.
     pub excluded: &'a [usize],
-    /// Router that was asked.
+    /// Router that received the request.
     pub router: usize,
 }
 
-/// What no router can know: the state of every engine at this moment, and the
-/// requests on their way there. Only the oracle may look.
+/// Current state of all engines and the requests in flight to them. Only the oracle
+/// uses this; routers can't know it.
 #[derive(Clone, Copy)]
-pub struct Truth<'a> {
-    /// The engines.
+pub struct FleetState<'a> {
+    /// Engines by position.
     pub engines: &'a [Engine],
-    /// Requests sent and not yet arrived, with their engines.
+    /// Requests in flight from a router to an engine, with the engine.
     pub in_transit: &'a [(usize, EngineRequest)],
-    /// Requests that routers have not sent yet.
+    /// Requests held by their routers.
     pub held: &'a [Held],
 }
 
-/// A request that its router has not sent yet.
+/// Request that is held by its router.
 #[derive(Clone, Debug)]
 pub struct Held {
-    /// The attempt whose first token or end it waits for.
+    /// Attempt whose first token or end releases the request.
     pub waits_for: AttemptId,
-    /// Where it will go.
+    /// Engine that the request will be sent to.
     pub engine: usize,
-    /// The request.
+    /// Request of the attempt.
     pub request: EngineRequest,
 }
 
-/// A routing policy, one instance for all routers. Baselines and juniper keep
-/// the routers' knowledge apart; the oracle has no need to.
+/// Routing policy; one instance serves all routers. Baselines and Juniper keep separate
+/// state for each router; the oracle shares its state.
 pub trait Policy {
-    /// Chooses an engine and counts the work as sent.
+    /// Chooses an engine and accounts the request as sent.
     ///
     /// # Errors
     /// Fails when the policy refuses the request.
     fn choose(
         &mut self,
-        question: &Question<'_>,
-        truth: Truth<'_>,
+        input: &RoutingInput<'_>,
+        fleet: FleetState<'_>,
         now: Timestamp,
     ) -> Result<Choice, Refused>;
 
-    /// Router `router` reads a load report.
+    /// Applies a load report at router `router`.
     fn load(&mut self, _router: usize, _engine: usize, _report: &LoadReport, _now: Timestamp) {}
 
-    /// Position in the engine's event stream that router `router` has reached;
-    /// `None` asks for a snapshot. `Some(None)` asks for nothing.
+    /// Returns what router `router` reads next from the engine's cache event stream.
     fn events_after(&self, _router: usize, _engine: usize) -> EventsWanted {
         EventsWanted::Nothing
     }
 
-    /// Router `router` reads cache events of an engine; false asks for a snapshot.
+    /// Applies cache events of an engine at router `router`; false requests a snapshot.
     fn events(
         &mut self,
         _router: usize,
@@ -110,10 +109,10 @@
         true
     }
 
-    /// Router `router` reads the whole cache of an engine.
+    /// Applies a snapshot of an engine's cache at router `router`.
     fn snapshot(&mut self, _router: usize, _engine: usize, _engine_state: &Engine) {}
 
-    /// The first token of an attempt passed through router `router`.
+    /// Records that the first token of an attempt reached router `router`.
     fn first_token(
         &mut self,
         _router: usize,
@@ -123,20 +122,20 @@
     ) {
     }
 
-    /// An attempt ended.
+    /// Records the end of an attempt.
     fn finished(&mut self, _router: usize, _engine: usize, _attempt: AttemptId, _now: Timestamp) {}
 
-    /// Every router restarts and knows nothing.
+    /// Restarts all routers with empty state.
     fn restart(&mut self);
 }
 
-/// What a router reads next from an engine's cache event stream.
+/// Next read of a router from an engine's cache event stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventsWanted {
-    /// The policy doesn't read events.
+    /// No read: the policy doesn't use cache events.
     Nothing,
-    /// Events after this one of this life.
+    /// Events after the given one of the given incarnation.
     After(Incarnation, u64),
-    /// The whole cache.
+    /// Snapshot of the whole cache.
     Snapshot,
 }
--- a/crates/lab/src/experiment/report.rs
+++ b/crates/lab/src/experiment/report.rs
@@ -1,4 +1,4 @@
-//! The result of an experiment as JSON and as a table.
+//! Result of an experiment as JSON and as a table.
 
 use std::fmt::Write;
 
@@ -8,55 +8,56 @@
 use super::measure::Measure;
 use super::suite::{ExperimentOptions, PolicyName};
 
-/// Milliseconds in a second.
-const MILLIS: f64 = 1_000.0;
+/// Milliseconds per second.
+const MILLIS_PER_SECOND: f64 = 1_000.0;
 
-/// One policy's measures.
+/// Measurements of a policy with its name.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct PolicyMeasure {
     /// Name of the policy.
     pub policy: &'static str,
-    /// Its measures.
+    /// Measurements of the policy.
     #[serde(flatten)]
     pub measure: Measure,
 }
 
-/// How juniper compares with the others; `None` where one of them was not run.
+/// Ratios of Juniper's results to those of other policies; `None` where a policy of the
+/// ratio was not run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Ratios {
-    /// Its hit rate as a share of the oracle's.
+    /// Cache hit rate relative to the oracle's.
     pub hit_rate_of_oracle: Option<f64>,
-    /// Its wasted tokens as a share of those of the baseline with the fewest.
+    /// Recomputed tokens relative to the baseline with the fewest.
     pub wasted_of_best_baseline: Option<f64>,
-    /// Its 99th percentile of the time to first token as a share of the least of a baseline.
+    /// 99th percentile of the time to first token relative to the lowest of the baselines.
     pub ttft_p99_of_best_baseline: Option<f64>,
-    /// The same as a share of the least loaded baseline's.
+    /// 99th percentile of the time to first token relative to the least loaded baseline's.
     pub ttft_p99_of_least_loaded: Option<f64>,
 }
 
-/// The result of one experiment.
+/// Result of an experiment.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Comparison {
-    /// Deployment.
+    /// Deployment profile.
     pub profile: Profile,
-    /// Seed.
+    /// Seed of the trace and the faults.
     pub seed: u64,
     /// Offered load as a share of the fleet's capacity.
     pub load: f64,
     /// Time in which requests arrive, in milliseconds.
     pub duration_ms: u64,
-    /// Time at the start that is not measured, in milliseconds.
+    /// Warm-up time that is not measured, in milliseconds.
     pub warm_up_ms: u64,
-    /// When every router restarted, if they did.
+    /// Time at which all routers restarted, in milliseconds, if they did.
     pub restart_at_ms: Option<u64>,
-    /// Juniper beside the others.
+    /// Comparison of Juniper with the other policies.
     pub ratios: Ratios,
-    /// The policies, in a fixed order.
+    /// Results by policy, in a fixed order.
     pub policies: Vec<PolicyMeasure>,
 }
 
 impl Comparison {
-    /// Puts the measures of one experiment together.
+    /// Creates the report from the measurements of all policies.
     pub fn new(options: &ExperimentOptions, policies: Vec<PolicyMeasure>) -> Self {
         Comparison {
             profile: options.profile,
@@ -70,10 +71,10 @@
         }
     }
 
-    /// Requests answered in time for each second of the measured part.
+    /// Requests per second answered within the deadline, over the measured time.
     pub fn goodput(&self, measure: &Measure) -> f64 {
         let measured_ms = self.duration_ms.saturating_sub(self.warm_up_ms);
-        measure.in_time as f64 * MILLIS / measured_ms.max(1) as f64
+        measure.in_time as f64 * MILLIS_PER_SECOND / measured_ms.max(1) as f64
     }
 }
 
@@ -103,7 +104,7 @@
     }
 }
 
-/// A table for people.
+/// Formats the report as a table.
 pub fn text(comparison: &Comparison) -> String {
     let mut text = String::new();
     // Writing to a string can't fail.
--- a/crates/lab/src/experiment/suite.rs
+++ b/crates/lab/src/experiment/suite.rs
@@ -17,10 +17,10 @@
 use super::workload::{Job, jobs};
 use super::world::{Disturbance, World, engine_zones};
 
-/// What to run.
+/// Options of an experiment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ExperimentOptions {
-    /// Deployment.
+    /// Deployment profile.
     pub profile: Profile,
     /// Seed of the trace and the faults.
     pub seed: u64,
@@ -28,13 +28,13 @@
     pub load: f64,
     /// Time in which requests arrive, in milliseconds.
     pub duration_ms: u64,
-    /// Time at the start that is not measured, in milliseconds.
+    /// Warm-up time that is not measured, in milliseconds.
     pub warm_up_ms: u64,
-    /// When every router restarts, in milliseconds.
+    /// Time at which all routers restart, in milliseconds.
     pub restart_at_ms: Option<u64>,
-    /// Constants of juniper's cost function.
+    /// Parameters of Juniper's cost function.
     pub cost: CostModel,
-    /// Policies to run; none means all.
+    /// Policies to run; all if empty.
     pub policies: Vec<PolicyName>,
 }
 
@@ -53,19 +53,19 @@
     }
 }
 
-/// A policy by name.
+/// Policies that an experiment can run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PolicyName {
-    /// The project's own.
+    /// Decision code of the project's routers.
     Juniper,
-    /// One of the baselines.
+    /// Baseline policy.
     Baseline(Baseline),
-    /// The all-knowing oracle.
+    /// Oracle with complete knowledge of the fleet.
     Oracle,
 }
 
 impl PolicyName {
-    /// Every policy, in the order of the report.
+    /// All policies, in the order of the report.
     pub const ALL: [PolicyName; 6] = [
         PolicyName::Juniper,
         PolicyName::Baseline(Baseline::RoundRobin),
@@ -75,7 +75,7 @@
         PolicyName::Oracle,
     ];
 
-    /// The name in reports.
+    /// Name of the policy in reports and options.
     pub fn as_str(self) -> &'static str {
         match self {
             PolicyName::Juniper => "juniper",
@@ -88,9 +88,9 @@
     }
 }
 
-/// A text names no policy.
+/// Unknown policy name.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("there is no policy {0:?}")]
+#[error("unknown policy {0:?}")]
 pub struct UnknownPolicy(String);
 
 impl std::str::FromStr for PolicyName {
@@ -102,7 +102,7 @@
     }
 }
 
-/// Everything that the policies share.
+/// Inputs shared by the runs of all policies.
 struct Setting<'a> {
     options: &'a ExperimentOptions,
     trace: &'a Trace,
@@ -110,10 +110,10 @@
     jobs: &'a [Job],
 }
 
-/// Runs the policies of `options`, one thread each.
+/// Runs each policy of `options` on a thread of its own.
 ///
 /// # Errors
-/// Fails when a policy's run ends early.
+/// Fails when the run of a policy fails.
 pub fn run(options: &ExperimentOptions) -> Result<Comparison, ExperimentError> {
     let trace = generate(TraceOptions {
         profile: options.profile,
--- a/crates/lab/src/experiment/tuning.rs
+++ b/crates/lab/src/experiment/tuning.rs
@@ -1,23 +1,23 @@
-//! Changes of single constants of the cost function, for tuning.
+//! Overrides of single parameters of the cost function.
 
 use juniper_routing::CostModel;
 
-/// One constant and its new value.
+/// Override of one parameter.
 #[derive(Clone, Debug)]
-pub struct CostChange {
-    constant: Constant,
+pub struct CostOverride {
+    parameter: ParameterAccessor,
     value: f64,
 }
 
-/// Where a constant stands in the model.
-type Constant = fn(&mut CostModel) -> &mut f64;
+/// Accessor of a parameter in the cost model.
+type ParameterAccessor = fn(&mut CostModel) -> &mut f64;
 
-/// A text names no constant or no value.
+/// Invalid override: unknown parameter or value that isn't a number.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{0:?} is not NAME=VALUE of a constant of the cost function")]
-pub struct CostChangeError(String);
+#[error("{0:?} is not NAME=VALUE with a parameter of the cost function")]
+pub struct CostOverrideError(String);
 
-fn constant(name: &str) -> Option<Constant> {
+fn parameter(name: &str) -> Option<ParameterAccessor> {
     Some(match name {
         "token_us" => |model| &mut model.token_us,
         "import_block_us" => |model| &mut model.import_block_us,
@@ -34,20 +34,20 @@
     })
 }
 
-impl std::str::FromStr for CostChange {
-    type Err = CostChangeError;
+impl std::str::FromStr for CostOverride {
+    type Err = CostOverrideError;
 
-    fn from_str(text: &str) -> Result<Self, CostChangeError> {
-        let fault = || CostChangeError(text.to_owned());
+    fn from_str(text: &str) -> Result<Self, CostOverrideError> {
+        let fault = || CostOverrideError(text.to_owned());
         let (name, value) = text.split_once('=').ok_or_else(fault)?;
         let value = value.parse().map_err(|_| fault())?;
-        Ok(CostChange { constant: constant(name).ok_or_else(fault)?, value })
+        Ok(CostOverride { parameter: parameter(name).ok_or_else(fault)?, value })
     }
 }
 
-impl CostChange {
-    /// Makes the change.
+impl CostOverride {
+    /// Applies the override to the cost model.
     pub fn apply(&self, model: &mut CostModel) {
-        *(self.constant)(model) = self.value;
+        *(self.parameter)(model) = self.value;
     }
 }
--- a/crates/lab/src/experiment/workload.rs
+++ b/crates/lab/src/experiment/workload.rs
@@ -1,4 +1,4 @@
-//! The chat requests of a trace, ready to be routed.
+//! Chat requests of a trace, prepared for routing.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,38 +10,38 @@
 
 use super::deployment::Deployment;
 
-/// Weights version that every engine serves.
+/// Weights version served by all engines.
 pub const WEIGHTS: WeightsVersion = WeightsVersion(1);
 
-/// One chat request.
+/// Chat request.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// When it reaches its router.
+    /// Time of arrival at the router.
     pub at: Timestamp,
-    /// Zone of the caller and of the router that it asks.
+    /// Zone of the caller and of its router.
     pub zone: usize,
-    /// Whose it is.
+    /// Tenant of the request.
     pub tenant: TenantName,
-    /// Service that it asks for.
+    /// Requested service.
     pub service: ServiceName,
     /// Cache scope of the prompt.
     pub scope: CacheScope,
-    /// What has to be loaded.
+    /// Model and adapter that the engine must have loaded.
     pub serving: ServingKey,
-    /// Blocks of the prompt.
+    /// Block hashes of the prompt.
     pub blocks: Arc<[juniper_types::BlockHash]>,
-    /// Tokens of the prompt.
+    /// Length of the prompt, in tokens.
     pub prompt_tokens: u32,
-    /// Tokens to generate.
+    /// Length of the answer, in tokens.
     pub output_tokens: u32,
-    /// 0 (lowest) to 9.
+    /// Priority, 0 (lowest) to 9.
     pub priority: u8,
-    /// Settings in force for the service.
+    /// Effective settings of the service.
     pub settings: Arc<EffectiveSettings>,
 }
 
-/// The chat requests of `trace` in order of arrival. Other kinds of traffic
-/// don't use engines and are left out.
+/// Returns the chat requests of `trace` in order of arrival. Other kinds of traffic
+/// don't use engines and are omitted.
 pub fn jobs(trace: &Trace, deployment: &Deployment) -> Vec<Job> {
     let mut builder = Builder {
         trace,
--- a/crates/lab/src/experiment/world.rs
+++ b/crates/lab/src/experiment/world.rs
@@ -1,4 +1,4 @@
-//! The fleet in virtual time: callers, routers, networks and engines.
+//! Simulation of callers, routers, networks and engines in virtual time.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -10,27 +10,29 @@
 
 use super::deployment::Deployment;
 use super::measure::{Measure, Recorder};
-use super::policy::{AttemptId, Choice, EventsWanted, Held, Policy, Question, Truth, Wait};
+use super::policy::{
+    AttemptId, Choice, EventsWanted, FleetState, Held, Policy, RoutingInput, Wait,
+};
 use super::workload::Job;
 
-/// Attempts at one request, the first one included.
+/// Maximum attempts for one request, including the first.
 const MAX_ATTEMPTS: u64 = 3;
 
-/// Time between two load polls of one engine by one router.
-const LOAD_POLL: Duration = Duration::from_millis(200);
+/// Interval at which a router polls the load of an engine.
+const LOAD_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Time between two event polls of one engine by one router.
-const EVENT_POLL: Duration = Duration::from_millis(50);
+/// Interval at which a router polls the cache events of an engine.
+const EVENT_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time after the last arrival within which answers must end.
+/// Time after the last arrival at which the run ends.
 const DRAIN_TIME: Duration = Duration::from_secs(120);
 
-/// What goes wrong during a run.
+/// Faults injected into a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Disturbance {
-    /// Nothing but the lateness and loss of events and reports.
+    /// Only delay and loss of cache events and load reports.
     Nothing,
-    /// Every router restarts at this moment and knows nothing.
+    /// Restart of all routers at this time, with loss of their state.
     RouterRestarts(Timestamp),
 }
 
@@ -47,11 +49,11 @@
     WaitExpires(u64),
 }
 
-/// The request as the engine gets it.
-pub fn engine_request(question: &Question<'_>, choice: Option<&Choice>) -> EngineRequest {
-    let job = question.job;
+/// Request in the form that is submitted to the engine.
+pub fn engine_request(input: &RoutingInput<'_>, choice: Option<&Choice>) -> EngineRequest {
+    let job = input.job;
     EngineRequest {
-        id: RequestId(u128::from(question.attempt.0)),
+        id: RequestId(u128::from(input.attempt.0)),
         scope: job.scope.clone(),
         owner: job.tenant.clone(),
         blocks: job.blocks.clone(),
@@ -65,14 +67,14 @@
     }
 }
 
-/// One run of one policy.
+/// State of one run of a policy.
 pub struct World<'a> {
     deployment: &'a Deployment,
     jobs: &'a [Job],
     policy: &'a mut dyn Policy,
     engines: Vec<Engine>,
     engine_zones: Vec<usize>,
-    wakes: Vec<Option<Timestamp>>,
+    wake_times: Vec<Option<Timestamp>>,
     in_transit: Vec<(usize, EngineRequest)>,
     held: Vec<Held>,
     events: BinaryHeap<Reverse<(Timestamp, u64, Event)>>,
@@ -81,14 +83,14 @@
     recorder: Recorder<'a>,
 }
 
-/// Zone of each engine: they are spread evenly.
+/// Zone of each engine; engines are spread evenly.
 pub fn engine_zones(header: &TraceHeader) -> Vec<usize> {
     (0..header.engines as usize).map(|engine| engine % header.zones.len()).collect()
 }
 
 impl<'a> World<'a> {
-    /// A fleet with empty caches. Requests that arrive before `measure_from`
-    /// fill the caches and are not measured.
+    /// Creates a fleet with empty caches. Requests that arrive before `measure_from`
+    /// warm the caches and are not measured.
     pub fn new(
         header: &TraceHeader,
         deployment: &'a Deployment,
@@ -99,8 +101,8 @@
         let engine_zones = engine_zones(header);
         let engines: Vec<Engine> = (0..engine_zones.len())
             .map(|engine| {
-                let life = Incarnation(engine as u64 + 1);
-                Engine::new(deployment.engine(header, engine), life, Timestamp::ZERO)
+                let incarnation = Incarnation(engine as u64 + 1);
+                Engine::new(deployment.engine(header, engine), incarnation, Timestamp::ZERO)
             })
             .collect();
         let last = jobs.last().map_or(Timestamp::ZERO, |job| job.at);
@@ -108,7 +110,7 @@
             deployment,
             jobs,
             policy,
-            wakes: vec![None; engines.len()],
+            wake_times: vec![None; engines.len()],
             engines,
             engine_zones,
             in_transit: Vec::new(),
@@ -125,14 +127,14 @@
         world
     }
 
-    /// Polls of different engines by different routers don't coincide.
+    /// Staggers the polls of different routers and engines.
     fn schedule_polls(&mut self, routers: usize) {
         let pairs = routers * self.engines.len();
         for router in 0..routers {
             for engine in 0..self.engines.len() {
                 let place = (engine * routers + router) as u32;
-                let load_at = LOAD_POLL * place / pairs as u32;
-                let events_at = EVENT_POLL * place / pairs as u32;
+                let load_at = LOAD_POLL_INTERVAL * place / pairs as u32;
+                let events_at = EVENT_POLL_INTERVAL * place / pairs as u32;
                 self.schedule(Timestamp::ZERO.after(load_at), Event::PollLoad { router, engine });
                 let poll = Event::PollEvents { router, engine };
                 self.schedule(Timestamp::ZERO.after(events_at), poll);
@@ -145,7 +147,7 @@
         self.events.push(Reverse((at, self.sequence, event)));
     }
 
-    /// Runs to the end and returns what was measured.
+    /// Runs the simulation to its end and returns the measurements.
     pub fn run(mut self, disturbance: Disturbance) -> Measure {
         if let Disturbance::RouterRestarts(at) = disturbance {
             self.schedule(at, Event::RoutersRestart);
@@ -162,8 +164,8 @@
     fn handle(&mut self, event: Event, now: Timestamp) {
         match event {
             Event::Arrival(job) => self.attempt(job, 0, &[], now),
-            Event::EngineWakes(engine) if self.wakes[engine] == Some(now) => {
-                self.wakes[engine] = None;
+            Event::EngineWakes(engine) if self.wake_times[engine] == Some(now) => {
+                self.wake_times[engine] = None;
                 self.collect(engine, now);
             }
             Event::EngineWakes(_) => {}
@@ -182,11 +184,11 @@
             }
             Event::PollLoad { router, engine } => {
                 self.poll_load(router, engine, now);
-                self.schedule(now.after(LOAD_POLL), Event::PollLoad { router, engine });
+                self.schedule(now.after(LOAD_POLL_INTERVAL), Event::PollLoad { router, engine });
             }
             Event::PollEvents { router, engine } => {
                 self.poll_events(router, engine, now);
-                self.schedule(now.after(EVENT_POLL), Event::PollEvents { router, engine });
+                self.schedule(now.after(EVENT_POLL_INTERVAL), Event::PollEvents { router, engine });
             }
             Event::RoutersRestart => self.policy.restart(),
         }
@@ -195,14 +197,14 @@
     fn attempt(&mut self, job: usize, number: u64, excluded: &[usize], now: Timestamp) {
         let router = self.jobs[job].zone;
         let attempt = AttemptId(job as u64 * MAX_ATTEMPTS + number);
-        let question = Question { attempt, job: &self.jobs[job], excluded, router };
-        let truth =
-            Truth { engines: &self.engines, in_transit: &self.in_transit, held: &self.held };
-        let Ok(choice) = self.policy.choose(&question, truth, now) else {
+        let input = RoutingInput { attempt, job: &self.jobs[job], excluded, router };
+        let fleet =
+            FleetState { engines: &self.engines, in_transit: &self.in_transit, held: &self.held };
+        let Ok(choice) = self.policy.choose(&input, fleet, now) else {
             self.recorder.refused(job);
             return;
         };
-        let request = engine_request(&question, Some(&choice));
+        let request = engine_request(&input, Some(&choice));
         let engine = choice.engine;
         match choice.wait {
             None => self.send(engine, request, router, now),
@@ -220,7 +222,7 @@
         self.schedule(now.after(one_way), Event::Delivered(attempt));
     }
 
-    /// Sends the held requests for which the wait `is_over`.
+    /// Sends the held requests whose wait satisfies `is_over`.
     fn release(&mut self, now: Timestamp, is_over: impl Fn(&Held) -> bool) {
         let (over, held): (Vec<Held>, Vec<Held>) =
             std::mem::take(&mut self.held).into_iter().partition(is_over);
@@ -257,16 +259,16 @@
         }
     }
 
-    /// Takes an engine's outputs and makes sure that it is woken in time.
+    /// Processes an engine's outputs and schedules its next wake-up.
     fn collect(&mut self, engine: usize, now: Timestamp) {
         for output in self.engines[engine].advance(now) {
             self.note(engine, &output);
         }
         let next = self.engines[engine].next_event_time();
         if let Some(at) = next
-            && self.wakes[engine] != next
+            && self.wake_times[engine] != next
         {
-            self.wakes[engine] = next;
+            self.wake_times[engine] = next;
             self.schedule(at, Event::EngineWakes(engine));
         }
     }
--- a/crates/lab/tests/experiment.rs
+++ b/crates/lab/tests/experiment.rs
@@ -1,5 +1,5 @@
-//! The routing experiment: the same bytes for the same options, and the order
-//! of the policies on a short run.
+//! Routing experiment: deterministic output, and the ranking of the policies on a short
+//! run.
 
 use juniper_emulators::trace::Profile;
 use juniper_lab::experiment::baselines::Baseline;
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn the_same_options_give_the_same_bytes() {
+fn equal_options_give_identical_output() {
     let own_history = PolicyName::Baseline(Baseline::OwnHistory);
     let options = options(Profile::Pryderi, &[PolicyName::Juniper, own_history]);
     let json = || serde_json::to_string(&run(&options)).expect("JSON");
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn cache_knowledge_beats_load_alone() {
+fn juniper_beats_load_only_policies_on_hit_rate() {
     let least_loaded = PolicyName::Baseline(Baseline::LeastLoaded);
     for profile in [Profile::GraniteLedger, Profile::Pryderi] {
         let comparison = run(&options(profile, &[PolicyName::Juniper, least_loaded]));
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_restart_of_every_router_loses_no_request() {
+fn restart_of_all_routers_loses_no_request() {
     let restart = ExperimentOptions {
         restart_at_ms: Some(10_000),
         ..options(Profile::GraniteLedger, &[PolicyName::Juniper])
