--- a/crates/lab/src/demo/mod.rs
+++ b/crates/lab/src/demo/mod.rs
@@ -1,4 +1,4 @@
-//! `juniper-lab demo`: a small fleet of processes under load and faults.
+//! `juniper-lab demo`: runs a small fleet of processes under load and scripted faults.
 
 mod script;
 
@@ -31,13 +31,13 @@
   --keep FOLDER      keep files, logs and data in this folder
 ";
 
-/// Longest time that a demo takes beyond its load: start, stop and what is left to answer.
-const TIME_BEYOND_LOAD: Duration = Duration::from_secs(180);
+/// Time limit for start, shutdown and outstanding requests, in addition to the load.
+const OVERHEAD_LIMIT: Duration = Duration::from_secs(180);
 
 /// Runs the command with the arguments that follow its name.
 ///
 /// # Errors
-/// Fails when the arguments are faulty or the run itself fails.
+/// Fails when the arguments are invalid or the run fails.
 pub fn run(parser: &mut lexopt::Parser) -> miette::Result<ExitCode> {
     let Some((options, sizes)) = read(parser)? else {
         print!("{HELP}");
@@ -45,10 +45,10 @@
     };
     let duration = options.duration;
     let script = async move |fleet: &mut Fleet| run_script(fleet, duration).await;
-    print_report(duration + TIME_BEYOND_LOAD, run_fleet(options, sizes, false, script))
+    print_report(duration + OVERHEAD_LIMIT, run_fleet(options, sizes, false, script))
 }
 
-/// The options and the numbers of processes; `None` when help was asked for.
+/// Parses the options and the numbers of processes; `None` if help was requested.
 fn read(parser: &mut lexopt::Parser) -> Result<Option<(RunOptions, FleetSizes)>, ArgumentError> {
     let mut sizes = FleetSizes { control: 1, routers: 3, engines: 6, applications: 3, previews: 2 };
     let mut options = RunOptions::usual(20, 0.5);
--- a/crates/lab/src/demo/script.rs
+++ b/crates/lab/src/demo/script.rs
@@ -1,4 +1,4 @@
-//! The faults of a demo, one after the other, while the load runs.
+//! Scripted faults of a demo.
 
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
     StartRouter,
 }
 
-/// When each step is done, in percent of the load's time.
+/// Steps with their time in percent of the load's duration.
 const SCRIPT: [(u32, Step); 6] = [
     (20, Step::KillEngine),
     (30, Step::KillRouter),
@@ -42,7 +42,7 @@
     }
 }
 
-/// Makes every fault at its time.
+/// Executes the steps of the script at their times.
 pub(super) async fn run_script(
     fleet: &mut Fleet,
     duration: Duration,
@@ -53,12 +53,16 @@
         sleep_until(start + duration * percent / 100).await;
         let at_ms = start.elapsed().as_millis() as u64;
         done.faults.push(FaultDone { at_ms, fault: step.describe().to_owned() });
-        do_step(fleet, step, &mut done).await?;
+        execute_step(fleet, step, &mut done).await?;
     }
     Ok(done)
 }
 
-async fn do_step(fleet: &mut Fleet, step: Step, done: &mut FaultsDone) -> Result<(), FleetError> {
+async fn execute_step(
+    fleet: &mut Fleet,
+    step: Step,
+    done: &mut FaultsDone,
+) -> Result<(), FleetError> {
     match step {
         Step::KillEngine => fleet.back_end_process(BackEndKind::Engine, 0)?.kill(),
         Step::KillRouter => fleet.router_process(0)?.kill(),
--- a/crates/lab/src/emulate/engine.rs
+++ b/crates/lab/src/emulate/engine.rs
@@ -11,10 +11,10 @@
 use super::serve::{ending_on, serve};
 use crate::arguments::{ArgumentError, parsed};
 
-/// Zone of an engine that is told none.
+/// Default zone.
 const DEFAULT_ZONE: &str = "local";
 
-/// Model of an engine that is told none.
+/// Default model.
 const DEFAULT_MODEL: &str = "base";
 
 struct Arguments {
@@ -24,10 +24,10 @@
     ends_on: Option<String>,
 }
 
-/// Runs an engine emulator until the process is ended.
+/// Runs an engine emulator until the process is terminated.
 ///
 /// # Errors
-/// Fails when the arguments are faulty or the address can't be served.
+/// Fails when the arguments are invalid or the server can't listen on the address.
 pub fn run(parser: &mut lexopt::Parser) -> miette::Result<ExitCode> {
     let Arguments { listen, zone, options, ends_on } = read(parser)?;
     log::info!("event=start kind=engine zone={zone}");
--- a/crates/lab/src/emulate/mod.rs
+++ b/crates/lab/src/emulate/mod.rs
@@ -1,7 +1,7 @@
-//! Emulated back ends as processes.
+//! `juniper-lab emulate`: runs emulated back ends as processes.
 //!
-//! An emulator prints `listening=ADDRESS` once it serves, so that whoever
-//! starts it with port 0 learns the port.
+//! Emulators print `listening=ADDRESS` once they serve, so that a parent process that
+//! passes port 0 learns the port.
 
 mod engine;
 mod serve;
@@ -63,7 +63,7 @@
 /// Runs the command with the arguments that follow its name.
 ///
 /// # Errors
-/// Fails when the arguments are faulty or the run itself fails.
+/// Fails when the arguments are invalid or the emulator fails.
 pub fn run(parser: &mut lexopt::Parser) -> miette::Result<ExitCode> {
     use lexopt::Arg;
     let kind = match parser.next().map_err(ArgumentError::from)? {
--- a/crates/lab/src/emulate/serve.rs
+++ b/crates/lab/src/emulate/serve.rs
@@ -1,4 +1,4 @@
-//! Serves the routes of an emulator until the process is ended.
+//! HTTP server of an emulator process.
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -8,47 +8,47 @@
 use axum::Router;
 use juniper_emulators::http::ending;
 
-/// Why an emulator can't serve.
+/// Reason why an emulator failed.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum ServeError {
     /// The runtime can't be started.
     #[error("the runtime can't be started")]
     Runtime(#[source] std::io::Error),
-    /// The address can't be listened on.
+    /// The server can't listen on the address.
     #[error("can't listen on {address}")]
     Listen {
-        /// The address.
+        /// Listen address.
         address: SocketAddr,
-        /// What the system said.
+        /// Operating system error.
         #[source]
         source: std::io::Error,
     },
     /// The journal can't be read or opened.
     #[error("the journal can't be read or opened")]
     Journal(#[source] std::io::Error),
-    /// Serving ended with a fault.
-    #[error("serving failed")]
+    /// The server failed.
+    #[error("the server failed")]
     Serve(#[source] std::io::Error),
 }
 
-/// Exit status of an emulator that a request has ended.
-const ENDED_STATUS: i32 = 70;
+/// Exit status of an emulator that exits on a request.
+const EXIT_ON_REQUEST_STATUS: i32 = 70;
 
-/// The routes of an emulator that a request with `text` in it ends, if there is a text.
+/// Makes the process exit on a request to `routes` that contains `text`, if any.
 pub fn ending_on(routes: Router, text: Option<String>) -> Router {
     let Some(text) = text else { return routes };
     let end = || {
         log::warn!("event=ended_by_a_request");
-        std::process::exit(ENDED_STATUS);
+        std::process::exit(EXIT_ON_REQUEST_STATUS);
     };
     ending::ending_on(routes, text, Arc::new(end))
 }
 
-/// Serves the routes that `routes` makes within the runtime on `address`, and
-/// announces the address on standard output.
+/// Serves the routes that `routes` creates within the runtime on `address`, and prints
+/// the bound address on standard output.
 ///
 /// # Errors
-/// Fails when the address can't be listened on.
+/// Fails when the server can't listen on the address.
 pub fn serve(address: SocketAddr, routes: impl FnOnce() -> Router) -> miette::Result<ExitCode> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
--- a/crates/lab/src/emulate/servers.rs
+++ b/crates/lab/src/emulate/servers.rs
@@ -1,4 +1,4 @@
-//! The emulators besides engines: servers, stores and the platform's list.
+//! Emulators of application and preview servers, stores and the platform's host list.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -15,7 +15,7 @@
 use super::serve::{ServeError, ending_on, serve};
 use crate::arguments::{ArgumentError, parsed};
 
-/// Reads the options of one emulator; `--listen` is every emulator's.
+/// Parses the options of an emulator, including the common `--listen`.
 fn read_options(
     parser: &mut lexopt::Parser,
     mut read: impl FnMut(&mut lexopt::Parser, &str) -> Result<bool, ArgumentError>,
@@ -42,10 +42,11 @@
     Ok(Duration::from_millis(parsed(parser, option, "a number of milliseconds")?))
 }
 
-/// `juniper-lab emulate application`.
+/// Runs `juniper-lab emulate application`.
 ///
 /// # Errors
-/// Fails when the arguments are faulty, or the journal or the address can't be used.
+/// Fails when the arguments are invalid, the journal can't be read or opened, or the
+/// server can't listen on the address.
 pub fn application(parser: &mut lexopt::Parser) -> miette::Result<ExitCode> {
     let mut journal: Option<PathBuf> = None;
     let mut work = WORK_TIME;
@@ -66,10 +67,10 @@
     serve(listen, || ending_on(http::application::router(executions, work), ends_on))
 }
 
-/// `juniper-lab emulate preview`.
+/// Runs `juniper-lab emulate preview`.
 ///
 /// # Errors
-/// Fails when the arguments are faulty or the address can't be served.
+/// Fails when the arguments are invalid or the server can't listen on the address.
 pub fn preview(parser: &mut lexopt::Parser) -> miette::Result<ExitCode> {
     let mut interval = PIECE_INTERVAL;
     let mut ends_on = None;
@@ -84,10 +85,10 @@
     serve(listen, || ending_on(http::preview::router(interval), ends_on))
 }
 
-/// `juniper-lab emulate store`.
+/// Runs `juniper-lab emulate store`.
 ///
 /// # Errors
-/// Fails when the arguments are faulty or the address can't be served.
+/// Fails when the arguments are invalid or the server can't listen on the address.
 pub fn store(parser: &mut lexopt::Parser) -> miette::Result<ExitCode> {
     let mut blocks = STORE_BLOCKS;
     let listen = read_options(parser, |parser, name| {
@@ -99,10 +100,10 @@
     serve(listen, || http::kept::router(blocks))
 }
 
-/// `juniper-lab emulate platform`.
+/// Runs `juniper-lab emulate platform`.
 ///
 /// # Errors
-/// Fails when the arguments are faulty or the address can't be served.
+/// Fails when the arguments are invalid or the server can't listen on the address.
 pub fn platform(parser: &mut lexopt::Parser) -> miette::Result<ExitCode> {
     let mut lag = LIST_LAG;
     let listen = read_options(parser, |parser, name| {
@@ -114,10 +115,10 @@
     serve(listen, || http::platform::router(lag))
 }
 
-/// `juniper-lab emulate weights`.
+/// Runs `juniper-lab emulate weights`.
 ///
 /// # Errors
-/// Fails when the arguments are faulty or the address can't be served.
+/// Fails when the arguments are invalid or the server can't listen on the address.
 pub fn weights(parser: &mut lexopt::Parser) -> miette::Result<ExitCode> {
     let mut rate = LOAD_BYTES_PER_SECOND;
     let mut loads = FULL_RATE_LOADS;
--- a/crates/lab/src/fleet/back_ends.rs
+++ b/crates/lab/src/fleet/back_ends.rs
@@ -1,4 +1,4 @@
-//! The emulators of a fleet.
+//! Emulated back ends of a fleet.
 
 use std::ffi::OsString;
 use std::path::{Path, PathBuf};
@@ -13,13 +13,13 @@
 use super::binaries::Binaries;
 use super::process::ManagedProcess;
 
-/// Text of a request that ends each emulator of a fleet that runs it.
+/// Request text on which every emulator of a fleet exits.
 pub const ENDS_BACK_ENDS: &str = "ends-back-ends";
 
-/// Numbers of processes of a fleet.
+/// Number of processes of each kind in a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FleetSizes {
-    /// Control replicas: one, three or five.
+    /// Control replicas: 1, 3 or 5.
     pub control: usize,
     /// Routers.
     pub routers: usize,
@@ -31,32 +31,32 @@
     pub previews: usize,
 }
 
-/// A back end with its process.
+/// Back end with its process.
 #[derive(Debug)]
 pub struct BackEndProcess {
-    /// Its entry in the tree, with its own address.
+    /// Entry in the settings tree, with the process's own address instead of a proxy's.
     pub entry: BackEnd,
-    /// Zone that it stands in.
+    /// Zone of the back end.
     pub zone: ZoneName,
-    /// Record of executions, for application servers.
+    /// Execution journal, for application servers.
     pub journal: Option<PathBuf>,
-    /// The process.
+    /// Process of the emulator.
     pub process: ManagedProcess,
 }
 
-/// The emulators that a fleet is to have.
+/// Parameters for starting the emulators of a fleet.
 pub(super) struct BackEndPlan<'a> {
-    /// Programs.
+    /// Programs to run.
     pub binaries: &'a Binaries,
     /// Folder for logs and journals.
     pub folder: &'a Path,
-    /// Deployment that the fleet is modelled on.
+    /// Deployment profile of the fleet.
     pub profile: Profile,
-    /// Numbers of processes.
+    /// Number of processes of each kind.
     pub sizes: FleetSizes,
-    /// Time that one call of an application server takes.
+    /// Duration of a call to an application server.
     pub application_work: Duration,
-    /// Zones, over which the emulators are spread evenly.
+    /// Zones over which the emulators are spread evenly.
     pub zones: &'a [ZoneName],
 }
 
@@ -64,7 +64,7 @@
     /// Starts the emulators.
     ///
     /// # Errors
-    /// Fails when one can't be started.
+    /// Fails when a process can't be started.
     pub fn start(&self) -> Result<Vec<BackEndProcess>, FleetError> {
         let kinds = [
             (BackEndKind::Engine, self.sizes.engines),
--- a/crates/lab/src/fleet/binaries.rs
+++ b/crates/lab/src/fleet/binaries.rs
@@ -1,4 +1,4 @@
-//! Finds the programs that a fleet is made of.
+//! Locates the programs of a fleet.
 
 use std::ffi::OsString;
 use std::path::{Path, PathBuf};
@@ -6,24 +6,24 @@
 
 use super::FleetError;
 
-/// Name of the daemons' program.
+/// File name of the daemon program.
 const DAEMON_PROGRAM: &str = "juniperhollow";
 
-/// Command of the lab's program that runs the daemons' program built into it.
+/// Command of the lab program that runs the daemon program built into it.
 pub const DAEMON_COMMAND: &str = "daemon";
 
-/// The programs that a fleet is made of.
+/// Programs of a fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Binaries {
-    /// The daemons; without it the lab's program runs them.
+    /// Daemon program; the lab program runs the daemons if absent.
     pub daemon: Option<PathBuf>,
-    /// The lab, for the emulators.
+    /// Lab program, which runs the emulators.
     pub lab: PathBuf,
 }
 
 impl Binaries {
-    /// This program, and the daemons' program beside it unless it is missing or
-    /// older: an older one may be of an older build.
+    /// Returns this program and the daemon program in the same folder, unless that is
+    /// missing or older than this program and so possibly from an earlier build.
     ///
     /// # Errors
     /// Fails when the path of this program is unknown.
@@ -34,7 +34,7 @@
         Ok(Binaries { daemon: is_current.then_some(beside), lab })
     }
 
-    /// The program that runs daemons, and the arguments before its own.
+    /// Returns the program that runs daemons and its leading arguments.
     pub(super) fn daemon_command(&self) -> (PathBuf, Vec<OsString>) {
         match &self.daemon {
             Some(daemon) => (daemon.clone(), Vec::new()),
--- a/crates/lab/src/fleet/error.rs
+++ b/crates/lab/src/fleet/error.rs
@@ -1,4 +1,4 @@
-//! Why a fleet can't be run.
+//! Errors of running a fleet.
 
 use std::io;
 use std::net::SocketAddr;
@@ -6,7 +6,7 @@
 
 use juniper_types::NameError;
 
-/// Why a fleet can't be run.
+/// Reason why a fleet operation failed.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum FleetError {
     /// The path of this program is unknown.
@@ -15,76 +15,76 @@
     /// A file of the fleet can't be written.
     #[error("{path} can't be written")]
     File {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system said.
+        /// Operating system error.
         #[source]
         source: io::Error,
     },
     /// A process can't be started.
     #[error("{name} can't be started")]
     Start {
-        /// The process.
+        /// Name of the process.
         name: String,
-        /// What the system said.
+        /// Operating system error.
         #[source]
         source: io::Error,
     },
-    /// A command ended with a fault.
+    /// A command exited with an error.
     #[error("{name} failed: {message}")]
     Failed {
-        /// The command.
+        /// Name of the command.
         name: String,
-        /// What it printed.
+        /// Error output of the command.
         message: String,
     },
     /// A signal can't be sent.
-    #[error("{name} can't be signalled")]
+    #[error("can't send a signal to {name}")]
     Signal {
-        /// The process.
+        /// Name of the process.
         name: String,
     },
-    /// A process did not end in time.
-    #[error("{name} did not end in time")]
+    /// A process did not exit in time.
+    #[error("{name} did not exit in time")]
     StillRunning {
-        /// The process.
+        /// Name of the process.
         name: String,
     },
-    /// Something that was waited for did not come about.
-    #[error("waited in vain for {what}")]
+    /// An awaited condition was not met in time.
+    #[error("timed out waiting for {what}")]
     TimedOut {
-        /// What was waited for.
+        /// Awaited condition.
         what: String,
     },
     /// A change of the settings was refused.
     #[error("the change {change_id} was refused with status {status}: {body}")]
     ChangeRefused {
-        /// The change.
+        /// Id of the change.
         change_id: String,
-        /// HTTP status.
+        /// HTTP status of the response.
         status: u16,
-        /// What the control replica said.
+        /// Body of the control replica's response.
         body: String,
     },
-    /// A back end doesn't answer.
-    #[error("{address} doesn't answer")]
+    /// A request to a back end failed.
+    #[error("request to {address} failed")]
     Call {
-        /// The back end.
+        /// Address of the back end.
         address: SocketAddr,
-        /// What went wrong.
+        /// Error of the HTTP client.
         #[source]
         source: reqwest::Error,
     },
-    /// A name is not valid.
+    /// A name is invalid.
     #[error(transparent)]
     Name(#[from] NameError),
-    /// The fleet has no such process.
+    /// The fleet has no process of this name or number.
     #[error("the fleet has no {0}")]
     NoSuch(String),
-    /// A proxy can't listen.
-    #[error("a proxy can't listen")]
+    /// A link proxy can't listen.
+    #[error("a link proxy can't listen")]
     Proxy(#[source] io::Error),
-    /// A piece of the settings can't be written as JSON.
-    #[error("the settings can't be written as JSON")]
+    /// An edit of the settings can't be serialized as JSON.
+    #[error("the settings can't be serialized as JSON")]
     Json(#[from] serde_json::Error),
 }
--- a/crates/lab/src/fleet/faults.rs
+++ b/crates/lab/src/fleet/faults.rs
@@ -1,4 +1,4 @@
-//! What a fleet is put through.
+//! Faults and maintenance operations on a running fleet.
 
 use std::process::ExitStatus;
 use std::time::Duration;
@@ -9,8 +9,8 @@
 use super::process::{ManagedProcess, Signal};
 use super::{BackEndProcess, Fleet, FleetError};
 
-/// Longest time that a planned stop may take.
-const STOP_LIMIT: Duration = Duration::from_secs(90);
+/// Timeout of a graceful shutdown.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(90);
 
 impl Fleet {
     fn back_end(
@@ -22,10 +22,10 @@
         of_kind.nth(place).ok_or_else(|| FleetError::NoSuch(format!("{kind:?} {place}")))
     }
 
-    /// The process of the engine, application or preview server number `place`, from zero.
+    /// Returns the process of back end number `place` of `kind`, from zero.
     ///
     /// # Errors
-    /// Fails when there is none.
+    /// Fails when the fleet has no such process.
     pub fn back_end_process(
         &mut self,
         kind: BackEndKind,
@@ -34,19 +34,19 @@
         Ok(&mut self.back_end(kind, place)?.process)
     }
 
-    /// The process of router number `place`, from zero.
+    /// Returns the process of router number `place`, from zero.
     ///
     /// # Errors
-    /// Fails when there is none.
+    /// Fails when the fleet has no such process.
     pub fn router_process(&mut self, place: usize) -> Result<&mut ManagedProcess, FleetError> {
         let router = self.routers.get_mut(place);
         router.map(|r| &mut r.process).ok_or_else(|| FleetError::NoSuch(format!("router {place}")))
     }
 
-    /// The process of control replica number `place`, from zero.
+    /// Returns the process of control replica number `place`, from zero.
     ///
     /// # Errors
-    /// Fails when there is none.
+    /// Fails when the fleet has no such process.
     pub fn control_process(&mut self, place: usize) -> Result<&mut ManagedProcess, FleetError> {
         let control = self.control.get_mut(place);
         control
@@ -54,10 +54,10 @@
             .ok_or_else(|| FleetError::NoSuch(format!("control replica {place}")))
     }
 
-    /// Starts a back end again and waits until it serves.
+    /// Restarts a back end and waits until the process is healthy.
     ///
     /// # Errors
-    /// Fails when it doesn't in time.
+    /// Fails when the process can't be started or doesn't serve in time.
     pub async fn restart_back_end(
         &mut self,
         kind: BackEndKind,
@@ -69,31 +69,31 @@
         self.operator.wait_for(address, "/healthz").await
     }
 
-    /// Starts a router again and waits until it serves.
+    /// Restarts a router and waits until the process is ready.
     ///
     /// # Errors
-    /// Fails when it doesn't in time.
+    /// Fails when the process can't be started or doesn't serve in time.
     pub async fn restart_router(&mut self, place: usize) -> Result<(), FleetError> {
         self.router_process(place)?.restart()?;
         let address = self.routers[place].node.operator;
         self.operator.wait_for(address, "/readyz").await
     }
 
-    /// Stops a router as planned and waits until it has ended.
+    /// Shuts a router down gracefully and waits until the process has exited.
     ///
     /// # Errors
-    /// Fails when it doesn't end in time.
+    /// Fails when the process doesn't exit in time.
     pub async fn stop_router(&mut self, place: usize) -> Result<ExitStatus, FleetError> {
         let process = self.router_process(place)?;
         process.signal(Signal::Terminate)?;
-        process.ended(STOP_LIMIT).await
+        process.ended(SHUTDOWN_TIMEOUT).await
     }
 
-    /// Marks an engine as leaving in the tree, once all routers know that, tells
-    /// the engine itself: from then on it counts new work as a breach after its grace.
+    /// Marks an engine as leaving in the settings tree, then announces the departure to the
+    /// engine, which counts new requests after a grace period as breaches.
     ///
     /// # Errors
-    /// Fails when the change is refused or the engine doesn't answer.
+    /// Fails when the change is refused or the request to the engine fails.
     pub async fn drain_engine(&mut self, place: usize) -> Result<(), FleetError> {
         let engine = self.back_end(BackEndKind::Engine, place)?.entry.clone();
         let mut edits = Vec::new();
@@ -105,31 +105,32 @@
             }
         }
         self.change("drain", edits).await?;
-        self.operator.leave(engine.address).await
+        self.operator.announce_departure(engine.address).await
     }
 
-    /// Tells only the engine that its machine is about to be taken away.
+    /// Announces to an engine, without a settings change, that its host is about to be
+    /// removed.
     ///
     /// # Errors
-    /// Fails when it doesn't answer.
+    /// Fails when the request to the engine fails.
     pub async fn announce_leaving(&mut self, place: usize) -> Result<(), FleetError> {
         let address = self.back_end(BackEndKind::Engine, place)?.entry.address;
-        self.operator.leave(address).await
+        self.operator.announce_departure(address).await
     }
 
-    /// What one engine has seen of broken invariants, and what it has done.
+    /// Fetches the invariant breaches recorded by one engine.
     ///
     /// # Errors
-    /// Fails when it doesn't answer.
+    /// Fails when the request to the engine fails.
     pub async fn engine_witness(&mut self, place: usize) -> Result<WitnessReport, FleetError> {
         let address = self.back_end(BackEndKind::Engine, place)?.entry.address;
         self.operator.witness(address).await
     }
 
-    /// Breaches that the engines which now run have seen.
+    /// Sums up the invariant breaches recorded by all running engines.
     ///
     /// # Errors
-    /// Fails when one doesn't answer.
+    /// Fails when the request to an engine fails.
     pub async fn witnesses(&mut self) -> Result<WitnessReport, FleetError> {
         let mut sum = WitnessReport::default();
         for back_end in &mut self.back_ends {
@@ -147,21 +148,21 @@
         Ok(sum)
     }
 
-    /// Stops every router and control replica as planned; returns those that
-    /// did not end well.
+    /// Shuts all routers and control replicas down gracefully. Returns the names of the
+    /// processes that exited with an error.
     ///
     /// # Errors
-    /// Fails when one doesn't end in time.
+    /// Fails when a process doesn't exit in time.
     pub async fn stop_daemons(&mut self) -> Result<Vec<String>, FleetError> {
         let routers = self.routers.iter_mut().map(|router| &mut router.process);
-        let mut ended_badly = stop_all(routers).await?;
+        let mut ended_badly = shut_down_all(routers).await?;
         let control = self.control.iter_mut().map(|control| &mut control.process);
-        ended_badly.extend(stop_all(control).await?);
+        ended_badly.extend(shut_down_all(control).await?);
         Ok(ended_badly)
     }
 }
 
-async fn stop_all<'a>(
+async fn shut_down_all<'a>(
     processes: impl Iterator<Item = &'a mut ManagedProcess>,
 ) -> Result<Vec<String>, FleetError> {
     let mut running: Vec<_> = Vec::new();
@@ -173,7 +174,7 @@
     }
     let mut ended_badly = Vec::new();
     for process in running {
-        if !process.ended(STOP_LIMIT).await?.success() {
+        if !process.ended(SHUTDOWN_TIMEOUT).await?.success() {
             ended_badly.push(process.name().to_owned());
         }
     }
--- a/crates/lab/src/fleet/mod.rs
+++ b/crates/lab/src/fleet/mod.rs
@@ -1,7 +1,7 @@
-//! A small fleet of real processes on one machine.
+//! Small fleet of real processes on one machine.
 //!
-//! The lab starts the daemons and the emulators, breaks them, and stops
-//! whatever it started when the [`Fleet`] is dropped.
+//! Starts the daemons and the emulators and injects faults into them. All processes are
+//! killed when the [`Fleet`] is dropped.
 
 mod back_ends;
 mod binaries;
@@ -37,44 +37,44 @@
 use crate::load::{ExecutionSource, RouterTarget};
 use crate::proxy::{LinkProxy, LinkState};
 
-/// Number of the first control replica, on which the cluster is founded.
+/// Node id of the first control replica, on which the cluster is created.
 const FIRST_CONTROL: u64 = 1;
 
-/// Number of the first router.
+/// Node id of the first router.
 const FIRST_ROUTER: u64 = 11;
 
-/// What a fleet is made of.
+/// Options of a fleet.
 #[derive(Clone, Debug)]
 pub struct FleetOptions {
-    /// Programs.
+    /// Programs to run.
     pub binaries: Binaries,
-    /// Folder for files, logs and data.
+    /// Folder for settings files, logs and data.
     pub folder: PathBuf,
-    /// Deployment that the fleet is modelled on.
+    /// Deployment profile of the fleet.
     pub profile: Profile,
-    /// Numbers of processes.
+    /// Number of processes of each kind.
     pub sizes: FleetSizes,
-    /// Time that one call of an application server takes.
+    /// Duration of a call to an application server.
     pub application_work: Duration,
-    /// Whether the last zone stands behind proxies and can be cut off.
+    /// Whether the last zone is connected through proxies, so that it can be partitioned.
     pub cuttable: bool,
 }
 
-/// A control replica with its process.
+/// Control replica with its process.
 #[derive(Debug)]
 struct Control {
     node: ControlNode,
     process: ManagedProcess,
 }
 
-/// A router with its process.
+/// Router with its process.
 #[derive(Debug)]
 struct Router {
     node: RouterNode,
     process: ManagedProcess,
 }
 
-/// A running fleet.
+/// Running fleet.
 #[derive(Debug)]
 pub struct Fleet {
     folder: PathBuf,
@@ -82,18 +82,18 @@
     control: Vec<Control>,
     routers: Vec<Router>,
     back_ends: Vec<BackEndProcess>,
-    /// Links of the last zone to the others.
+    /// Proxies between the last zone and the others.
     links: Vec<LinkProxy>,
     operator: Operator,
     revision: u64,
 }
 
 impl Fleet {
-    /// Starts every process, applies the tree of the profile and waits until
-    /// all routers serve it.
+    /// Starts all processes, applies the settings tree of the profile and waits until all
+    /// routers serve with it.
     ///
     /// # Errors
-    /// Fails when a process can't be started or doesn't come to serve in time.
+    /// Fails when a process can't be started or doesn't serve in time.
     pub async fn start(options: FleetOptions) -> Result<Self, FleetError> {
         let FleetOptions { binaries, folder, profile, sizes, application_work, cuttable } = options;
         let zone_names = profile.names()?.zones;
@@ -126,8 +126,8 @@
         Ok(fleet)
     }
 
-    /// The zones as the tree has them. In a cuttable fleet the back ends of all
-    /// zones but the last are reached through proxies.
+    /// Returns the zones for the settings tree. In a fleet that can be partitioned, the
+    /// back ends of all zones but the last are reached through proxies.
     async fn zone_back_ends(
         &mut self,
         zone_names: &[ZoneName],
@@ -145,7 +145,7 @@
             let mut back_ends = Vec::new();
             for mut entry in own {
                 if cuttable && !is_last {
-                    entry.address = self.link(entry.address).await?;
+                    entry.address = self.start_link_proxy(entry.address).await?;
                 }
                 back_ends.push(entry);
             }
@@ -154,8 +154,9 @@
         Ok(zones)
     }
 
-    /// A link to `target` that is cut together with the last zone.
-    async fn link(&mut self, target: SocketAddr) -> Result<SocketAddr, FleetError> {
+    /// Starts a proxy to `target` that is partitioned together with the last zone and
+    /// returns the proxy's address.
+    async fn start_link_proxy(&mut self, target: SocketAddr) -> Result<SocketAddr, FleetError> {
         let link = LinkProxy::start(target).await.map_err(FleetError::Proxy)?;
         let address = link.address();
         self.links.push(link);
@@ -172,7 +173,7 @@
         let control: Vec<NodeAddress> = self.control.iter().map(|c| c.node.node.clone()).collect();
         let mut far_control = control.clone();
         for node in far_control.iter_mut().filter(|_| cuttable) {
-            node.internal = self.link(node.internal).await?;
+            node.internal = self.start_link_proxy(node.internal).await?;
         }
         let mut nodes = Vec::new();
         for (id, zone) in (FIRST_ROUTER..).zip(zone_names.iter().cycle()).take(count) {
@@ -198,22 +199,22 @@
         Ok(())
     }
 
-    /// Waits until every router serves the latest settings.
+    /// Waits until all routers are ready with the latest settings.
     ///
     /// # Errors
-    /// Fails when one doesn't in time.
+    /// Fails when a router isn't ready in time.
     pub async fn wait_until_ready(&self) -> Result<(), FleetError> {
         for router in &self.routers {
             self.operator.wait_for(router.node.operator, "/readyz").await?;
         }
-        let faces: Vec<SocketAddr> = self.routers.iter().map(|r| r.node.operator).collect();
-        self.operator.wait_for_revision(&faces, self.revision).await
+        let addresses: Vec<SocketAddr> = self.routers.iter().map(|r| r.node.operator).collect();
+        self.operator.wait_for_revision(&addresses, self.revision).await
     }
 
-    /// Applies edits as one change; returns the new revision.
+    /// Submits edits as one change and returns the new revision.
     ///
     /// # Errors
-    /// Fails when the change is refused or not taken in time.
+    /// Fails when the change is refused or not accepted in time.
     async fn change(
         &mut self,
         name: &str,
@@ -222,12 +223,12 @@
         let text = format!("{name}-{}", self.revision);
         let change_id = ChangeId::new(text).map_err(|_| FleetError::NoSuch(name.to_owned()))?;
         let change = SettingsChange { base_revision: self.revision, change_id, edits };
-        let faces: Vec<SocketAddr> = self.control.iter().map(|c| c.node.operator).collect();
-        self.revision = self.operator.apply(&faces, &change).await?;
+        let addresses: Vec<SocketAddr> = self.control.iter().map(|c| c.node.operator).collect();
+        self.revision = self.operator.apply(&addresses, &change).await?;
         Ok(self.revision)
     }
 
-    /// Routers as callers know them.
+    /// Returns the routers' caller addresses and zones.
     pub fn router_targets(&self) -> Vec<RouterTarget> {
         let target = |router: &Router| RouterTarget {
             zone: Some(router.node.node.zone.clone()),
@@ -236,18 +237,18 @@
         self.routers.iter().map(target).collect()
     }
 
-    /// Journals of the application servers.
+    /// Returns the execution journals of the application servers.
     pub fn execution_sources(&self) -> Vec<ExecutionSource> {
         let journals = self.back_ends.iter().filter_map(|back_end| back_end.journal.clone());
         journals.map(ExecutionSource::Journal).collect()
     }
 
-    /// Cuts the last zone off, or mends it.
+    /// Partitions the last zone from the others or restores the links.
     pub fn set_last_zone(&self, state: LinkState) {
         self.links.iter().for_each(|link| link.set(state));
     }
 
-    /// Folder with the files, logs and data of the fleet.
+    /// Returns the folder with the settings files, logs and data of the fleet.
     pub fn folder(&self) -> &Path {
         &self.folder
     }
@@ -268,7 +269,7 @@
     let start = |node: ControlNode| {
         let file = write_control(folder, &node, &group)?;
         if node.node.id == FIRST_CONTROL {
-            found(binaries, &file)?;
+            create_cluster(binaries, &file)?;
         }
         let name = format!("control-{}", node.node.id);
         let process = start_daemon(binaries, folder, "control", name, &file)?;
@@ -277,8 +278,8 @@
     nodes.into_iter().map(start).collect()
 }
 
-/// Makes a new cluster on the replica whose settings are in `file`.
-fn found(binaries: &Binaries, file: &Path) -> Result<(), FleetError> {
+/// Creates a new cluster on the replica whose settings are in `file`.
+fn create_cluster(binaries: &Binaries, file: &Path) -> Result<(), FleetError> {
     let (program, arguments) = binaries.daemon_command();
     let mut command = Command::new(program);
     let output = command.args(arguments).args(["found", "--settings"]).arg(file).output();
--- a/crates/lab/src/fleet/node_files.rs
+++ b/crates/lab/src/fleet/node_files.rs
@@ -9,40 +9,40 @@
 
 use super::FleetError;
 
-/// Key of the operators of a fleet.
+/// API key of a fleet's operators.
 pub const OPERATOR_KEY: &str = "lab-operator-key";
 
-/// Key that the daemons of a fleet share.
+/// Cluster key shared by the daemons of a fleet.
 const CLUSTER_KEY: &str = "lab-cluster-key-of-this-fleet";
 
-/// One daemon as others know it.
+/// Id, zone and address of a daemon, as configured at other daemons.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NodeAddress {
-    /// Number.
+    /// Node id.
     pub id: u64,
-    /// Zone.
+    /// Zone of the node.
     pub zone: ZoneName,
-    /// Address for other daemons.
+    /// Address of the internal API.
     pub internal: SocketAddr,
 }
 
-/// A control replica.
+/// Addresses of a control replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ControlNode {
-    /// What others know.
+    /// Id, zone and internal address.
     pub node: NodeAddress,
-    /// Operators' face.
+    /// Address of the operator API.
     pub operator: SocketAddr,
 }
 
-/// A router.
+/// Addresses of a router.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RouterNode {
-    /// What others know.
+    /// Id, zone and internal address.
     pub node: NodeAddress,
-    /// Operators' face.
+    /// Address of the operator API.
     pub operator: SocketAddr,
-    /// Callers' face.
+    /// Address of the caller API.
     pub caller: SocketAddr,
 }
 
@@ -68,7 +68,7 @@
     }
 }
 
-/// Writes the file of a control replica; all of `group` vote.
+/// Writes the settings file of a control replica; all nodes of `group` are voters.
 ///
 /// # Errors
 /// Fails when the file can't be written.
@@ -89,7 +89,7 @@
     write_file(folder.join(format!("control-{}.toml", own.node.id)), &text)
 }
 
-/// Writes the file of a router.
+/// Writes the settings file of a router.
 ///
 /// # Errors
 /// Fails when the file can't be written.
--- a/crates/lab/src/fleet/operator.rs
+++ b/crates/lab/src/fleet/operator.rs
@@ -1,4 +1,4 @@
-//! What operators do with a fleet, over its operators' faces.
+//! Client of the operator APIs and the emulators' control endpoints of a fleet.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -10,13 +10,13 @@
 use super::node_files::OPERATOR_KEY;
 use super::tree::SettingsChange;
 
-/// Longest wait for something that should come about soon.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+/// Timeout for a condition to be met.
+pub const CONDITION_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Pause between looks.
-const LOOK_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval between checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Longest wait for one answer.
+/// Timeout of an HTTP request.
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
 #[derive(Deserialize)]
@@ -24,7 +24,7 @@
     revision: u64,
 }
 
-/// Calls of operators.
+/// HTTP client that acts as an operator.
 #[derive(Clone, Debug, Default)]
 pub struct Operator {
     http: reqwest::Client,
@@ -34,25 +34,25 @@
     /// Waits until a GET of `path` at `address` succeeds.
     ///
     /// # Errors
-    /// Fails when it doesn't within `PATIENCE`.
+    /// Fails when no GET succeeds within `CONDITION_TIMEOUT`.
     pub async fn wait_for(&self, address: SocketAddr, path: &str) -> Result<(), FleetError> {
         let start = Instant::now();
         let url = format!("http://{address}{path}");
-        while start.elapsed() < PATIENCE {
+        while start.elapsed() < CONDITION_TIMEOUT {
             let answer = self.http.get(&url).timeout(CALL_TIMEOUT).send().await;
             if answer.is_ok_and(|response| response.status().is_success()) {
                 return Ok(());
             }
-            tokio::time::sleep(LOOK_INTERVAL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         Err(FleetError::TimedOut { what: url })
     }
 
-    /// Submits `change` to the control replicas until one takes it. The change
-    /// keeps its id, so that it takes effect once however often it is sent.
+    /// Submits `change` to the control replicas in turn until one accepts the change, and
+    /// returns the new revision. Retries carry the same change id and are applied once.
     ///
     /// # Errors
-    /// Fails when it is refused, or not taken within `PATIENCE`.
+    /// Fails when the change is refused or not accepted within `CONDITION_TIMEOUT`.
     pub async fn apply(
         &self,
         control: &[SocketAddr],
@@ -60,7 +60,7 @@
     ) -> Result<u64, FleetError> {
         let start = Instant::now();
         for address in control.iter().cycle() {
-            if start.elapsed() > PATIENCE {
+            if start.elapsed() > CONDITION_TIMEOUT {
                 break;
             }
             let url = format!("http://{address}/v1/settings/changes");
@@ -81,12 +81,12 @@
                     });
                 }
             }
-            tokio::time::sleep(LOOK_INTERVAL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         Err(FleetError::TimedOut { what: format!("change {}", change.change_id.as_str()) })
     }
 
-    /// The revision in force at a router; `None` while it doesn't answer.
+    /// Returns the revision in force at a router, or `None` if the request fails.
     pub async fn revision(&self, router: SocketAddr) -> Option<u64> {
         let url = format!("http://{router}/v1/status");
         let call = self.http.get(url).bearer_auth(OPERATOR_KEY).timeout(CALL_TIMEOUT);
@@ -94,10 +94,10 @@
         Some(body.revision)
     }
 
-    /// Waits until `revision` is in force at every router of `routers`.
+    /// Waits until `revision` or a later one is in force at all `routers`.
     ///
     /// # Errors
-    /// Fails when it isn't within `PATIENCE`.
+    /// Fails when a router doesn't reach the revision within `CONDITION_TIMEOUT`.
     pub async fn wait_for_revision(
         &self,
         routers: &[SocketAddr],
@@ -106,31 +106,31 @@
         let start = Instant::now();
         for router in routers {
             while self.revision(*router).await.is_none_or(|own| own < revision) {
-                if start.elapsed() > PATIENCE {
+                if start.elapsed() > CONDITION_TIMEOUT {
                     let what = format!("revision {revision} at {router}");
                     return Err(FleetError::TimedOut { what });
                 }
-                tokio::time::sleep(LOOK_INTERVAL).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         }
         Ok(())
     }
 
-    /// Breaches that an emulator has seen.
+    /// Fetches the invariant breaches recorded by an emulator.
     ///
     /// # Errors
-    /// Fails when it doesn't answer.
+    /// Fails when the request fails.
     pub async fn witness(&self, address: SocketAddr) -> Result<WitnessReport, FleetError> {
         let fault = |source| FleetError::Call { address, source };
         let call = self.http.get(format!("http://{address}{WITNESS_PATH}")).timeout(CALL_TIMEOUT);
         call.send().await.map_err(fault)?.json().await.map_err(fault)
     }
 
-    /// Tells an engine that its machine is about to be taken away.
+    /// Announces to an engine that its host is about to be removed.
     ///
     /// # Errors
-    /// Fails when it doesn't answer.
-    pub async fn leave(&self, address: SocketAddr) -> Result<(), FleetError> {
+    /// Fails when the request fails.
+    pub async fn announce_departure(&self, address: SocketAddr) -> Result<(), FleetError> {
         let url = format!("http://{address}/v1/emulator/leave");
         let call = self.http.post(url).timeout(CALL_TIMEOUT);
         match call.send().await.and_then(reqwest::Response::error_for_status) {
--- a/crates/lab/src/fleet/process.rs
+++ b/crates/lab/src/fleet/process.rs
@@ -1,4 +1,4 @@
-//! One process of a fleet: started, signalled, awaited, and killed in the end.
+//! Child process of a fleet.
 
 use std::ffi::OsString;
 use std::fs::File;
@@ -8,17 +8,17 @@
 
 use super::FleetError;
 
-/// Pause between looks at a process that is to end.
-const LOOK_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval between checks for the exit of a process.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A signal.
+/// Signals sent to processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// Planned stop.
+    /// SIGTERM: graceful shutdown.
     Terminate,
-    /// Freeze.
+    /// SIGSTOP: suspends the process.
     Stop,
-    /// End of the freeze.
+    /// SIGCONT: resumes a suspended process.
     Continue,
 }
 
@@ -32,7 +32,8 @@
     }
 }
 
-/// A program with its arguments, running or not. It is killed when dropped.
+/// Program with its arguments and, while running, its child process, which is killed on
+/// drop.
 #[derive(Debug)]
 pub struct ManagedProcess {
     name: String,
@@ -43,10 +44,10 @@
 }
 
 impl ManagedProcess {
-    /// Starts `program`; what it prints goes to the end of the file `log`.
+    /// Starts `program` and appends its output to the file `log`.
     ///
     /// # Errors
-    /// Fails when it can't be started.
+    /// Fails when the log can't be opened or the process can't be started.
     pub fn start(
         name: impl Into<String>,
         program: PathBuf,
@@ -59,10 +60,10 @@
         Ok(process)
     }
 
-    /// Starts the program again with the same arguments; kills it first if it runs.
+    /// Restarts the program with the same arguments; a running process is killed first.
     ///
     /// # Errors
-    /// Fails when it can't be started.
+    /// Fails when the log can't be opened or the process can't be started.
     pub fn restart(&mut self) -> Result<(), FleetError> {
         self.kill();
         let fault = |source| FleetError::Start { name: self.name.clone(), source };
@@ -79,28 +80,28 @@
         Ok(())
     }
 
-    /// Its name in the fleet.
+    /// Returns the name of the process in the fleet.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// Ends the process at once, as a crash does.
+    /// Kills the process with SIGKILL.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
-            // It may have ended by itself; then there is nothing to kill.
+            // Fails only if the process has already exited.
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 
-    /// Sends a signal.
+    /// Sends a signal to the process.
     ///
     /// # Errors
     /// Fails when the process is not running.
     pub fn signal(&mut self, signal: Signal) -> Result<(), FleetError> {
         let failed = || FleetError::Signal { name: self.name.clone() };
         let child = self.child.as_ref().ok_or_else(failed)?;
-        // The standard library can only kill; the shell has the other signals.
+        // The standard library can only send SIGKILL.
         let sent = Command::new("sh")
             .arg("-c")
             .arg(format!("kill -{} {}", signal.name(), child.id()))
@@ -111,10 +112,10 @@
         }
     }
 
-    /// Waits until the process has ended by itself.
+    /// Waits until the process has exited.
     ///
     /// # Errors
-    /// Fails when it still runs after `limit`, or was not running.
+    /// Fails when the process is still running after `limit` or was not running.
     pub async fn ended(&mut self, limit: Duration) -> Result<ExitStatus, FleetError> {
         let start = Instant::now();
         let failed = || FleetError::StillRunning { name: self.name.clone() };
@@ -124,12 +125,12 @@
                 self.child = None;
                 return Ok(status);
             }
-            tokio::time::sleep(LOOK_INTERVAL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         Err(failed())
     }
 
-    /// Whether the process runs.
+    /// Whether the process is running.
     pub fn is_running(&mut self) -> bool {
         matches!(self.child.as_mut().map(Child::try_wait), Some(Ok(None)))
     }
--- a/crates/lab/src/fleet/tree.rs
+++ b/crates/lab/src/fleet/tree.rs
@@ -1,4 +1,4 @@
-//! The settings tree of a fleet.
+//! Settings tree of a fleet.
 
 use juniper_emulators::trace::Profile;
 use juniper_settings::{
@@ -10,47 +10,47 @@
 use super::FleetError;
 use crate::load::arguments::KEY_PREFIX;
 
-/// Service of listings, in every profile.
+/// Listing service of all profiles.
 pub const LISTING_SERVICE: &str = "board";
 
-/// Service of previews, in every profile.
+/// Preview service of all profiles.
 pub const PREVIEW_SERVICE: &str = "previews";
 
-/// Weight of what a user cares for most in the routing cost.
+/// Routing cost weight of a profile's more important term.
 const PREFERRED_WEIGHT: f64 = 2.0;
 
-/// A change as the operators' face takes it.
+/// Request body of a settings change in the operator API.
 #[derive(Clone, Debug, Serialize)]
 pub struct SettingsChange {
-    /// Revision that the change starts from.
+    /// Revision that the change is based on.
     pub base_revision: u64,
-    /// Chosen by the writer; a resent change keeps it.
+    /// Id chosen by the submitter; retries carry the same id.
     pub change_id: ChangeId,
-    /// What is changed.
+    /// Edits of the change.
     pub edits: Vec<Edit>,
 }
 
-/// One zone with its back ends.
+/// Zone with its back ends.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ZoneBackEnds {
-    /// The zone.
+    /// Name of the zone.
     pub zone: ZoneName,
-    /// Its back ends.
+    /// Back ends in the zone.
     pub back_ends: Vec<BackEnd>,
 }
 
 impl ZoneBackEnds {
-    /// The edit that puts the zone as it is.
+    /// Returns the edit that writes the zone with its current back ends.
     pub fn edit(&self) -> Edit {
         let node = SettingsNode { back_ends: self.back_ends.clone(), ..SettingsNode::default() };
         Edit::Put { path: SettingsPath::Zone(self.zone.clone()), node: Box::new(node) }
     }
 }
 
-/// Edits that build the whole tree of `profile` on `zones`.
+/// Returns the edits that create the settings tree of `profile` for `zones`.
 ///
 /// # Errors
-/// Never for the profiles of this build: their names are checked constants.
+/// Fails when a name of the profile is invalid; the built-in names are valid.
 pub fn whole_tree(profile: Profile, zones: &[ZoneBackEnds]) -> Result<Vec<Edit>, FleetError> {
     let names = profile.names()?;
     let root = SettingsNode { overrides: preferences(profile), ..SettingsNode::default() };
@@ -72,7 +72,7 @@
     Ok(edits)
 }
 
-/// Granite Ledger minds recomputed tokens more, Pryderi the time to first token.
+/// Granite Ledger weights recomputed tokens higher, Pryderi the time to first token.
 fn preferences(profile: Profile) -> Overrides {
     let weight = Some(PREFERRED_WEIGHT);
     match profile {
--- a/crates/lab/src/fleet_run.rs
+++ b/crates/lab/src/fleet_run.rs
@@ -1,5 +1,4 @@
-//! One run of a fleet of processes: started, loaded while faults are made, stopped, and
-//! reported on.
+//! Run of a fleet of processes under load and injected faults, with a report.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -17,36 +16,36 @@
 use crate::load::{LoadError, LoadReport, ReportError, run_load};
 use crate::trace::{fleet_trace, parse_load};
 
-/// Shortest time of load that leaves room for faults, in seconds.
+/// Minimum duration of the load, in seconds, that leaves time for the faults.
 const MIN_SECONDS: u64 = 10;
 
-/// What every run of a fleet is asked for.
+/// Options common to all fleet runs.
 #[derive(Clone, Debug)]
 pub struct RunOptions {
-    /// Deployment that the fleet is modelled on.
+    /// Deployment profile of the fleet.
     pub profile: Profile,
-    /// Seed of the load, and of the faults if they are drawn.
+    /// Seed of the load and of random faults.
     pub seed: u64,
-    /// Time of load.
+    /// Duration of the load.
     pub duration: Duration,
-    /// Share of what the engines can serve.
+    /// Offered load as a share of the engines' capacity.
     pub load: f64,
-    /// Folder to keep; a temporary one otherwise.
+    /// Folder for files, logs and data; a temporary one if `None`.
     pub folder: Option<PathBuf>,
 }
 
 impl RunOptions {
-    /// Options of a command whose load takes `seconds` and `load` of the engines unless
-    /// it is told otherwise.
+    /// Default options of a command, with a duration of `seconds` and an offered load of
+    /// `load`.
     pub(crate) fn usual(seconds: u64, load: f64) -> Self {
         let duration = Duration::from_secs(seconds);
         RunOptions { profile: Profile::GraniteLedger, seed: 1, duration, load, folder: None }
     }
 
-    /// Takes the long option `name` with its value.
+    /// Parses the value of the long option `name`.
     ///
     /// # Errors
-    /// Fails when there is no such option, or its value can't be used.
+    /// Fails when the option is unknown or the value is invalid.
     pub(crate) fn take(
         &mut self,
         name: &str,
@@ -69,63 +68,63 @@
     }
 }
 
-/// Why a run can't be made.
+/// Reason why a run failed.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum RunError {
-    /// The folder can't be used.
-    #[error("the folder can't be used")]
+    /// The folder can't be created.
+    #[error("the folder can't be created")]
     Folder(#[source] std::io::Error),
-    /// The fleet can't be run.
+    /// A fleet operation failed.
     #[error(transparent)]
     #[diagnostic(transparent)]
     Fleet(#[from] FleetError),
-    /// The load can't be run.
+    /// The load generator failed.
     #[error(transparent)]
     #[diagnostic(transparent)]
     Load(#[from] LoadError),
-    /// The run took too long; everything was stopped.
-    #[error("the run took longer than {0:?}; everything was stopped")]
+    /// The run exceeded the time limit; all processes were stopped.
+    #[error("the run took longer than {0:?}; all processes were stopped")]
     TooLong(Duration),
 }
 
-/// The report of a run.
+/// Report of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct RunReport {
     /// Requests sent.
     pub requests: u64,
-    /// Requests that got their whole answer.
+    /// Requests with a complete answer.
     pub complete: u64,
-    /// Requests that were refused: nothing ran.
+    /// Requests refused before execution.
     pub refused: u64,
-    /// Requests that got no whole answer, or whose outcome isn't known.
+    /// Requests with an incomplete answer or an unknown outcome.
     pub failed: u64,
-    /// Broken promises: seen by callers, by back ends, or in how daemons ended.
+    /// Violations found by the load generator, by engines and in the exit status of daemons.
     pub violations: u64,
-    /// Share of prompt tokens found in caches.
+    /// Share of prompt tokens that were cached.
     pub hit_rate: f64,
     /// 99th percentile of the time to first token, in milliseconds.
     pub ttft_p99_ms: f64,
-    /// What was done to the fleet, and when, in milliseconds of the load.
+    /// Injected faults in order of time.
     pub faults: Vec<FaultDone>,
-    /// Breaches that the engines saw.
+    /// Invariant breaches recorded by the engines.
     pub breaches: WitnessReport,
-    /// Daemons that did not end well when they were stopped as planned.
+    /// Daemons that exited with an error on a graceful shutdown.
     pub ended_badly: Vec<String>,
-    /// The load's own report.
+    /// Report of the load generator.
     pub load: LoadReport,
 }
 
-/// One fault that was done.
+/// Injected fault.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct FaultDone {
-    /// When, in milliseconds since the load began.
+    /// Time since the start of the load, in milliseconds.
     pub at_ms: u64,
-    /// What.
+    /// Description of the fault.
     pub fault: String,
 }
 
 impl RunReport {
-    /// Sums up what callers, back ends and the ends of daemons have shown.
+    /// Combines the results of the load generator, the engines and the daemons.
     pub(crate) fn new(
         load: LoadReport,
         breaches: WitnessReport,
@@ -148,19 +147,17 @@
     }
 }
 
-/// What was done to a fleet, and which daemons did not end well when they were stopped
-/// as planned.
+/// Injected faults and the daemons that exited with an error on a graceful shutdown.
 #[derive(Debug, Default)]
 pub(crate) struct FaultsDone {
     pub faults: Vec<FaultDone>,
     pub ended_badly: Vec<String>,
 }
 
-/// Starts a fleet, loads it while `make_faults` works on it, and stops everything that
-/// was started.
+/// Starts a fleet, runs the load together with `make_faults`, and stops all processes.
 ///
 /// # Errors
-/// Fails when the fleet or the load can't be run; broken promises are in the report.
+/// Fails when the fleet or the load generator fails. Violations are part of the report.
 pub(crate) async fn run_fleet(
     options: RunOptions,
     sizes: FleetSizes,
@@ -194,8 +191,8 @@
     Ok(RunReport::new(report, breaches, done.faults, ended_badly))
 }
 
-/// Runs to the end, or to the limit, and prints the report. The exit code tells
-/// whether a promise was broken.
+/// Runs `run` with a timeout of `limit` and prints the report. The exit code is a failure
+/// if there were violations.
 pub(crate) fn print_report(
     limit: Duration,
     run: impl Future<Output = Result<RunReport, RunError>>,
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,7 +1,6 @@
-//! Experiments, fault campaigns, load, scale runs and the demo fleet.
+//! Experiments, fault campaigns, load generation, scale runs and the demo fleet.
 //!
-//! Nothing here is deployed. The lab is the only part of the project that
-//! starts other processes; the daemons never do.
+//! The lab is not deployed. Unlike the daemons, the lab starts other processes.
 
 pub mod arguments;
 pub mod demo;
