--- a/crates/lab/tests/load_checks.rs
+++ b/crates/lab/tests/load_checks.rs
@@ -1,4 +1,4 @@
-//! The checks of the load generator find what they are there to find.
+//! Checks of the load generator: detection of each kind of violation.
 
 use std::collections::BTreeMap;
 
@@ -50,20 +50,20 @@
     }
 }
 
-/// Kind of the first violation in a stream of the given chunks.
+/// Returns the kind of the first violation in a stream of the given chunks.
 fn first_violation(chunks: &[Chunk]) -> Option<ViolationKind> {
     let mut check = check();
     let pushed = chunks.iter().try_for_each(|chunk| check.push(chunk));
     pushed.and_then(|()| check.done()).err().map(|violation| violation.kind)
 }
 
-/// Cases that are the same in every run.
+/// Property tests with a fixed seed.
 fn seeded() -> QuickCheck {
     QuickCheck::new().rng(Gen::from_size_and_seed(100, 20_261))
 }
 
 #[test]
-fn a_whole_answer_passes_and_every_damage_is_named() {
+fn complete_answer_passes_and_each_damage_has_its_violation_kind() {
     let whole = [chunk(1, 0, 1), chunk(1, 1, 4), chunk(1, 4, 6), chunk(1, 6, 6)];
     assert_eq!(first_violation(&whole), None);
     let cases = [
@@ -87,14 +87,14 @@
 }
 
 #[test]
-fn an_answer_must_stay_with_the_weights_it_began_with() {
+fn answer_with_mixed_weights_versions_is_a_violation() {
     assert_eq!(first_violation(&[chunk(2, 0, 6), chunk(2, 6, 6)]), None);
     let mixed = [chunk(1, 0, 3), chunk(2, 3, 6), chunk(2, 6, 6)];
     assert_eq!(first_violation(&mixed), Some(ViolationKind::WrongContent));
 }
 
 #[test]
-fn a_resumed_answer_goes_on_with_another_id() {
+fn resumed_answer_may_have_another_id() {
     let mut check = check();
     check.push(&chunk(1, 0, 3)).unwrap();
     check.resume("2".into());
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn the_record_of_executions_convicts_false_answers() {
+fn execution_records_reveal_false_answers() {
     let calls = [
         call("refused", Belief::NotRun),
         call("refused-but-ran", Belief::NotRun),
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn one_attempt_that_leaves_it_open_is_never_forgotten() {
+fn belief_stays_open_after_an_attempt_with_unknown_outcome() {
     let refused =
         |not_run| AttemptError::Refused(ErrorDetail { not_run, ..ErrorDetail::default() });
     let after = |errors: &[AttemptError]| {
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn a_stream_reads_the_same_however_it_is_cut() {
+fn stream_parsing_is_independent_of_chunk_boundaries() {
     fn property(cuts: Vec<u8>) -> bool {
         let mut stream = String::new();
         for place in 0..OUTPUT_TOKENS {
--- a/crates/lab/tests/prove.rs
+++ b/crates/lab/tests/prove.rs
@@ -1,14 +1,14 @@
-//! A fixed set of seeds of every area, and planted faults that must be found.
+//! Fault campaigns of all areas with fixed seeds, and detection of planted faults.
 
 use juniper_lab::prove::areas::{AREAS, Area, SeedRun};
 use juniper_lab::prove::campaign::{Campaign, run};
 
 const THREADS: usize = 4;
 
-/// Seeds of each area; a campaign of thousands is run by hand.
+/// Number of seeds run for each area.
 const SEEDS: u64 = 24;
 
-/// Most seeds that finding a planted fault may take.
+/// Maximum number of seeds until a planted fault is found.
 const MAX_SEEDS_TO_FIND: u64 = 400;
 
 fn campaign(area: &Area, planted: Option<&'static str>) -> juniper_lab::prove::campaign::Summary {
@@ -51,29 +51,29 @@
     }
 }
 
-/// Runs one seed of the area "claims" that once failed.
+/// Runs one seed of the area "claims" (regression test).
 fn assert_claims_seed_holds(seed: u64) {
     let claims = AREAS.iter().find(|area| area.name == "claims").expect("the area is listed");
     let one_seed = Campaign { first_seed: seed, seeds: 1, planted: None, stop_at_first: false };
     assert_eq!(run(claims, one_seed, 1).failed, []);
 }
 
-/// A voter's disk and, within 16 ms, the disk of the standby that takes its place
-/// are lost; the other two voters still have everything that was accepted.
+/// Loss of a voter's disk and, within 16 ms, of the disk of the standby that replaces
+/// the voter; the other two voters still hold all accepted entries.
 #[test]
 fn a_voter_and_its_standby_lost_together_leave_a_quorum() {
     assert_claims_seed_holds(27_352);
 }
 
-/// A voter's disk is lost, and the disk of a standby that is about to replace
-/// another voter, to spread voters over zones.
+/// Loss of a voter's disk and of the disk of a standby that is about to replace another
+/// voter to spread voters over zones.
 #[test]
 fn a_standby_that_replaces_another_voter_than_the_lost_one_leaves_a_quorum() {
     assert_claims_seed_holds(22_888);
 }
 
-/// A settlement is kept, its answer lost, the horizon passes the key, and the
-/// settlement is sent again.
+/// Retry of a settlement that was stored but whose answer was lost, after the horizon
+/// has passed the key.
 #[test]
 fn a_settlement_sent_again_after_its_key_expired_is_not_told_that_it_never_held() {
     assert_claims_seed_holds(6_594);
--- a/crates/lab/tests/soak_plan.rs
+++ b/crates/lab/tests/soak_plan.rs
@@ -1,4 +1,5 @@
-//! The faults that a soak draws: in time, one at a time in each part, of every kind.
+//! Random fault plans of a soak: timing, no overlap within a part, and coverage of all
+//! kinds.
 
 use std::time::Duration;
 
@@ -12,7 +13,7 @@
 }
 
 #[test]
-fn a_part_has_one_fault_at_a_time_and_the_end_is_calm() {
+fn faults_of_a_part_do_not_overlap_and_end_before_the_last_fifth() {
     for seed in 0..200 {
         let plan = draw(seed, DURATION, SIZES);
         assert!(plan.iter().all(|planned| planned.until <= DURATION.mul_f64(0.8)));
@@ -24,7 +25,7 @@
 }
 
 #[test]
-fn faults_of_several_parts_come_together_and_every_kind_comes() {
+fn faults_of_different_parts_overlap_and_all_kinds_occur() {
     let plans: Vec<_> = (0..50).map(|seed| draw(seed, DURATION, SIZES)).collect();
     let all = plans.concat();
     let kinds = [Fault::Kill, Fault::PlannedStop, Fault::Freeze, Fault::Cut, Fault::AnswersLost];
@@ -36,7 +37,7 @@
 }
 
 #[test]
-fn a_seed_draws_the_same_plan_again_and_two_replicas_are_left_alone() {
+fn plans_are_deterministic_by_seed_and_spare_two_control_replicas() {
     assert_eq!(draw(7, DURATION, SIZES), draw(7, DURATION, SIZES));
     assert_ne!(draw(7, DURATION, SIZES), draw(8, DURATION, SIZES));
     let plan = draw(7, DURATION, PartSizes { control: 2, ..SIZES });
