--- a/crates/lab/src/experiment/juniper.rs
+++ b/crates/lab/src/experiment/juniper.rs
@@ -106,7 +106,7 @@
             prefill_tokens: request.prefill_tokens(decision.expected_blocks),
         };
         let id = DispatchId(input.attempt.0);
-        table.dispatched(decision.engine, id, work, now);
+        table.record_dispatch(decision.engine, id, work, now);
         if let Some(incarnation) = decision.incarnation {
             index.predict(decision.engine, incarnation, &job.blocks, id.into(), now);
         }
@@ -123,7 +123,7 @@
 
     fn load(&mut self, router: usize, engine: usize, report: &LoadReport, now: Timestamp) {
         let known = &mut self.routers[router];
-        known.table.report(engine_id(engine), &engine_load(report), now);
+        known.table.apply_load_report(engine_id(engine), &engine_load(report), now);
         // The number of engines is below the index's limit.
         let _ = known.index.start_incarnation(engine_id(engine), report.incarnation);
     }
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -157,7 +157,7 @@
 /// Emulates the engines that the node follows, and looks up prompts in the shared
 /// knowledge of the zone.
 async fn emulate_engines(plane: Arc<ControlPlane>, node: u64, counters: Arc<Counters>) {
-    let mut engines: HashMap<EngineId, (SyntheticEngine, EngineKnowledge)> = HashMap::new();
+    let mut engines: HashMap<EngineId, (SyntheticEngine, EngineObserver)> = HashMap::new();
     let mut ticks = interval(EVENT_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut due = 0.0;
@@ -180,8 +180,8 @@
         let mut prompts: Vec<(EngineId, Vec<BlockHash>)> = Vec::new();
         for (engine, (synthetic, observer)) in &mut engines {
             let events = synthetic.events(EVENT_INTERVAL);
-            let _ = knowledge.apply_events(synthetic.incarnation(), &events);
-            knowledge.note_load(&synthetic.load());
+            let _ = observer.apply_events(synthetic.incarnation(), &events);
+            observer.observe_load(&synthetic.load());
             prompts.push((*engine, synthetic.cached_prompt()));
         }
         due += LOOKUPS_PER_SECOND * EVENT_INTERVAL.as_secs_f64();
@@ -235,9 +235,9 @@
             let model = model.unwrap_or_else(|_| unreachable!("the default is a valid name"));
             let seed_base = unix_micros() / 1_000_000 * INCARNATION_SEED_STEP;
             let mut synthetic = SyntheticEngine::new(seed_base + u64::from(engine.0), model);
-            knowledge.note_load(&synthetic.load());
-            knowledge.apply_snapshot(&synthetic.snapshot());
-            (synthetic, knowledge)
+            observer.observe_load(&synthetic.load());
+            observer.apply_snapshot(&synthetic.snapshot());
+            (synthetic, observer)
         });
     }
 }
