--- a/tests/fleet_faults.rs
+++ b/tests/fleet_faults.rs
@@ -130,7 +130,7 @@
     let mut options = load_options(fleet);
     let zone = options.routers.last().and_then(|router| router.zone.clone()).unwrap();
     options.routers.retain(|router| router.zone.as_ref() == Some(&zone));
-    options.patience.refusals = 2;
+    options.retry_policy.refusals = 2;
     let mut trace = mixed_trace(7, 6);
     // The zone has a third of the fleet: send a quarter of the load.
     let mut place = 0;
@@ -236,7 +236,7 @@
     let mut options = load_options(fleet);
     let zone = options.routers.last().and_then(|router| router.zone.clone()).unwrap();
     options.routers.retain(|router| router.zone.as_ref() == Some(&zone));
-    options.patience.total = Duration::from_secs(20);
+    options.retry_policy.total = Duration::from_secs(20);
     let mut trace = at_most_once_trace(12, 5);
     trace.records.iter_mut().for_each(|record| record.zone = zone.clone());
 
--- a/tests/support/checked_load.rs
+++ b/tests/support/checked_load.rs
@@ -40,8 +40,8 @@
     let mut options = default_options();
     options.routers = fleet.router_targets();
     options.executions = fleet.execution_sources();
-    options.patience.stall = Duration::from_secs(5);
-    options.patience.refusals = 5;
+    options.retry_policy.stall = Duration::from_secs(5);
+    options.retry_policy.refusals = 5;
     complete(options).expect("the fleet has routers")
 }
 
