--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -280,7 +280,7 @@
 /// Largest edit distance between a mistyped word and a suggestion.
 const MAX_EDIT_DISTANCE: usize = 2;
 
-/// Returns the known command closest to `given`, if any is within [`MAX_EDIT_DISTANCE`].
+/// Returns the known command closest to `given`, if any is within `MAX_EDIT_DISTANCE`.
 pub fn closest_command(given: &str) -> Option<&'static str> {
     let with_same_word_count = |command: &'static Command| {
         let count = given.split(' ').count();
@@ -311,7 +311,7 @@
     row[other.len()]
 }
 
-/// Returns the known option closest to `given`, if any is within [`MAX_EDIT_DISTANCE`].
+/// Returns the known option closest to `given`, if any is within `MAX_EDIT_DISTANCE`.
 pub fn closest_option(given: &str) -> Option<&'static str> {
     let lines = COMMANDS.iter().flat_map(|command| command.options);
     let names = lines.filter_map(|line| line.split(' ').next());
--- a/crates/control/src/internal/follower.rs
+++ b/crates/control/src/internal/follower.rs
@@ -13,7 +13,7 @@
 use super::session::{Outgoing, OutgoingSender, Peer};
 use crate::renewal_log::SharedFrame;
 
-/// Number of replicas that a router subscribes to if not to all; equals `juniper_feed::FOLLOWED`.
+/// Number of replicas that a router subscribes to if not to all; equals `juniper_feed::FOLLOWED_REPLICAS`.
 const FOLLOWED_REPLICAS: usize = 3;
 
 /// Marker that the session has ended or the replica has stopped.
--- a/crates/emulators/src/http/crash_injection.rs
+++ b/crates/emulators/src/http/crash_injection.rs
@@ -15,7 +15,7 @@
 /// Maximum size of a request body, in bytes; not below the limits of the emulators.
 const MAX_BODY_BYTES: usize = 16 << 20;
 
-/// Suffix of the trigger that delays the crash by [`CRASH_DELAY`].
+/// Suffix of the trigger that delays the crash by `CRASH_DELAY`.
 pub const DELAYED_SUFFIX: &str = "-late";
 
 /// Delay of a delayed crash, long enough for the response to have started.
@@ -25,7 +25,7 @@
 pub type CrashAction = Arc<dyn Fn() + Send + Sync>;
 
 /// Wraps `routes` so that a request with `trigger` in its path or body calls `crash` before the
-/// request is handled or, if [`DELAYED_SUFFIX`] follows the trigger, after [`CRASH_DELAY`].
+/// request is handled or, if [`DELAYED_SUFFIX`] follows the trigger, after `CRASH_DELAY`.
 pub fn crash_on_trigger(routes: Router, trigger: String, crash: CrashAction) -> Router {
     let trigger: Arc<str> = trigger.into();
     routes.layer(from_fn(move |request: Request, next: Next| {
--- a/crates/simulation/src/process.rs
+++ b/crates/simulation/src/process.rs
@@ -116,7 +116,7 @@
         self.clock_ms = clock_ms;
     }
 
-    /// Syncs the log's mark, see [`Storage::seal`].
+    /// Syncs the log's mark, see [`Storage::sync_mark`].
     ///
     /// # Errors
     /// Fails when the disk does.
